--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test bench race lint run
+.PHONY: build test bench race lint run tools
 
 # The operators' own line, so that what is tested here is what they run.
 BUILD := $(shell sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml)
@@ -29,3 +29,7 @@
 
 run: build
 	bin/sandpass serve --config example/config.json
+
+# Renames an identifier with every use of it: gopls rename -w FILE:LINE:COLUMN NEW
+tools:
+	go install golang.org/x/tools/gopls@v0.23.0
