--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -195,7 +195,7 @@
 func (b *Balancer) may(c *command, k *backend, n int) bool {
 	v := c.verb
 	for i, r := range c.relays {
-		if i != n && !r.neverRan && v.Effect != Pure && (v.Effect == Effectful || b.now > r.sent+v.Window-b.tick ||
+		if i != n && !r.neverRan && v.Effect != Pure && (v.Effect == Effectful || b.now > r.sent+v.DedupWindow-b.tick ||
 			v.Scope == ScopeZone && k.Zone != r.to.Zone || v.Scope == ScopeCell && k.Cell != r.to.Cell) {
 			return false
 		}
@@ -205,7 +205,7 @@
 
 // Opened is told that the connection for a relay is up, and tells whether it may still be written: what
 // allowed it may have passed meanwhile, a window for repeats above all.
-func (b *Balancer) Opened(now float64, id uint64, n int) bool {
+func (b *Balancer) ConnectionOpened(now float64, id uint64, n int) bool {
 	b.now = now
 	c, ok := b.commands[id]
 	return ok && !c.done && !c.streaming && n < len(c.relays) && c.relays[n].out && b.may(c, c.relays[n].to, n)
@@ -225,12 +225,12 @@
 	share := func(k *backend) float64 {
 		s := k.weight * (k.near + pull*k.local)
 		if whole {
-			s = k.weight * k.Size
+			s = k.weight * k.Capacity
 		}
 		if k.Cell == home {
 			s *= homePull
 		}
-		if b.limits.Peers && k.Zone == b.place.Zone {
+		if b.limits.PeerMessages && k.Zone == b.place.Zone {
 			s *= zonePull
 		}
 		return s
@@ -266,7 +266,7 @@
 // drawn by key and size, so that a change moves few keys. Once it had no room, any other will do.
 func (b *Balancer) home(c *command) int {
 	best, home := math.Inf(1), -1
-	if c.key == 0 || !b.limits.Keys || len(c.asked) > 0 {
+	if c.key == 0 || !b.limits.KeyAffinity || len(c.asked) > 0 {
 		return home
 	}
 	var text [16]byte
@@ -277,7 +277,7 @@
 		}
 		binary.LittleEndian.PutUint64(text[8:], k.spot)
 		u := (float64(hash(text[:])>>11) + 1) / (1 << 53)
-		if at := -math.Log(u) / k.Size; at < best {
+		if at := -math.Log(u) / k.Capacity; at < best {
 			best, home = at, k.Cell
 		}
 	}
@@ -287,7 +287,7 @@
 // ---- Fleet: the list, drains and cold budgets.
 
 // Fleet is told the list, whole or as changes.
-func (b *Balancer) Fleet(now float64, whole bool, entries []Entry) {
+func (b *Balancer) UpdateBackends(now float64, whole bool, entries []Entry) {
 	b.now = now
 	b.askWait = askFirst
 	mean := cmp.Or(b.sum(func(k *backend) float64 { return k.weight })/max(1, b.usable()), 1)
@@ -299,17 +299,17 @@
 		})
 		if !known {
 			b.fleet = slices.Insert(b.fleet, at,
-				&backend{spot: spot, weight: mean, Entry: Entry{Started: math.Inf(-1)}})
+				&backend{spot: spot, weight: mean, Entry: Entry{StartedAt: math.Inf(-1)}})
 		}
 		k := b.fleet[at]
-		if e.State == Ready && (k.State == Gone || k.Started != e.Started) {
+		if e.State == Ready && (k.State == Gone || k.StartedAt != e.StartedAt) {
 			// A new process: nothing learned of the old one holds. Its budget starts at chance, or all
 			// instances would send their first command at once and push it over together.
 			k.weight, k.aside = mean, 0
 			k.budget = bucket{b.chance(), now}
 		}
 		k.Entry, k.listed = e, b.lists
-		k.Size = cmp.Or(max(0, k.Size), 1) // 0: nothing said
+		k.Capacity = cmp.Or(max(0, k.Capacity), 1) // 0: nothing said
 	}
 	// What a whole list leaves out is gone; what is gone and holds none of our commands is forgotten.
 	b.fleet = slices.DeleteFunc(b.fleet, func(k *backend) bool {
@@ -325,7 +325,7 @@
 // arrange lays this instance's window on the ring of usable backends. Of hundreds of instances each then
 // knows a few backends well, uses connections again, and each backend lies in its share of windows.
 func (b *Balancer) arrange() {
-	total, count := b.sum(func(k *backend) float64 { return k.Size }), b.usable()
+	total, count := b.sum(func(k *backend) float64 { return k.Capacity }), b.usable()
 	width := min(1, (nearLeast+nearShared*count/b.living())/max(1, count)) * total
 	b.window, b.reach, b.laidFor = b.window[:0], max(width, tiny), b.living()
 	b.warm, b.warming = 0, b.warming[:0]
@@ -333,8 +333,10 @@
 	b.total = total
 	b.widest.sum = max(total, b.widest.read(b.now, coldMemory))
 	b.lay(width, total, func(k *backend) bool { return true }, func(k *backend, near float64) { k.near = near })
-	local := func(k *backend) bool { return b.limits.Far && !b.limits.Peers && k.Zone == b.place.Zone }
-	total = b.sum(func(k *backend) float64 { return k.Size * one(local(k)) })
+	local := func(k *backend) bool {
+		return b.limits.CrossZonePriced && !b.limits.PeerMessages && k.Zone == b.place.Zone
+	}
+	total = b.sum(func(k *backend) float64 { return k.Capacity * one(local(k)) })
 	b.localReach = min(width, total)
 	b.lay(b.localReach, total, local, func(k *backend, near float64) { k.local = near })
 	for _, k := range b.fleet {
@@ -351,16 +353,16 @@
 
 // lay lays a window of that width on the ring of usable backends that count, and tells each one's part in it.
 func (b *Balancer) lay(width, total float64, counts func(*backend) bool, put func(*backend, float64)) {
-	from := (float64(b.place.Me)+0.5)/b.siblings()*total - width/2
+	from := (float64(b.place.Index)+0.5)/b.siblings()*total - width/2
 	from -= math.Floor(from/max(total, tiny)) * total // the window may reach over the end of the ring
 	at := 0.0
 	for _, k := range b.fleet {
 		near := 0.0
 		if counts(k) && k.State == Ready {
 			for _, turn := range [2]float64{0, total} {
-				near += max(0, min(at+k.Size+turn, from+width)-max(at+turn, from))
+				near += max(0, min(at+k.Capacity+turn, from+width)-max(at+turn, from))
 			}
-			at += k.Size
+			at += k.Capacity
 		}
 		put(k, near)
 	}
@@ -376,18 +378,18 @@
 }
 
 // ListFailed says that a call for the list failed or the subscription ended: ask again, not all at once.
-func (b *Balancer) ListFailed(now float64) {
+func (b *Balancer) BackendListFailed(now float64) {
 	b.now = now
 	if b.mustAsk && !b.asking {
 		b.asking = true
-		b.after(b.askWait*b.chance(), func() { b.asking = false; b.host.Watch() })
+		b.after(b.askWait*b.chance(), func() { b.asking = false; b.host.WatchBackends() })
 		b.askWait = min(askLast, 2*b.askWait)
 	}
 }
 
 // isWarm goes by the latest time at which the backend may have started.
 func (b *Balancer) isWarm(k *backend) bool {
-	return k.Started <= 0 || b.now-k.Started >= b.cold.Span+b.cold.Off
+	return k.StartedAt <= 0 || b.now-k.StartedAt >= b.cold.WarmUp+b.cold.StartError
 }
 
 // part is how much of its work a backend can do for certain.
@@ -395,7 +397,7 @@
 	if b.isWarm(k) {
 		return 1
 	}
-	return b.cold.Share + (1-b.cold.Share)*max(0, b.now-k.Started-b.cold.Off)/max(b.cold.Span, tiny)
+	return b.cold.InitialCapacity + (1-b.cold.InitialCapacity)*max(0, b.now-k.StartedAt-b.cold.StartError)/max(b.cold.WarmUp, tiny)
 }
 
 // coldRate is how many commands a second this instance may send to a backend that has just started: the part
@@ -406,7 +408,7 @@
 	if !slices.ContainsFunc(b.window, b.isWarm) {
 		own = &b.came // nothing else to go by
 	}
-	return coldPart * b.cold.Multiple * b.part(k) * own.rate(b.now, callSpan, b.start) *
+	return coldPart * b.cold.OverloadMultiple * b.part(k) * own.rate(b.now, callSpan, b.start) *
 		(k.near + b.pull()*k.local) / (b.reach + b.pull()*b.localReach) *
 		min(1, b.total/max(tiny, b.widest.read(b.now, coldMemory)))
 }
@@ -497,7 +499,7 @@
 	if failed || took > slow {
 		late = 1
 	}
-	b.arrivals.Ended(b.now, late == 1)
+	b.arrivals.RequestEnded(b.now, late == 1)
 	// An instance with an answer a second would forget each before the next came.
 	fade := max(math.Exp((b.settled-b.now)/lateSpan), 1-1/lateAnswers)
 	b.ended, b.endedLate = b.ended*fade+1, b.endedLate*fade+late
@@ -545,7 +547,7 @@
 
 // try sends the command's first relay where there is room, or asks where there is, and tells whether it did.
 func (b *Balancer) try(c *command) bool {
-	if !b.limits.Peers {
+	if !b.limits.PeerMessages {
 		return !b.crowded(c) && b.send(c)
 	}
 	if c.asking > 0 || b.now < c.askedAt+recheck {
@@ -599,7 +601,7 @@
 func (b *Balancer) dispatch() {
 	for i := 0; i < len(b.held); {
 		c := b.held[i]
-		if !b.try(c) && !b.limits.Peers && b.crowded(c) {
+		if !b.try(c) && !b.limits.PeerMessages && b.crowded(c) {
 			return
 		}
 		if i < len(b.held) && b.held[i] == c {
@@ -613,7 +615,7 @@
 // load is for its keeper how much a backend has to do, failures counted, as a part of what it may have.
 func (b *Balancer) load(k *backend) float64 {
 	out := k.tally.tried.weigh(k.tally.sum(b.now, noteLife), b.now, failSpan, failLoad, failPer)
-	return out / (room * b.part(k) * k.Size / b.meanSize)
+	return out / (room * b.part(k) * k.Capacity / b.meanSize)
 }
 
 // grant is the keeper's: it names the least busy backend of the cell that has room for a command of the
@@ -636,23 +638,23 @@
 // report tells the backend's keeper what this instance has out there.
 func (b *Balancer) report(k *backend, flag byte) {
 	n := note{noteOut, uint16(k.Cell), k.tag(), byte(min(255, k.inFlight)), flag, k.turn()}
-	if at := b.keeper(n.cell); b.limits.Peers && at != b.place.Me {
+	if at := b.keeper(n.cell); b.limits.PeerMessages && at != b.place.Index {
 		b.tell(at, n)
-	} else if b.limits.Peers {
+	} else if b.limits.PeerMessages {
 		k.tally.note(b.now, at, n, failSpan)
 	}
 }
 
 // remind repeats what is out while a relay lasts: notes get lost, and a keeper soon forgets what it heard.
 func (b *Balancer) remind(c *command, n int) {
-	if r := &c.relays[n]; r.out && b.limits.Peers {
+	if r := &c.relays[n]; r.out && b.limits.PeerMessages {
 		b.report(r.to, flagNone)
 		b.after(noteAgain, func() { b.remind(c, n) })
 	}
 }
 
 // Received is told what a sibling had to say.
-func (b *Balancer) Received(now float64, from int, text []byte) {
+func (b *Balancer) MessageReceived(now float64, from int, text []byte) {
 	b.now = now
 	n, ok := b.hear(from, text)
 	if !ok {
@@ -690,13 +692,13 @@
 // ask draws a cell for the command that was not asked yet, and has its keeper say where in it there is room.
 func (b *Balancer) ask(c *command) bool {
 	k := b.pick(c, false, true)
-	if k == nil || !b.limits.Peers || len(c.asked) >= asksMost {
+	if k == nil || !b.limits.PeerMessages || len(c.asked) >= asksMost {
 		return false
 	}
 	cell := uint16(k.Cell)
 	c.askedAt, c.asked = b.now, append(c.asked, cell)
 	at := b.keeper(cell)
-	if at == b.place.Me {
+	if at == b.place.Index {
 		b.granted(c, b.grant(cell, at, c.priority), b.knows(cell))
 		return true
 	}
@@ -744,7 +746,7 @@
 }
 
 // Command is told of a command that is now owed exactly one final answer before it expires.
-func (b *Balancer) Command(now float64, id uint64, verb, customer int, expires float64, key uint64) {
+func (b *Balancer) CommandReceived(now float64, id uint64, verb, customer int, expires float64, key uint64) {
 	b.now = now
 	if _, ok := b.commands[id]; ok {
 		return
@@ -752,7 +754,7 @@
 	v := b.verbs[verb]
 	b.seq++
 	// Where the time told may be off its true end shows by itself: what is out times out then.
-	expires = max(expires, min(expires+b.limits.LeftOff, now+v.TimeLimit))
+	expires = max(expires, min(expires+b.limits.DeadlineError, now+v.TimeLimit))
 	c := &command{id: id, seq: b.seq, verb: v, key: key, came: now, expires: expires}
 	c.priority = v.Utility / max(b.topUtil, tiny)
 	b.keyed.add(now, callSpan, one(key != 0))
@@ -767,13 +769,13 @@
 		c.sorts[1] = b.table.of(key<<1, now, sortSpan)
 	}
 	b.arrived()
-	b.taken.add(now, b.limits.Further.Span, 1)
+	b.taken.add(now, b.limits.ExtraRelays.Span, 1)
 	v.calls.add(now, callSpan, 1)
 	b.after(expires-now-expiryTicks*b.tick, func() { b.expire(c) })
-	if b.limits.Answers > 0 {
+	if b.limits.MaxUnreadAnswers > 0 {
 		b.after(v.Goal, func() { b.linger(c) })
 	}
-	if v.Late == 0 {
+	if v.LateUtility == 0 {
 		// What can earn nothing any more only takes capacity from what can.
 		b.after(min(v.Goal, expires-now), func() {
 			if !c.done && !c.streaming {
@@ -799,7 +801,7 @@
 		return
 	}
 	b.past = append(b.past, c)
-	for float64(len(b.past)) > max(1, pastPart*float64(b.limits.Answers)) {
+	for float64(len(b.past)) > max(1, pastPart*float64(b.limits.MaxUnreadAnswers)) {
 		b.settle(b.past[0], false)
 		b.giveUp(b.past[0])
 	}
@@ -809,7 +811,7 @@
 	v := c.verb
 	n := len(c.relays)
 	if n > 0 {
-		b.further.add(b.now, b.limits.Further.Span, 1)
+		b.further.add(b.now, b.limits.ExtraRelays.Span, 1)
 	} else {
 		c.places(1)
 	}
@@ -823,7 +825,7 @@
 	k.budget.tokens-- // counts only while it is cold
 	b.relayed.add(b.now, slowSpan, 1)
 	b.host.Relay(c.id, k.ID)
-	if b.limits.Peers {
+	if b.limits.PeerMessages {
 		b.after(noteAgain, func() { b.remind(c, n) })
 	}
 	if !v.Stream {
@@ -857,7 +859,7 @@
 func (b *Balancer) mayCopy(c *command, v *verb) bool {
 	refill := copyShare * v.calls.rate(b.now, callSpan, b.start)
 	tokens := v.copies.read(b.now, refill, max(1, copyBurst*refill))
-	return v.Effect != Effectful && b.limits.SecondCopies && len(c.relays) < b.limits.Relays &&
+	return v.Effect != Effectful && b.limits.SecondCopies && len(c.relays) < b.limits.MaxRelays &&
 		tokens-float64(v.losers) >= 1 && b.affords(copyPart) && v.breaker.allows(b.now) &&
 		b.service.allows(b.now) && !b.allSlow()
 }
@@ -865,9 +867,9 @@
 // affords tells whether one relay more beyond a command's first keeps to that part of a budget. What may
 // lie in the window counts in full, what may not is left out, and an event may be a tick older than told.
 func (b *Balancer) affords(part float64) bool {
-	f := b.limits.Further
+	f := b.limits.ExtraRelays
 	from := b.now - f.Span
-	all := f.Free + f.Share*b.taken.least(from+b.tick)
+	all := f.Free + f.PerCommand*b.taken.least(from+b.tick)
 	return f.Span == 0 || b.further.most(from-b.tick)+1 <= max(min(1, all), part*all)
 }
 
@@ -877,7 +879,7 @@
 }
 
 // Started is told that a stream has begun: the command now belongs to that relay.
-func (b *Balancer) Started(now float64, id uint64, n int) {
+func (b *Balancer) StreamStarted(now float64, id uint64, n int) {
 	b.now = now
 	if c, ok := b.commands[id]; ok && !c.done && !c.streaming && n < len(c.relays) && c.relays[n].out {
 		r := &c.relays[n]
@@ -890,7 +892,7 @@
 }
 
 // Departed is told that the client is gone: nothing is owed, and what is out is called back.
-func (b *Balancer) Departed(now float64, id uint64) {
+func (b *Balancer) ClientDisconnected(now float64, id uint64) {
 	b.now = now
 	if c, ok := b.commands[id]; ok {
 		b.end(c)
@@ -899,7 +901,7 @@
 }
 
 // Outcome is told how a relay ended; final says that the command has had its answer.
-func (b *Balancer) Outcome(now float64, id uint64, n int, result Result, took float64, final bool, _ Load) {
+func (b *Balancer) RelayEnded(now float64, id uint64, n int, result Result, took float64, final bool, _ LoadReport) {
 	b.now = now
 	c, ok := b.commands[id]
 	if !ok || n >= len(c.relays) || !c.relays[n].out {
@@ -917,11 +919,11 @@
 		b.judge(r, result, took)
 	}
 	flag := flagNone
-	if result != Answered && result != Cancelled && result != Moot {
+	if result != Answered && result != Cancelled && result != NotSent {
 		flag = flagFailed
 	}
 	b.report(r.to, flag)
-	winner := !c.done && result != Cancelled && result != Moot
+	winner := !c.done && result != Cancelled && result != NotSent
 	if winner && (result == Answered || c.out == 0) {
 		v.breaker.outcome(now, result != Answered)
 		b.service.outcome(now, result != Answered)
@@ -943,7 +945,7 @@
 			b.settle(c, false)
 		}
 		b.end(c)
-	case result == TimedOut && c.out == 0 && b.limits.LeftOff > 0:
+	case result == TimedOut && c.out == 0 && b.limits.DeadlineError > 0:
 		b.expire(c) // its true limit, whatever was told
 	case c.out == 0:
 		b.again(c)
@@ -954,7 +956,7 @@
 // judge applies the weight rule to the backend of a relay that ended.
 func (b *Balancer) judge(r *relay, result Result, took float64) {
 	r.to.tried.note(b.now, failSpan, result)
-	if at := int(one(r.to.Zone == b.place.Zone)); result != Cancelled && result != Moot {
+	if at := int(one(r.to.Zone == b.place.Zone)); result != Cancelled && result != NotSent {
 		b.zoneTook[at].add(b.now, callSpan, took)
 		b.zoneEnded[at].add(b.now, callSpan, 1)
 	}
@@ -965,9 +967,9 @@
 		} else if r.learned && !r.late {
 			r.to.slowed()
 		}
-	case Errored, Full, TimedOut, Reset, Unconnected:
+	case Errored, Full, TimedOut, Reset, ConnectFailed:
 		r.to.slowed()
-		if result == Unconnected { // down, or out of connections: each try costs the whole connect limit
+		if result == ConnectFailed { // down, or out of connections: each try costs the whole connect limit
 			r.to.aside = b.now + asideFor
 		}
 	}
@@ -976,7 +978,7 @@
 // again sends a command whose relays have all failed elsewhere, or gives it up.
 func (b *Balancer) again(c *command) {
 	rate := retryShare * b.came.rate(b.now, callSpan, b.start)
-	if !c.apart() && len(c.relays) < b.limits.Relays && c.expires > b.now+2*b.tick &&
+	if !c.apart() && len(c.relays) < b.limits.MaxRelays && c.expires > b.now+2*b.tick &&
 		b.affords(spareFirst+(1-spareFirst)*c.priority) && b.retries.read(b.now, rate, max(retryBurst, rate)) >= 1 {
 		if k := b.pick(c, false, false); k != nil {
 			b.retries.tokens--
@@ -994,12 +996,12 @@
 	v := c.verb
 	return v.Effect == Pure || !slices.ContainsFunc(c.relays, func(r relay) bool {
 		return !r.neverRan && (v.Effect == Effectful || v.Scope != ScopeAll ||
-			c.expires+b.comeBack(v) > r.sent+v.Window-b.tick)
+			c.expires+b.comeBack(v) > r.sent+v.DedupWindow-b.tick)
 	})
 }
 
 // comeBack is when a declined client is told to come back, 0 where nothing is said.
-func (b *Balancer) comeBack(v *verb) float64 { return min(b.limits.ComeBack, comeBack*v.Goal) }
+func (b *Balancer) comeBack(v *verb) float64 { return min(b.limits.MaxRetryAfter, comeBack*v.Goal) }
 
 // giveUp ends a command at once, by declining it where that promise holds.
 func (b *Balancer) giveUp(c *command) {
@@ -1029,7 +1031,7 @@
 		}
 		r.loser = true
 		c.verb.losers++
-		if b.limits.Cancel {
+		if b.limits.CancelRelays {
 			b.host.Cancel(c.id, i)
 		}
 	}
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -19,9 +19,9 @@
 func (h *benchHost) Cancel(uint64, int)           {}
 func (h *benchHost) Decline(uint64, float64)      {}
 func (h *benchHost) Terminate(uint64)             {}
-func (h *benchHost) Watch()                       {}
-func (h *benchHost) Send(int, []byte)             {}
-func (h *benchHost) WakeAfter(s float64, token uint64) {
+func (h *benchHost) WatchBackends()               {}
+func (h *benchHost) SendToPeer(int, []byte)       {}
+func (h *benchHost) StartTimer(s float64, token uint64) {
 	h.wakes = append(h.wakes, wake{h.now + s, token})
 }
 
@@ -29,7 +29,7 @@
 func (h *benchHost) pass(seconds float64) {
 	h.now += seconds
 	for h.head < len(h.wakes) && h.wakes[h.head].at <= h.now {
-		h.b.Wake(h.now, h.wakes[h.head].token)
+		h.b.TimerFired(h.now, h.wakes[h.head].token)
 		h.head++
 	}
 	if h.head > 1<<16 {
@@ -43,22 +43,22 @@
 	h.b = New(h, 7, h.now)
 	var vs []Verb
 	for range verbs {
-		vs = append(vs, Verb{Effect: Pure, Goal: 1, TimeLimit: 3, Utility: 1, Late: 0.5, Was: -1})
+		vs = append(vs, Verb{Effect: Pure, Goal: 1, TimeLimit: 3, Utility: 1, LateUtility: 0.5, PreviousIndex: -1})
 	}
 	var cs []Customer
 	for range customers {
-		cs = append(cs, Customer{Allowance: 1e6, Was: -1})
+		cs = append(cs, Customer{Allowance: 1e6, PreviousIndex: -1})
 	}
-	h.b.Turn(h.now, 0.001, Place{Siblings: siblings}, vs, cs, 0.1, Limits{Relays: 3, SecondCopies: true, Cancel: true, ComeBack: 2},
-		Cold{Share: 0.3, Span: 5, Multiple: 2}, false)
-	h.b.Fleet(h.now, true, benchList(backends))
+	h.b.Configure(h.now, 0.001, Placement{Instances: siblings}, vs, cs, 0.1, Limits{MaxRelays: 3, SecondCopies: true, CancelRelays: true, MaxRetryAfter: 2},
+		ColdStart{InitialCapacity: 0.3, WarmUp: 5, OverloadMultiple: 2}, false)
+	h.b.UpdateBackends(h.now, true, benchList(backends))
 	return h
 }
 
 func benchList(n int) []Entry {
 	var all []Entry
 	for i := range n {
-		all = append(all, Entry{ID: BackendID{10, byte(i >> 16), byte(i >> 8), byte(i)}, Zone: i % 3, Cell: i / 4, Size: 1})
+		all = append(all, Entry{ID: BackendID{10, byte(i >> 16), byte(i >> 8), byte(i)}, Zone: i % 3, Cell: i / 4, Capacity: 1})
 	}
 	return all
 }
@@ -74,16 +74,16 @@
 			at := uint64(0)
 			for range c.open {
 				at++
-				h.b.Command(h.now, at, int(at)%c.verbs, int(at)%c.customers, h.now+3, 0)
+				h.b.CommandReceived(h.now, at, int(at)%c.verbs, int(at)%c.customers, h.now+3, 0)
 			}
 			oldest := uint64(1)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				at++
-				h.b.Command(h.now, at, int(at)%c.verbs, int(at)%c.customers, h.now+3, 0)
+				h.b.CommandReceived(h.now, at, int(at)%c.verbs, int(at)%c.customers, h.now+3, 0)
 				h.pass(1e-5)
-				h.b.Outcome(h.now, oldest, 0, Answered, 0.01, true, Load{})
+				h.b.RelayEnded(h.now, oldest, 0, Answered, 0.01, true, LoadReport{})
 				oldest++
 			}
 		})
@@ -97,14 +97,14 @@
 		h := benchBalancer(n, 1, 1, 1)
 		b.Run(fmt.Sprintf("whole/backends=%d", n), func(b *testing.B) {
 			for range b.N {
-				h.b.Fleet(h.now, true, list)
+				h.b.UpdateBackends(h.now, true, list)
 			}
 		})
 		b.Run(fmt.Sprintf("change/backends=%d", n), func(b *testing.B) {
 			for i := range b.N {
 				e := list[i%n]
 				e.State = State(i / n % 2)
-				h.b.Fleet(h.now, false, []Entry{e})
+				h.b.UpdateBackends(h.now, false, []Entry{e})
 			}
 		})
 	}
--- a/balance/further_test.go
+++ b/balance/further_test.go
@@ -10,17 +10,17 @@
 // ration counts as the rule does, at each relay, what its command's first relays left out.
 type ration struct {
 	*fakeHost
-	budget         Budget
+	budget         RelayBudget
 	taken, further []float64
 	seen           int
 	over           int
 	closest        float64 // the largest part of the budget that was used
 }
 
-func newRation(t *testing.T, effect Effect, f Budget) *ration {
+func newRation(t *testing.T, effect Effect, f RelayBudget) *ration {
 	h := start(t, setup{
-		verb:   Verb{Effect: effect, Goal: 0.5, TimeLimit: 2, Utility: 1, Late: 0.5, Window: 4, Scope: ScopeCell},
-		limits: Limits{Relays: 5, SecondCopies: true, Cancel: true, Further: f},
+		verb:   Verb{Effect: effect, Goal: 0.5, TimeLimit: 2, Utility: 1, LateUtility: 0.5, DedupWindow: 4, Scope: ScopeCell},
+		limits: Limits{MaxRelays: 5, SecondCopies: true, CancelRelays: true, ExtraRelays: f},
 	})
 	return &ration{fakeHost: h, budget: f}
 }
@@ -46,7 +46,7 @@
 		}
 		r.further = append(r.further, r.now)
 		used := count(r.further, r.now-r.budget.Span)
-		allowed := r.budget.Free + r.budget.Share*count(r.taken, r.now-r.budget.Span+1e-9)
+		allowed := r.budget.Free + r.budget.PerCommand*count(r.taken, r.now-r.budget.Span+1e-9)
 		r.closest = max(r.closest, used/allowed)
 		if used > allowed {
 			r.over++
@@ -56,20 +56,20 @@
 
 func (r *ration) command(id uint64, left float64) {
 	r.taken = append(r.taken, r.now)
-	r.b.Command(r.now, id, 0, 0, r.now+left, 0)
+	r.b.CommandReceived(r.now, id, 0, 0, r.now+left, 0)
 	r.check()
 }
 
 // TestFurtherRelaysStayInTheirBudget is the story of an overload day: nearly every relay fails, in every way, and each
 // command would be sent again, up to 28 times in 5 s where 20 were allowed.
 func TestFurtherRelaysStayInTheirBudget(t *testing.T) {
-	for name, f := range map[string]Budget{
+	for name, f := range map[string]RelayBudget{
 		"as it is stated": {3, 0.1, 5}, "nothing free": {0, 0.1, 5}, "nothing at all": {0, 0, 5}, "a short window": {1, 0.2, 0.3},
 	} {
 		for _, effect := range []Effect{Pure, Receipted, Effectful} {
 			r := newRation(t, effect, f)
 			chance := rand.New(rand.NewPCG(3, 4))
-			results := []Result{Errored, Full, Unconnected, Reset, Moot, Answered}
+			results := []Result{Errored, Full, ConnectFailed, Reset, NotSent, Answered}
 			id := uint64(0)
 			for step := range 4000 { // 20 s: a start with no history, bursts, and quiet after them
 				r.until(r.now + 0.005)
@@ -90,7 +90,7 @@
 			if r.over > 0 {
 				t.Errorf("%s, effect %d: %d further relays over the budget", name, effect, r.over)
 			}
-			if f.Share > 0 && r.closest < 0.6 {
+			if f.PerCommand > 0 && r.closest < 0.6 {
 				t.Errorf("%s, effect %d: only %.2f of the budget was ever used", name, effect, r.closest)
 			}
 			r.until(r.now + 3)
@@ -104,7 +104,7 @@
 }
 
 func TestAUsedUpBudgetAnswersAtOnce(t *testing.T) {
-	r := newRation(t, Pure, Budget{1, 0, 5})
+	r := newRation(t, Pure, RelayBudget{1, 0, 5})
 	for id := uint64(1); id <= 4; id++ {
 		r.command(id, 2)
 		r.outcome(id, 0, Full)
@@ -121,13 +121,13 @@
 }
 
 func TestABudgetStatedLaterCountsWhatWentBefore(t *testing.T) {
-	r := newRation(t, Pure, Budget{})
+	r := newRation(t, Pure, RelayBudget{})
 	r.command(1, 2)
 	r.outcome(1, 0, Full)
 	b := r.b
 	l := b.limits
-	l.Further = Budget{2, 0, 5}
-	b.Turn(r.now, b.tick, b.place, []Verb{b.verbs[0].Verb}, nil, 0.1, l, b.cold, false)
+	l.ExtraRelays = RelayBudget{2, 0, 5}
+	b.Configure(r.now, b.tick, b.place, []Verb{b.verbs[0].Verb}, nil, 0.1, l, b.cold, false)
 	r.command(2, 2)
 	if r.outcome(2, 0, Full); len(r.toOf(2)) != 1 {
 		t.Error("what was sent before the budget was stated is not known, so nothing may go yet")
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -51,11 +51,11 @@
 func (h *fakeHost) Cancel(cmd uint64, n int) {
 	h.cancels, h.called = append(h.cancels, cmd), append(h.called, recall{cmd, n})
 }
-func (h *fakeHost) Decline(cmd uint64, _ float64)   { h.end(cmd); h.declined = append(h.declined, cmd) }
-func (h *fakeHost) Terminate(cmd uint64)            { h.end(cmd); h.terminated = append(h.terminated, cmd) }
-func (h *fakeHost) WakeAfter(s float64, tok uint64) { h.wakes = append(h.wakes, wake{h.now + s, tok}) }
-func (h *fakeHost) Watch()                          { h.watches++ }
-func (h *fakeHost) Send(to int, text []byte) {
+func (h *fakeHost) Decline(cmd uint64, _ float64)    { h.end(cmd); h.declined = append(h.declined, cmd) }
+func (h *fakeHost) Terminate(cmd uint64)             { h.end(cmd); h.terminated = append(h.terminated, cmd) }
+func (h *fakeHost) StartTimer(s float64, tok uint64) { h.wakes = append(h.wakes, wake{h.now + s, tok}) }
+func (h *fakeHost) WatchBackends()                   { h.watches++ }
+func (h *fakeHost) SendToPeer(to int, text []byte) {
 	h.told = append(h.told, telling{to, slices.Clone(text)})
 }
 
@@ -69,7 +69,7 @@
 // until lets time pass, with the wakes that fall in it.
 func (h *fakeHost) until(t float64) {
 	for _, r := range h.called {
-		h.b.Outcome(h.now, r.cmd, r.relay, Cancelled, 0, h.ended[r.cmd], Load{})
+		h.b.RelayEnded(h.now, r.cmd, r.relay, Cancelled, 0, h.ended[r.cmd], LoadReport{})
 	}
 	h.called = nil
 	for {
@@ -85,7 +85,7 @@
 		w := h.wakes[next]
 		h.wakes = slices.Delete(h.wakes, next, next+1)
 		h.now = max(h.now, w.at)
-		h.b.Wake(h.now, w.token)
+		h.b.TimerFired(h.now, w.token)
 	}
 	h.now = t
 }
@@ -97,20 +97,20 @@
 			h.end(cmd)
 		}
 	}
-	h.b.Outcome(h.now, cmd, n, r, 0.1, r == Answered, Load{})
+	h.b.RelayEnded(h.now, cmd, n, r, 0.1, r == Answered, LoadReport{})
 }
 
 // serve sends commands of verb 0, one after another, and answers each after up to took seconds.
 func (h *fakeHost) serve(from uint64, count int, took float64) {
 	for i := range count {
 		id := from + uint64(i)
-		h.b.Command(h.now, id, 0, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, id, 0, 0, h.now+6, 0)
 		spent := took * float64(i*37%61+1) / 61
 		h.until(h.now + spent)
-		h.b.Outcome(h.now, id, 0, Answered, spent, true, Load{})
+		h.b.RelayEnded(h.now, id, 0, Answered, spent, true, LoadReport{})
 		h.ended[id] = true
 		for n := range h.toOf(id) { // losers end soon after, cancelled or not
-			h.b.Outcome(h.now, id, n, Answered, spent, true, Load{})
+			h.b.RelayEnded(h.now, id, n, Answered, spent, true, LoadReport{})
 		}
 	}
 }
@@ -129,7 +129,7 @@
 // ready is a list of warm backends, three to a cell.
 func ready(n int) (list []Entry) {
 	for i := range n {
-		list = append(list, Entry{ID: id(i), Cell: i / 3, Size: 1})
+		list = append(list, Entry{ID: id(i), Cell: i / 3, Capacity: 1})
 	}
 	return list
 }
@@ -140,7 +140,7 @@
 	limits    Limits
 	mustAsk   bool
 	backends  []Entry
-	place     Place
+	place     Placement
 	seed      uint64
 }
 
@@ -149,22 +149,22 @@
 	t.Helper()
 	h := &fakeHost{t: t, now: 1000, ended: map[uint64]bool{}}
 	if s.verb.TimeLimit == 0 {
-		s.verb.TimeLimit, s.verb.Goal, s.verb.Utility, s.verb.Window = 6, 2.5, 1, 5
+		s.verb.TimeLimit, s.verb.Goal, s.verb.Utility, s.verb.DedupWindow = 6, 2.5, 1, 5
 	}
-	if s.limits.Relays == 0 {
-		s.limits = Limits{Relays: 4, SecondCopies: true, Cancel: true}
+	if s.limits.MaxRelays == 0 {
+		s.limits = Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true}
 	}
-	if s.place.Siblings == 0 {
-		s.place.Siblings = 1
+	if s.place.Instances == 0 {
+		s.place.Instances = 1
 	}
 	h.b = New(h, 7+s.seed, h.now)
-	s.verb.Was = -1
-	h.b.Turn(h.now, 0.005, s.place, []Verb{s.verb, {Goal: 2.5, TimeLimit: 6, Utility: 5, Was: -1}}, s.customers, 0.1,
-		s.limits, Cold{Share: 0.2, Span: 10, Multiple: 3}, s.mustAsk)
+	s.verb.PreviousIndex = -1
+	h.b.Configure(h.now, 0.005, s.place, []Verb{s.verb, {Goal: 2.5, TimeLimit: 6, Utility: 5, PreviousIndex: -1}}, s.customers, 0.1,
+		s.limits, ColdStart{InitialCapacity: 0.2, WarmUp: 10, OverloadMultiple: 3}, s.mustAsk)
 	if s.backends == nil {
 		s.backends = ready(6)
 	}
-	h.b.Fleet(h.now, true, s.backends)
+	h.b.UpdateBackends(h.now, true, s.backends)
 	return h
 }
 
--- a/balance/host.go
+++ b/balance/host.go
@@ -17,11 +17,11 @@
 	// Terminate ends a command without any promise.
 	Terminate(cmd uint64)
 	// WakeAfter asks for a Wake with this token in so many seconds.
-	WakeAfter(seconds float64, token uint64)
+	StartTimer(seconds float64, token uint64)
 	// Watch subscribes to changes of the list; Fleet or ListFailed follows.
-	Watch()
+	WatchBackends()
 	// Send sends a few bytes to a sibling by its number; they may be lost.
-	Send(to int, text []byte)
+	SendToPeer(to int, text []byte)
 }
 
 // Effect says what a second run of a command would do.
@@ -44,59 +44,59 @@
 
 // Verb is one kind of command; times are in seconds.
 type Verb struct {
-	Effect    Effect
-	Scope     Scope
-	Window    float64 // how long repeats are dropped, from the first relay that may have run
-	Goal      float64 // response goal
-	TimeLimit float64
-	Utility   float64
-	Late      float64 // part of the utility that an answer past the goal still earns
-	Stream    bool
-	Was       int // its place among the verbs before these, -1 if it is new
+	Effect        Effect
+	Scope         Scope
+	DedupWindow   float64 // how long repeats are dropped, from the first relay that may have run
+	Goal          float64 // response goal
+	TimeLimit     float64
+	Utility       float64
+	LateUtility   float64 // part of the utility that an answer past the goal still earns
+	Stream        bool
+	PreviousIndex int // its place among the verbs before these, -1 if it is new
 }
 
 // Customer is one of those who share the service.
 type Customer struct {
-	Allowance float64 // commands a second within its share, all proxies together
-	Was       int     // its place among the customers before these, -1 if it is new
+	Allowance     float64 // commands a second within its share, all proxies together
+	PreviousIndex int     // its place among the customers before these, -1 if it is new
 }
 
 // Place is where an instance stands.
-type Place struct {
-	Me       int // its number among its siblings
-	Siblings int // instances of this tier
-	Tier     int // the tier it sends to, 0 is the clients' own
-	Zone     int // its own
+type Placement struct {
+	Index     int // its number among its siblings
+	Instances int // instances of this tier
+	Tier      int // the tier it sends to, 0 is the clients' own
+	Zone      int // its own
 }
 
 // Limits is what an instance may do.
 type Limits struct {
-	Relays       int // for one command
-	SecondCopies bool
-	Cancel       bool
-	ComeBack     float64 // longest wait that clients can be told, 0 where they are told nothing
-	Peers        bool    // may tell its siblings something
-	Keys         bool    // backends do less for a key that their cell met lately
-	Far          bool    // what crosses zones is priced
-	Answers      int     // answers that may wait for their clients to read them, 0: nothing is said
-	LeftOff      float64 // seconds by which the time that a command expires may be off, either way
-	Further      Budget
-	Fixed        bool // shares go by all siblings there should be, whoever is there
+	MaxRelays        int // for one command
+	SecondCopies     bool
+	CancelRelays     bool
+	MaxRetryAfter    float64 // longest wait that clients can be told, 0 where they are told nothing
+	PeerMessages     bool    // may tell its siblings something
+	KeyAffinity      bool    // backends do less for a key that their cell met lately
+	CrossZonePriced  bool    // what crosses zones is priced
+	MaxUnreadAnswers int     // answers that may wait for their clients to read them, 0: nothing is said
+	DeadlineError    float64 // seconds by which the time that a command expires may be off, either way
+	ExtraRelays      RelayBudget
+	FixedInstances   bool // shares go by all siblings there should be, whoever is there
 }
 
 // Budget bounds the relays of one instance beyond each command's first in any window.
-type Budget struct {
-	Free  float64 // so many
-	Share float64 // and so many for each command that came in the window
-	Span  float64 // seconds of the window, 0: no bound is stated
+type RelayBudget struct {
+	Free       float64 // so many
+	PerCommand float64 // and so many for each command that came in the window
+	Span       float64 // seconds of the window, 0: no bound is stated
 }
 
 // Cold is the rule on backends that have just started.
-type Cold struct {
-	Share    float64 // part of its capacity that a backend starts with, or more
-	Span     float64 // seconds until it is warm at the latest
-	Multiple float64 // of its present capacity, at which it falls over
-	Off      float64 // seconds by which the time of a start may be off, either way
+type ColdStart struct {
+	InitialCapacity  float64 // part of its capacity that a backend starts with, or more
+	WarmUp           float64 // seconds until it is warm at the latest
+	OverloadMultiple float64 // of its present capacity, at which it falls over
+	StartError       float64 // seconds by which the time of a start may be off, either way
 }
 
 // State is what the list says of a backend.
@@ -113,8 +113,8 @@
 	ID         BackendID
 	Zone, Cell int
 	State      State
-	Size       float64
-	Started    float64 // clock time, 0 is long ago
+	Capacity   float64
+	StartedAt  float64 // clock time, 0 is long ago
 }
 
 // Result is how a relay ended.
@@ -125,16 +125,16 @@
 	Errored
 	Full
 	TimedOut
-	Unconnected
+	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotSent
 )
 
 // NeverRan tells whether the result proves that the relay did nothing.
-func (r Result) NeverRan() bool { return r == Full || r == Unconnected || r == Moot }
+func (r Result) NeverRan() bool { return r == Full || r == ConnectFailed || r == NotSent }
 
 // Load is what a backend reports of itself; a figure below 0 was not reported.
-type Load struct {
-	Active, Waiting, CPU, Took float64
+type LoadReport struct {
+	Active, Waiting, CPU, Latency float64
 }
--- a/balance/instance.go
+++ b/balance/instance.go
@@ -27,11 +27,11 @@
 
 // Turn has the instance go by these settings from now on. What was learned stays, also of a verb or customer that
 // goes on under another number; a command that is open keeps the verb it came with.
-func (b *Balancer) Turn(now, tick float64, place Place, verbs []Verb, customers []Customer,
-	overage float64, limits Limits, cold Cold, mustAsk bool) {
+func (b *Balancer) Configure(now, tick float64, place Placement, verbs []Verb, customers []Customer,
+	overage float64, limits Limits, cold ColdStart, mustAsk bool) {
 	ask := mustAsk && !b.mustAsk
-	if limits.Further.Span > b.limits.Further.Span && b.seq > 0 {
-		b.further.add(now, limits.Further.Span, limits.Further.Free) // what went before was not counted that far back
+	if limits.ExtraRelays.Span > b.limits.ExtraRelays.Span && b.seq > 0 {
+		b.further.add(now, limits.ExtraRelays.Span, limits.ExtraRelays.Free) // what went before was not counted that far back
 	}
 	b.now, b.tick, b.place, b.overage, b.limits, b.cold = now, tick, place, overage, limits, cold
 	b.mustAsk, b.topUtil = mustAsk, 0
@@ -39,8 +39,8 @@
 	b.verbs, b.customers, b.shares, b.marks = nil, customers, nil, nil
 	for _, v := range verbs {
 		l := &learnt{copies: bucket{0, now}, delay: newDelay(now)}
-		if v.Was >= 0 && v.Was < len(oldVerbs) {
-			l = oldVerbs[v.Was].learnt
+		if v.PreviousIndex >= 0 && v.PreviousIndex < len(oldVerbs) {
+			l = oldVerbs[v.PreviousIndex].learnt
 		}
 		b.topUtil = max(b.topUtil, v.Utility)
 		b.verbs = append(b.verbs, &verb{v, l})
@@ -48,15 +48,15 @@
 	for _, c := range customers {
 		b.lastMark++
 		share, mark := bucket{max(1, c.Allowance*shareBurst), now}, b.lastMark
-		if c.Was >= 0 && c.Was < len(oldShares) {
-			share, mark = oldShares[c.Was], oldMarks[c.Was]
+		if c.PreviousIndex >= 0 && c.PreviousIndex < len(oldShares) {
+			share, mark = oldShares[c.PreviousIndex], oldMarks[c.PreviousIndex]
 		}
 		b.shares, b.marks = append(b.shares, share), append(b.marks, mark)
 	}
-	b.view.Resize(max(1, place.Siblings))
+	b.view.Resize(max(1, place.Instances))
 	b.arrange()
 	if ask {
-		b.ListFailed(now)
+		b.BackendListFailed(now)
 	}
 	b.dispatch()
 }
@@ -71,16 +71,16 @@
 }
 
 // Verbs is the number of verbs it was started with.
-func (b *Balancer) Verbs() int { return len(b.verbs) }
+func (b *Balancer) VerbCount() int { return len(b.verbs) }
 
 func (b *Balancer) after(seconds float64, what func()) {
 	b.tokens++
 	b.wakes[b.tokens] = what
-	b.host.WakeAfter(max(0, seconds), b.tokens)
+	b.host.StartTimer(max(0, seconds), b.tokens)
 }
 
 // Wake is told that a time asked for has come.
-func (b *Balancer) Wake(now float64, token uint64) {
+func (b *Balancer) TimerFired(now float64, token uint64) {
 	b.now = now
 	if what, ok := b.wakes[token]; ok {
 		delete(b.wakes, token)
--- a/balance/keeper_test.go
+++ b/balance/keeper_test.go
@@ -7,7 +7,7 @@
 
 // beside starts instances that may tell one another, over the list given.
 func beside(t *testing.T, instances int, list []Entry) []*fakeHost {
-	return fleetOf(t, instances, list, setup{limits: Limits{Relays: 4, SecondCopies: true, Cancel: true, Peers: true, Keys: true}})
+	return fleetOf(t, instances, list, setup{limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true}})
 }
 
 // deliver brings what was told to whom it is for, until nobody has more to say. pass may change a message, or have it lost.
@@ -20,7 +20,7 @@
 			for _, m := range told {
 				if pass(from, &m) {
 					more = true
-					hosts[m.to].b.Received(hosts[m.to].now, from, m.text)
+					hosts[m.to].b.MessageReceived(hosts[m.to].now, from, m.text)
 				}
 			}
 		}
@@ -46,7 +46,7 @@
 func TestGrantsCountAtOnce(t *testing.T) {
 	hosts := beside(t, 60, ready(1))
 	for i, h := range hosts {
-		h.b.Command(h.now, uint64(i), 1, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, uint64(i), 1, 0, h.now+6, 0)
 	}
 	carry(hosts, func(n note) bool { return n.kind == noteOut }) // no word yet of what is out
 	if n := relays(hosts); n < 3 || n > room {
@@ -72,7 +72,7 @@
 	for round := range 20 {
 		for i, h := range hosts {
 			id := uint64(round*100 + i)
-			h.b.Command(h.now, id, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, id, 0, 0, h.now+6, 0)
 			carry(hosts, nil)
 			for n, to := range h.toOf(id) {
 				if to == id0() {
@@ -105,7 +105,7 @@
 	t.Run("a command goes out though no keeper has a word", func(t *testing.T) {
 		hosts := beside(t, 40, ready(6))
 		for i, h := range hosts {
-			h.b.Command(h.now, uint64(i), 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, uint64(i), 0, 0, h.now+6, 0)
 			h.until(h.now + 0.1)
 		}
 		if carry(hosts, all); relays(hosts) < 40 {
@@ -114,9 +114,9 @@
 	})
 	t.Run("a command that has ended meanwhile does not", func(t *testing.T) {
 		for i, h := range beside(t, 40, ready(6)) {
-			h.b.Command(h.now, uint64(i), 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, uint64(i), 0, 0, h.now+6, 0)
 			sent := len(h.relays)
-			h.b.Departed(h.now, uint64(i))
+			h.b.ClientDisconnected(h.now, uint64(i))
 			if h.until(h.now + 1); len(h.relays) > sent {
 				t.Fatal("relayed after its end")
 			}
@@ -126,8 +126,8 @@
 		hosts := beside(t, 2, ready(30))
 		for i := range uint64(20) {
 			h := hosts[0]
-			h.b.Command(h.now, i, 0, 0, h.now+6, 0)
-			h.b.Departed(h.now, i)
+			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
+			h.b.ClientDisconnected(h.now, i)
 		}
 		carry(hosts, nil)
 		for _, k := range hosts[1].b.fleet {
@@ -138,13 +138,13 @@
 	})
 	t.Run("a turn to settings without messages ends the questions, and what waits goes out", func(t *testing.T) {
 		for i, h := range beside(t, 5, ready(6)) {
-			h.b.Command(h.now, 1, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, 1, 0, 0, h.now+6, 0)
 			asked := len(h.told)
 			if len(h.relays) > 0 {
 				continue // it keeps the cell itself
 			}
-			h.b.Turn(h.now, 0.005, Place{Siblings: 5}, []Verb{{Goal: 2.5, TimeLimit: 6, Utility: 1, Was: 0}}, nil, 0.1,
-				Limits{Relays: 4}, Cold{Share: 0.2, Span: 10, Multiple: 3}, false)
+			h.b.Configure(h.now, 0.005, Placement{Instances: 5}, []Verb{{Goal: 2.5, TimeLimit: 6, Utility: 1, PreviousIndex: 0}}, nil, 0.1,
+				Limits{MaxRelays: 4}, ColdStart{InitialCapacity: 0.2, WarmUp: 10, OverloadMultiple: 3}, false)
 			if h.until(h.now + 0.1); len(h.told) != asked || len(h.relays) != 1 {
 				t.Errorf("instance %d: %d messages after, %d relays", i, len(h.told)-asked, len(h.relays))
 			}
@@ -166,9 +166,9 @@
 	f.Add(0, note{kind: noteGrant, flag: flagYes}.bytes())
 	f.Add(7, []byte{0x12})
 	f.Fuzz(func(t *testing.T, from int, text []byte) {
-		h := start(t, setup{place: Place{Siblings: 3}, limits: Limits{Relays: 3, Peers: true}})
-		h.b.Command(h.now, 1, 0, 0, h.now+6, 0)
-		h.b.Received(h.now, from, text)
+		h := start(t, setup{place: Placement{Instances: 3}, limits: Limits{MaxRelays: 3, PeerMessages: true}})
+		h.b.CommandReceived(h.now, 1, 0, 0, h.now+6, 0)
+		h.b.MessageReceived(h.now, from, text)
 		if h.until(h.now + 7); !h.ended[1] {
 			t.Error("no final answer")
 		}
@@ -219,11 +219,11 @@
 	h := start(t, setup{})
 	h.serve(1, 100, 0.1)
 	delay, _ := h.b.delay(h.b.verbs[0])
-	h.b.Command(h.now, 500, 0, 0, h.now+6, 0)
+	h.b.CommandReceived(h.now, 500, 0, 0, h.now+6, 0)
 	turn := func(was int) {
-		h.b.Turn(h.now, 0.005, Place{Siblings: 1}, []Verb{{Effect: Effectful, Goal: 1, TimeLimit: 2, Utility: 1, Was: -1},
-			{Goal: 2.5, TimeLimit: 6, Utility: 1, Was: was}}, nil, 0.1, Limits{Relays: 4, SecondCopies: true, Cancel: true, Peers: was == 0},
-			Cold{Share: 0.2, Span: 10, Multiple: 3}, false)
+		h.b.Configure(h.now, 0.005, Placement{Instances: 1}, []Verb{{Effect: Effectful, Goal: 1, TimeLimit: 2, Utility: 1, PreviousIndex: -1},
+			{Goal: 2.5, TimeLimit: 6, Utility: 1, PreviousIndex: was}}, nil, 0.1, Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: was == 0},
+			ColdStart{InitialCapacity: 0.2, WarmUp: 10, OverloadMultiple: 3}, false)
 	}
 	turn(0)
 	if d, learned := h.b.delay(h.b.verbs[1]); !learned || d != delay {
@@ -233,7 +233,7 @@
 	if len(h.toOf(500)) != 2 {
 		t.Error("an open command has lost its verb")
 	}
-	h.b.Command(h.now, 501, 0, 0, h.now+2, 0)
+	h.b.CommandReceived(h.now, 501, 0, 0, h.now+2, 0)
 	h.outcome(501, 0, Errored)
 	if !slices.Contains(h.terminated, 501) {
 		t.Error("a new command goes by the old verb")
@@ -256,7 +256,7 @@
 		}
 	}
 	ask := func(id uint64, h *fakeHost) bool {
-		h.b.Command(h.now, id, 1, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, id, 1, 0, h.now+6, 0)
 		carry(hosts, nil)
 		return len(h.toOf(id)) > 0
 	}
@@ -278,7 +278,7 @@
 	}
 	pass()
 	for _, h := range hosts {
-		if b := h.b; b.keeper(0) == b.place.Me && b.fleet[0].tally.sum(h.now, noteLife) < 1 {
+		if b := h.b; b.keeper(0) == b.place.Index && b.fleet[0].tally.sum(h.now, noteLife) < 1 {
 			t.Error("a command that lasts is forgotten")
 		}
 	}
@@ -287,17 +287,17 @@
 // One proxy, one location, no key, a zone that nobody knows, no list: with messages allowed each is decided as without.
 func TestAlone(t *testing.T) {
 	for name, s := range map[string]setup{
-		"one proxy, one location, no key": {place: Place{Siblings: 1}},
-		"an unknown zone":                 {place: Place{Siblings: 1, Zone: 7}},
+		"one proxy, one location, no key": {place: Placement{Instances: 1}},
+		"an unknown zone":                 {place: Placement{Instances: 1, Zone: 7}},
 	} {
-		s.limits = Limits{Relays: 4, SecondCopies: true, Cancel: true, Peers: true, Keys: true}
+		s.limits = Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true}
 		h := start(t, s)
 		h.serve(1, 100, 0.1)
 		if len(h.declined)+len(h.terminated) > 0 || len(h.relays) < 100 {
 			t.Errorf("%s: %d relays for 100 commands, %d declined", name, len(h.relays), len(h.declined))
 		}
-		h.b.Fleet(h.now, true, nil)
-		h.b.Command(h.now, 900, 0, 0, h.now+6, 5)
+		h.b.UpdateBackends(h.now, true, nil)
+		h.b.CommandReceived(h.now, 900, 0, 0, h.now+6, 5)
 		if h.until(h.now + 1); !slices.Contains(h.declined, 900) {
 			t.Errorf("%s: with no backend it is not declined soon", name)
 		}
@@ -308,12 +308,12 @@
 func TestTurnKeepsDrainsAndBudgets(t *testing.T) {
 	h := start(t, setup{backends: ready(3)})
 	h.serve(1, 100, 0.1)
-	h.b.Fleet(h.now, false, []Entry{{ID: id(0), State: Draining}, {ID: id(1), Cell: 9, Size: 1, Started: h.now}})
+	h.b.UpdateBackends(h.now, false, []Entry{{ID: id(0), State: Draining}, {ID: id(1), Cell: 9, Capacity: 1, StartedAt: h.now}})
 	h.serve(200, 5, 0.1)
 	i := slices.IndexFunc(h.b.fleet, func(k *backend) bool { return k.ID == id(1) })
 	before := h.b.fleet[i].budget
-	h.b.Turn(h.now, 0.005, Place{Siblings: 1}, []Verb{{Goal: 2.5, TimeLimit: 6, Utility: 1, Was: 0}}, nil, 0.1,
-		Limits{Relays: 4}, Cold{Share: 0.2, Span: 10, Multiple: 3}, false)
+	h.b.Configure(h.now, 0.005, Placement{Instances: 1}, []Verb{{Goal: 2.5, TimeLimit: 6, Utility: 1, PreviousIndex: 0}}, nil, 0.1,
+		Limits{MaxRelays: 4}, ColdStart{InitialCapacity: 0.2, WarmUp: 10, OverloadMultiple: 3}, false)
 	if h.b.fleet[i].budget != before {
 		t.Error("its budget is new")
 	}
--- a/balance/living.go
+++ b/balance/living.go
@@ -9,11 +9,11 @@
 // arrived counts a command that comes, and takes anew who is there to share.
 func (b *Balancer) arrived() {
 	b.came.add(b.now, callSpan, 1)
-	if b.limits.Fixed {
+	if b.limits.FixedInstances {
 		return
 	}
-	b.arrivals.Came(b.now)
-	b.alive = max(1, b.siblings()*b.arrivals.Part(b.now, b.usual))
+	b.arrivals.RequestArrived(b.now)
+	b.alive = max(1, b.siblings()*b.arrivals.AliveFraction(b.now, b.usual))
 	if b.alive > b.laidFor*layFrom || b.alive < b.laidFor/layFrom || b.alive == b.siblings() && b.laidFor != b.alive {
 		b.arrange()
 	}
@@ -21,7 +21,7 @@
 
 // living is how many siblings are believed to be there, this instance counted.
 func (b *Balancer) living() float64 {
-	if b.alive == 0 || b.limits.Fixed {
+	if b.alive == 0 || b.limits.FixedInstances {
 		return b.siblings()
 	}
 	return min(b.alive, b.siblings())
@@ -52,17 +52,17 @@
 func (b *Balancer) keeper(cell uint16) int {
 	for turn := range keepersMost {
 		at := b.inLine(cell, turn)
-		if at == b.place.Me || b.view.Alive(b.now, at) {
+		if at == b.place.Index || b.view.IsAlive(b.now, at) {
 			return at
 		}
 	}
-	return b.place.Me
+	return b.place.Index
 }
 
 // knows tells whether this instance has counted for the cell long enough that all who have something out there have
 // told it. Each repeats that well within a note's life.
 func (b *Balancer) knows(cell uint16) bool {
-	if b.inLine(cell, 0) == b.place.Me {
+	if b.inLine(cell, 0) == b.place.Index {
 		return b.now >= b.start+noteLife || b.siblings() == 1
 	}
 	d := b.duties[cell]
@@ -79,24 +79,24 @@
 
 // tell has a sibling told, in a form that it reads.
 func (b *Balancer) tell(at int, n note) {
-	if b.view.UsesOldForm(b.now, at) {
+	if b.view.UsesOldFormat(b.now, at) {
 		n.flag = min(n.flag, flagYes) // which is all that form can say
-		b.host.Send(at, n.bytes())
+		b.host.SendToPeer(at, n.bytes())
 	} else {
-		b.host.Send(at, n.lived(b.life))
+		b.host.SendToPeer(at, n.lived(b.life))
 	}
 }
 
 // question asks a keeper.
 func (b *Balancer) question(at int, n note) {
-	b.view.Sending(b.now, at)
+	b.view.BeforeRequest(b.now, at)
 	b.tell(at, n)
 }
 
 // unheard notes that a keeper has not answered in time. Where this instance itself stood still nothing is proven.
 func (b *Balancer) unheard(at int, asked float64) {
 	if b.now < asked+2*patience {
-		b.view.Missed(b.now, at, asked)
+		b.view.RequestTimedOut(b.now, at, asked)
 	}
 }
 
@@ -109,11 +109,11 @@
 // hear reads a note and tells whether it counts. What a former life of the sender said is void from its first word on.
 func (b *Balancer) hear(from int, text []byte) (n note, ok bool) {
 	n, life, ok := readNote(text)
-	if !ok || !b.limits.Peers || from == b.place.Me {
+	if !ok || !b.limits.PeerMessages || from == b.place.Index {
 		return n, false
 	}
-	counts, fresh := b.view.Received(b.now, from, life)
-	if counts && n.kind == noteAsk && n.turn != 0 && b.view.Repeats(b.now, from, n.turn) {
+	counts, fresh := b.view.MessageReceived(b.now, from, life)
+	if counts && n.kind == noteAsk && n.turn != 0 && b.view.IsRepeatedRequest(b.now, from, n.turn) {
 		return n, false // would be granted twice
 	}
 	if fresh {
@@ -125,7 +125,7 @@
 }
 
 // Stood is told that the instance stood still until now: what is out is late by its own doing, and teaches nothing.
-func (b *Balancer) Stood(now float64) {
+func (b *Balancer) Stalled(now float64) {
 	b.now = now
 	for _, c := range b.commands { // each by itself, so no order is needed
 		c.stood = true
--- a/balance/living_test.go
+++ b/balance/living_test.go
@@ -29,7 +29,7 @@
 				}
 				for range each {
 					id++
-					h.b.Command(h.now, id, 0, 0, h.now+6, 0)
+					h.b.CommandReceived(h.now, id, 0, 0, h.now+6, 0)
 					among(hosts, lives)
 					if len(h.toOf(id)) == 0 {
 						late++
@@ -72,7 +72,7 @@
 	hosts[1].until(h.now)
 	fill := func(from uint64, count int) (sent int) {
 		for cmd := from; cmd < from+uint64(count); cmd++ {
-			h.b.Command(h.now, cmd, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, cmd, 0, 0, h.now+6, 0)
 			carry(hosts, nil)
 			sent += len(h.toOf(cmd))
 		}
@@ -83,8 +83,8 @@
 		t.Fatalf("%d sent", full)
 	}
 	// Both processes of the other place: the one that knew is killed, one that knows nothing takes its place.
-	again := start(t, setup{limits: Limits{Relays: 4, SecondCopies: true, Cancel: true, Peers: true, Keys: true},
-		backends: ready(3), place: Place{Me: 1, Siblings: 2}})
+	again := start(t, setup{limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true},
+		backends: ready(3), place: Placement{Index: 1, Instances: 2}})
 	again.now = h.now
 	again.b.now, again.b.start = h.now, h.now
 	hosts[1] = again
@@ -99,10 +99,10 @@
 	if keeper.b.keeper(0) != 0 {
 		keeper = hosts[1]
 	}
-	other := 1 - keeper.b.place.Me
+	other := 1 - keeper.b.place.Index
 	k := keeper.b.fleet[0]
 	says := func(life uint64, amount byte) {
-		keeper.b.Received(keeper.now, other, note{noteOut, 0, k.tag(), amount, flagSent, 0}.lived(life))
+		keeper.b.MessageReceived(keeper.now, other, note{noteOut, 0, k.tag(), amount, flagSent, 0}.lived(life))
 	}
 	says(100, 9)
 	if sum := k.tally.sum(keeper.now, noteLife); sum != 9 {
@@ -125,7 +125,7 @@
 	for round := range uint64(30) {
 		for i, h := range hosts {
 			cmd := 100*round + uint64(i)
-			h.b.Command(h.now, cmd, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, cmd, 0, 0, h.now+6, 0)
 		}
 		deliver(hosts, func(from int, m *telling) bool {
 			lived := len(m.text) != noteSize
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	if !hosts[0].b.view.UsesOldForm(hosts[0].now, old) {
+	if !hosts[0].b.view.UsesOldFormat(hosts[0].now, old) {
 		t.Error("the process that speaks the old form is not spoken to in it")
 	}
 }
@@ -170,19 +170,19 @@
 	hosts := beside(t, 30, ready(30))
 	h := hosts[3]
 	for cmd := uint64(1); cmd < 20; cmd++ {
-		h.b.Command(h.now, cmd, 0, 0, h.now+60, 0)
+		h.b.CommandReceived(h.now, cmd, 0, 0, h.now+60, 0)
 	}
 	for range 5 {
 		h.now += 10 // all its timers are due at once
 		for _, w := range slices.Clone(h.wakes) {
 			if w.at <= h.now {
 				h.wakes = slices.DeleteFunc(h.wakes, func(x wake) bool { return x == w })
-				h.b.Wake(h.now, w.token)
+				h.b.TimerFired(h.now, w.token)
 			}
 		}
 	}
 	for i := range hosts {
-		if !h.b.view.Alive(h.now, i) {
+		if !h.b.view.IsAlive(h.now, i) {
 			t.Errorf("sibling %d is given up", i)
 		}
 	}
@@ -190,12 +190,12 @@
 
 // Fewer siblings leave each more of what is common, and take it back as soon as answers are late.
 func TestSharesGoByWhoIsThere(t *testing.T) {
-	h := start(t, setup{place: Place{Siblings: 60}, backends: ready(120), customers: []Customer{{Allowance: 600, Was: -1}}})
+	h := start(t, setup{place: Placement{Instances: 60}, backends: ready(120), customers: []Customer{{Allowance: 600, PreviousIndex: -1}}})
 	id := uint64(0)
 	run := func(seconds float64, rate int, took float64) {
 		for end := h.now + seconds; h.now < end; h.until(h.now + 1/float64(rate)) {
 			id++
-			h.b.Command(h.now, id, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, id, 0, 0, h.now+6, 0)
 			for n, s := range h.relays {
 				if c := h.b.commands[s.cmd]; c != nil && n+2000 > len(h.relays) && h.now >= c.came+took && c.relays[0].out {
 					h.outcome(s.cmd, 0, Answered)
@@ -227,10 +227,10 @@
 	if keeper.b.keeper(0) != 0 {
 		keeper = hosts[1]
 	}
-	other, k := 1-keeper.b.place.Me, keeper.b.fleet[0]
+	other, k := 1-keeper.b.place.Index, keeper.b.fleet[0]
 	says := func(turn, amount, flag byte, want float64) {
 		t.Helper()
-		keeper.b.Received(keeper.now, other, note{noteOut, 0, k.tag(), amount, flag, turn}.lived(100))
+		keeper.b.MessageReceived(keeper.now, other, note{noteOut, 0, k.tag(), amount, flag, turn}.lived(100))
 		if sum := k.tally.sum(keeper.now, noteLife); sum != want {
 			t.Errorf("word %d: %v out, want %v", turn, sum, want)
 		}
@@ -244,7 +244,7 @@
 
 	asks := func(turn byte) int {
 		keeper.told = nil
-		keeper.b.Received(keeper.now, other, note{noteAsk, 0, 0, 255, flagNone, turn}.lived(100))
+		keeper.b.MessageReceived(keeper.now, other, note{noteAsk, 0, 0, 255, flagNone, turn}.lived(100))
 		return len(keeper.told)
 	}
 	if asks(7) != 1 || asks(7) != 0 || asks(8) != 1 {
--- a/balance/measure.go
+++ b/balance/measure.go
@@ -184,7 +184,7 @@
 	switch result {
 	case Answered:
 		t.ok.add(now, span, 1)
-	case Errored, Full, TimedOut, Reset, Unconnected:
+	case Errored, Full, TimedOut, Reset, ConnectFailed:
 		t.failed.add(now, span, 1)
 	}
 }
@@ -305,7 +305,7 @@
 	return 0
 }
 
-func (b *Balancer) siblings() float64 { return max(1, float64(b.place.Siblings)) }
+func (b *Balancer) siblings() float64 { return max(1, float64(b.place.Instances)) }
 
 func (b *Balancer) usable() float64 { return b.sum(func(*backend) float64 { return 1 }) }
 
--- a/balance/mechanism_test.go
+++ b/balance/mechanism_test.go
@@ -15,7 +15,7 @@
 	}
 	t.Run("a copy goes elsewhere after the learned delay, the loser is cancelled", func(t *testing.T) {
 		h := warm(setup{})
-		h.b.Command(h.now, 1000, 0, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, 1000, 0, 0, h.now+6, 0)
 		h.until(h.now + 0.04)
 		if len(h.relays) != 1 {
 			t.Fatal("copied before the delay")
@@ -30,10 +30,10 @@
 		}
 	})
 	t.Run("copies stay near a tenth of own calls, and losers that run count", func(t *testing.T) {
-		h := warm(setup{limits: Limits{Relays: 4, SecondCopies: true}})
+		h := warm(setup{limits: Limits{MaxRelays: 4, SecondCopies: true}})
 		late := 0
 		for i := uint64(1000); i < 3000; i += 100 {
-			h.b.Command(h.now, i, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
 			h.until(h.now + 0.1)
 			late += len(h.toOf(i)) - 1
 			h.outcome(i, 0, Answered) // where nothing can be cancelled the loser never ends
@@ -44,8 +44,8 @@
 		}
 	})
 	t.Run("none where second copies are not allowed", func(t *testing.T) {
-		h := warm(setup{limits: Limits{Relays: 4}})
-		h.b.Command(h.now, 1000, 0, 0, h.now+6, 0)
+		h := warm(setup{limits: Limits{MaxRelays: 4}})
+		h.b.CommandReceived(h.now, 1000, 0, 0, h.now+6, 0)
 		h.until(h.now + 2)
 		if len(h.relays) != 1 {
 			t.Errorf("%d relays", len(h.relays))
@@ -54,11 +54,11 @@
 	t.Run("none while all run late: the percentile is stale", func(t *testing.T) {
 		h := warm(setup{})
 		for i := uint64(1000); i < 1008; i++ {
-			h.b.Command(h.now, i, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
 		}
 		h.until(h.now + 0.3)
 		before := len(h.relays)
-		h.b.Command(h.now, 2000, 0, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, 2000, 0, 0, h.now+6, 0)
 		h.until(h.now + 0.5)
 		if len(h.relays) != before+1 {
 			t.Error("a copy went into a fleet that is slow as a whole")
@@ -129,7 +129,7 @@
 		round := func(count int, bad bool) {
 			for range count {
 				next++
-				h.b.Command(h.now, next, 0, 0, h.now+6, 0)
+				h.b.CommandReceived(h.now, next, 0, 0, h.now+6, 0)
 				h.until(h.now + 0.1)
 				for n := 0; !h.ended[next]; n++ {
 					if bad && h.toOf(next)[n] == id(0) {
@@ -155,9 +155,9 @@
 		}
 	})
 	t.Run("a hung backend is passed over", func(t *testing.T) {
-		h := start(t, setup{verb: Verb{Effect: Effectful, Goal: 2.5, TimeLimit: 6, Utility: 1, Late: 0.5}})
+		h := start(t, setup{verb: Verb{Effect: Effectful, Goal: 2.5, TimeLimit: 6, Utility: 1, LateUtility: 0.5}})
 		for i := range uint64(200) {
-			h.b.Command(h.now, i, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
 			h.until(h.now + 0.1)
 			if h.toOf(i)[0] != id(0) {
 				h.outcome(i, 0, Answered)
@@ -171,12 +171,12 @@
 		h := start(t, setup{})
 		refused := 0
 		for i := range uint64(100) {
-			h.b.Command(h.now, i, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
 			h.until(h.now + 0.1)
 			for n := 0; !h.ended[i]; n++ {
 				if h.toOf(i)[n] == id(0) {
 					refused++
-					h.outcome(i, n, Unconnected)
+					h.outcome(i, n, ConnectFailed)
 				} else {
 					h.outcome(i, n, Answered)
 				}
@@ -192,7 +192,7 @@
 	t.Run("refusals are no storm", func(t *testing.T) {
 		h := start(t, setup{})
 		for i := range uint64(100) {
-			h.b.Command(h.now, i, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
 			for n := 0; !h.ended[i] && n < len(h.toOf(i)); n++ {
 				h.outcome(i, n, Errored)
 			}
@@ -205,7 +205,7 @@
 	t.Run("a flood is bounded, low utility goes first, and early", func(t *testing.T) {
 		h := start(t, setup{})
 		for i := range uint64(300) {
-			h.b.Command(h.now, i, int(i%2), 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, i, int(i%2), 0, h.now+6, 0)
 		}
 		h.until(h.now + 0.3)
 		if most := 6 * int(boundFirst); len(h.relays) > most || len(h.declined) < 300-most {
@@ -257,8 +257,8 @@
 		h := start(t, setup{})
 		h.serve(1, 100, 0.1)
 		before := h.b.share()
-		h.b.Fleet(h.now, false, []Entry{{ID: id(0), State: Draining}, {ID: id(1), State: Gone},
-			{ID: id(8), Started: h.now, Size: 1}, {ID: id(9), Started: h.now, Size: 1}})
+		h.b.UpdateBackends(h.now, false, []Entry{{ID: id(0), State: Draining}, {ID: id(1), State: Gone},
+			{ID: id(8), StartedAt: h.now, Capacity: 1}, {ID: id(9), StartedAt: h.now, Capacity: 1}})
 		if after := h.b.share(); !near(after/before, 4.4/6) {
 			t.Errorf("bound %v with six warm backends, %v with four and two at a fifth", before, after)
 		}
@@ -266,20 +266,20 @@
 	t.Run("what is past a customer's share counts for less", func(t *testing.T) {
 		h := start(t, setup{customers: []Customer{{Allowance: 1}, {Allowance: 0}}})
 		for i := range uint64(3) {
-			h.b.Command(h.now, i, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
 		}
 		if h.b.commands[0].priority <= h.b.commands[2].priority {
 			t.Error("the third command at once of a customer with 1 a second is within its share")
 		}
-		h.b.Command(h.now, 9, 0, 1, h.now+6, 0) // an allowance of nothing divides nothing by zero
-		h.b.Command(h.now, 10, 0, 7, h.now+6, 0)
+		h.b.CommandReceived(h.now, 9, 0, 1, h.now+6, 0) // an allowance of nothing divides nothing by zero
+		h.b.CommandReceived(h.now, 10, 0, 7, h.now+6, 0)
 	})
 }
 
 // Two front proxies over four backends at ease, whose median answer takes 0.42 of the goal: while nothing is known of what
 // is usual that looks late, and the bound must not come down far below what is out.
 func TestAtEase(t *testing.T) {
-	h := start(t, setup{backends: ready(4), place: Place{Siblings: 2}})
+	h := start(t, setup{backends: ready(4), place: Placement{Instances: 2}})
 	spent := []float64{1.1, 0.6, 2.1, 1.0, 1.2, 0.7, 1.6, 1.05, 0.9, 2.6, 1.15, 1.4}
 	due := map[uint64]float64{}
 	for tick := range 2000 {
@@ -292,7 +292,7 @@
 		}
 		if tick%13 == 0 { // 7.7 a second
 			id := uint64(tick / 13)
-			h.b.Command(h.now, id, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, id, 0, 0, h.now+6, 0)
 			due[id] = h.now + spent[int(id)%len(spent)]
 		}
 	}
@@ -325,7 +325,7 @@
 	}
 	k := &backend{}
 	k.tried.note(1, failSpan, Cancelled)
-	k.tried.note(1, failSpan, Moot)
+	k.tried.note(1, failSpan, NotSent)
 	if k.busy(1) != 0 {
 		t.Error("what was cancelled or never sent is no failure")
 	}
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -16,13 +16,13 @@
 )
 
 // Memory is what was learned. Verbs are in the order of the settings.
-type Memory struct {
-	Incarnation       uint64 // of the instance
-	Usual             float64
-	Ease, Level, Rate float64
-	Any               []byte
-	Verbs             [][]byte
-	Weights           map[BackendID]float64
+type Snapshot struct {
+	Incarnation                                       uint64 // of the instance
+	TypicalLatency                                    float64
+	BaselineInFlight, InFlightPerBackend, ArrivalRate float64
+	AllLatencies                                      []byte
+	VerbLatencies                                     [][]byte
+	Weights                                           map[BackendID]float64
 }
 
 // bytes are both sketches in one, nil where they hold too little to be of use.
@@ -52,11 +52,11 @@
 }
 
 // Remember gives what was learned so far.
-func (b *Balancer) Remember() Memory {
-	m := Memory{Incarnation: b.life, Usual: b.usual, Ease: b.ease, Level: b.level, Rate: b.arrivals.Usual(), Any: b.anyDelay.bytes(),
+func (b *Balancer) Snapshot() Snapshot {
+	m := Snapshot{Incarnation: b.life, TypicalLatency: b.usual, BaselineInFlight: b.ease, InFlightPerBackend: b.level, ArrivalRate: b.arrivals.UsualRate(), AllLatencies: b.anyDelay.bytes(),
 		Weights: map[BackendID]float64{}}
 	for _, v := range b.verbs {
-		m.Verbs = append(m.Verbs, v.delay.bytes())
+		m.VerbLatencies = append(m.VerbLatencies, v.delay.bytes())
 	}
 	for _, k := range b.fleet {
 		if k.State == Ready && b.isWarm(k) {
@@ -69,7 +69,7 @@
 // Recall takes what an earlier instance in this place had learned so many seconds ago, each thing as far as it is still to
 // be believed. Of backends it counts for those that are listed now and are warm. A negative age, from a clock that was
 // set back, is as good as none known.
-func (b *Balancer) Recall(now float64, m Memory, age float64) {
+func (b *Balancer) Restore(now float64, m Snapshot, age float64) {
 	b.now = now
 	b.life = max(b.life, m.Incarnation+1)
 	fresh := func(life float64) float64 {
@@ -80,22 +80,22 @@
 	}
 	sound := func(x, most float64) bool { return x > 0 && x <= most } // a NaN is not
 	if fresh(latencyLife) > 0 {
-		b.anyDelay.recall(now, m.Any)
-		for i, text := range m.Verbs {
+		b.anyDelay.recall(now, m.AllLatencies)
+		for i, text := range m.VerbLatencies {
 			if i < len(b.verbs) {
 				b.verbs[i].delay.recall(now, text)
 			}
 		}
 	}
 	if part := fresh(boundLife); part > 0 {
-		if sound(m.Usual, 3600) && m.Ease >= 0 && m.Ease <= 1e6 && b.usual == 0 {
-			b.usual, b.ease, b.easy = m.Usual, m.Ease, part/easeStep
+		if sound(m.TypicalLatency, 3600) && m.BaselineInFlight >= 0 && m.BaselineInFlight <= 1e6 && b.usual == 0 {
+			b.usual, b.ease, b.easy = m.TypicalLatency, m.BaselineInFlight, part/easeStep
 		}
-		if sound(m.Level, 1e6) { // towards what a start without memory has
-			b.level = max(boundMin, boundFirst+(min(m.Level, boundFirst)-boundFirst)*part)
+		if sound(m.InFlightPerBackend, 1e6) { // towards what a start without memory has
+			b.level = max(boundMin, boundFirst+(min(m.InFlightPerBackend, boundFirst)-boundFirst)*part)
 		}
-		if sound(m.Rate, 1e7) {
-			b.arrivals.Recall(now, m.Rate)
+		if sound(m.ArrivalRate, 1e7) {
+			b.arrivals.RestoreUsualRate(now, m.ArrivalRate)
 		}
 	}
 	if part := fresh(weightLife); part > 0 {
@@ -109,6 +109,6 @@
 }
 
 // Standing is the part of answers that were late, of late, and how many siblings are believed to live.
-func (b *Balancer) Standing() (late, living float64) {
+func (b *Balancer) Stats() (late, living float64) {
 	return b.endedLate / math.Max(1, b.ended), b.living()
 }
--- a/balance/service_test.go
+++ b/balance/service_test.go
@@ -18,7 +18,7 @@
 			out = out[1:]
 		}
 		cmd++
-		h.b.Command(h.now, cmd, 0, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, cmd, 0, 0, h.now+6, 0)
 		if to := h.toOf(cmd); len(to) > 0 && to[0] == bad {
 			toBad++
 			h.outcome(cmd, 0, Errored)
@@ -36,12 +36,12 @@
 func TestStreamsAreNotOut(t *testing.T) {
 	h := start(t, setup{backends: ready(1)})
 	for cmd := uint64(1); cmd <= 60; cmd++ {
-		h.b.Command(h.now, cmd, 0, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, cmd, 0, 0, h.now+6, 0)
 		if len(h.toOf(cmd)) != 1 {
 			t.Fatalf("command %d was not sent, with nothing but streams open", cmd)
 		}
 		h.until(h.now + 0.02)
-		h.b.Started(h.now, cmd, 0)
+		h.b.StreamStarted(h.now, cmd, 0)
 	}
 	h.until(h.now + 20) // past every limit: none is ended, none copied
 	if len(h.terminated)+len(h.declined)+len(h.cancels) > 0 || len(h.relays) != 60 {
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -9,9 +9,9 @@
 
 // fleetOf starts so many instances of one tier over one list.
 func fleetOf(t *testing.T, instances int, list []Entry, s setup) (hosts []*fakeHost) {
-	s.backends, s.place.Siblings = list, instances
-	for s.place.Me = range instances {
-		s.seed = uint64(s.place.Me)
+	s.backends, s.place.Instances = list, instances
+	for s.place.Index = range instances {
+		s.seed = uint64(s.place.Index)
 		hosts = append(hosts, start(t, s))
 	}
 	return hosts
@@ -21,7 +21,7 @@
 	const instances, backends = 500, 80
 	list := ready(backends)
 	for i := range list[:backends/2] {
-		list[i].Size = 2
+		list[i].Capacity = 2
 	}
 	hosts := fleetOf(t, instances, list, setup{})
 	share, widest := map[BackendID]float64{}, 0
@@ -40,15 +40,15 @@
 			t.Errorf("%d backends in a window", widest)
 		}
 		for _, e := range list {
-			if want := e.Size * instances / 120; share[e.ID] < 0.9*want || share[e.ID] > 1.1*want {
-				t.Errorf("size %v is worth %.1f instances, not %.1f", e.Size, share[e.ID], want)
+			if want := e.Capacity * instances / 120; share[e.ID] < 0.9*want || share[e.ID] > 1.1*want {
+				t.Errorf("size %v is worth %.1f instances, not %.1f", e.Capacity, share[e.ID], want)
 			}
 		}
 	})
 	t.Run("a backend that leaves is replaced, and little else shifts", func(t *testing.T) {
 		h := hosts[77]
 		before := slices.Clone(h.b.window)
-		h.b.Fleet(h.now, false, []Entry{{ID: before[2].ID, State: Gone}})
+		h.b.UpdateBackends(h.now, false, []Entry{{ID: before[2].ID, State: Gone}})
 		kept := 0
 		for _, k := range before {
 			if slices.Contains(h.b.window, k) {
@@ -60,14 +60,14 @@
 		}
 	})
 	t.Run("more siblings than backends, none told, or a list of nothing are absorbed", func(t *testing.T) {
-		for _, p := range []Place{{Me: 900, Siblings: 500}, {Me: 3}, {Me: 0, Siblings: 1}} {
+		for _, p := range []Placement{{Index: 900, Instances: 500}, {Index: 3}, {Index: 0, Instances: 1}} {
 			h := start(t, setup{place: p, backends: ready(2)})
 			h.serve(1, 10, 0.05)
 			if len(h.relays) < 10 || len(h.b.window) != 2 {
 				t.Errorf("%+v: %d relays, %d in the window", p, len(h.relays), len(h.b.window))
 			}
-			h.b.Fleet(h.now, true, nil)
-			h.b.Command(h.now, 99, 0, 0, h.now+6, 0)
+			h.b.UpdateBackends(h.now, true, nil)
+			h.b.CommandReceived(h.now, 99, 0, 0, h.now+6, 0)
 			h.until(h.now + 7)
 		}
 	})
@@ -77,7 +77,7 @@
 	t.Run("hundreds of instances that know nothing yet do not copy at once", func(t *testing.T) {
 		copies := 0
 		for _, h := range fleetOf(t, 300, ready(40), setup{}) {
-			h.b.Command(h.now, 1, 0, 0, h.now+6, 0)
+			h.b.CommandReceived(h.now, 1, 0, 0, h.now+6, 0)
 			h.until(h.now + 1)
 			copies += len(h.relays) - 1
 		}
@@ -103,7 +103,7 @@
 		for _, h := range fleetOf(t, instances, ready(60), setup{}) {
 			h.b.level *= 0.99 // not at ease any more
 			for i := range uint64(8000 / instances) {
-				h.b.Command(h.now, i, 1, 0, h.now+6, 0)
+				h.b.CommandReceived(h.now, i, 1, 0, h.now+6, 0)
 			}
 			out += len(h.relays)
 		}
@@ -118,7 +118,7 @@
 }
 
 func TestFewAnswersRaiseNothing(t *testing.T) {
-	h := start(t, setup{place: Place{Siblings: 100}})
+	h := start(t, setup{place: Placement{Instances: 100}})
 	settle := func(count int, every float64) float64 { // a third of the answers late, with the bound in use
 		first := h.b.level
 		for i := range count {
@@ -149,7 +149,7 @@
 			for i, h := range hosts {
 				next++
 				h.until(h.now + 0.3 + 0.2*float64(i)/instances)
-				h.b.Command(h.now, next, 0, 0, h.now+6, 0)
+				h.b.CommandReceived(h.now, next, 0, 0, h.now+6, 0)
 				h.until(h.now + 0.2 - 0.2*float64(i)/instances)
 				for n, to := range h.toOf(next) {
 					if to == id(99) {
@@ -164,12 +164,12 @@
 	}
 	serve(5)
 	tell := func(gone int) {
-		changes := []Entry{{ID: id(99), Size: 1, Started: hosts[0].now}}
+		changes := []Entry{{ID: id(99), Capacity: 1, StartedAt: hosts[0].now}}
 		for i := range gone {
 			changes = append(changes, Entry{ID: id(i), State: Gone})
 		}
 		for _, h := range hosts {
-			h.b.Fleet(h.now, false, changes)
+			h.b.UpdateBackends(h.now, false, changes)
 		}
 	}
 	// 20 a second are each backend's usual: it can surely do a fifth of that, and falls over at three times as much.
@@ -203,7 +203,7 @@
 	const backends, span, step = 20, 1.5, 0.05
 	cold := func(now float64, n int) (list []Entry) {
 		for i := range n {
-			list = append(list, Entry{ID: id(i), State: Gone}, Entry{ID: id(100 + i), Size: 1, Started: now})
+			list = append(list, Entry{ID: id(i), State: Gone}, Entry{ID: id(100 + i), Capacity: 1, StartedAt: now})
 		}
 		return list
 	}
@@ -224,9 +224,9 @@
 				chance := rand.New(rand.NewPCG(uint64(seed), uint64(instances)))
 				hosts := make([]*fakeHost, instances)
 				begin := func(i int, now float64, list []Entry) {
-					h := start(t, setup{backends: list, place: Place{Me: i, Siblings: instances}, seed: uint64(seed*1000 + i)})
+					h := start(t, setup{backends: list, place: Placement{Index: i, Instances: instances}, seed: uint64(seed*1000 + i)})
 					h.now, h.b.start, h.b.now = now, now, now
-					h.b.Fleet(now, true, list)
+					h.b.UpdateBackends(now, true, list)
 					hosts[i] = h
 				}
 				now := 1000.0
@@ -240,7 +240,7 @@
 						list = cold(now, story.new)
 						for _, h := range hosts {
 							h.until(now)
-							h.b.Fleet(now, false, list)
+							h.b.UpdateBackends(now, false, list)
 						}
 						whole := []Entry{}
 						for _, e := range append(ready(backends), list...) {
@@ -277,7 +277,7 @@
 						h := alive[chance.IntN(len(alive))]
 						cmd++
 						h.until(now)
-						h.b.Command(now, cmd, 0, 0, now+6, 0)
+						h.b.CommandReceived(now, cmd, 0, 0, now+6, 0)
 						for n, to := range h.toOf(cmd) {
 							got[to] = append(got[to], now)
 							h.outcome(cmd, n, Answered)
--- a/balance/starts.go
+++ b/balance/starts.go
@@ -9,10 +9,10 @@
 // StartCredit is by how many seconds a backend that appears in the list may have started before that: as long as it is told to
 // be, and no longer than this. An error of that size raises the budget at the start from coldPart of what the rule allows
 // to believedPart of it.
-func (b *Balancer) StartCredit() float64 {
-	if b.cold.Share >= 1 {
-		return b.cold.Span
+func (b *Balancer) MaxTrustedAge() float64 {
+	if b.cold.InitialCapacity >= 1 {
+		return b.cold.WarmUp
 	}
-	part := (believedPart/coldPart - 1) * b.cold.Share / (1 - b.cold.Share)
-	return b.cold.Span * min(1, part)
+	part := (believedPart/coldPart - 1) * b.cold.InitialCapacity / (1 - b.cold.InitialCapacity)
+	return b.cold.WarmUp * min(1, part)
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -56,9 +56,9 @@
 	host             Host
 	now, start, tick float64
 	seed, draws      uint64
-	place            Place
+	place            Placement
 	limits           Limits
-	cold             Cold
+	cold             ColdStart
 	overage          float64
 	mustAsk          bool
 
@@ -107,9 +107,9 @@
 	asking                      bool
 	askWait                     float64
 	life                        uint64 // of this process, higher than those before it
-	view                        membership.View
+	view                        membership.PeerView
 	duties                      map[uint16]duty // cells that it keeps in another's place
-	arrivals                    membership.Arrivals
+	arrivals                    membership.ArrivalEstimator
 	alive                       float64 // siblings believed to be there, 0 before the first command
 	laidFor                     float64 // and how many they were when the window was laid
 }
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -11,7 +11,7 @@
 // inZones is a list of warm backends, count in each zone.
 func inZones(zones, count int) (list []Entry) {
 	for i := range zones * count {
-		list = append(list, Entry{ID: id(i), Zone: i % zones, Cell: i / 3, Size: 1})
+		list = append(list, Entry{ID: id(i), Zone: i % zones, Cell: i / 3, Capacity: 1})
 	}
 	return list
 }
@@ -22,12 +22,12 @@
 	hit := 0
 	for i := range count {
 		cmd := uint64(i + 1)
-		h.b.Command(h.now, cmd, 0, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, cmd, 0, 0, h.now+6, 0)
 		to := h.toOf(cmd)[0]
 		h.until(h.now + took(to))
-		h.b.Outcome(h.now, cmd, 0, Answered, took(to), true, Load{})
+		h.b.RelayEnded(h.now, cmd, 0, Answered, took(to), true, LoadReport{})
 		for n := range h.toOf(cmd) {
-			h.b.Outcome(h.now, cmd, n, Answered, took(to), true, Load{})
+			h.b.RelayEnded(h.now, cmd, n, Answered, took(to), true, LoadReport{})
 		}
 		if i >= count/2 && near(to) {
 			hit++
@@ -39,8 +39,8 @@
 func TestCrossingThatIsPricedIsRare(t *testing.T) {
 	near := func(k BackendID) bool { return k[3]%3 == 1 }
 	begin := func(far bool) *fakeHost {
-		return start(t, setup{backends: inZones(3, 4), place: Place{Siblings: 3, Zone: 1},
-			limits: Limits{Relays: 3, SecondCopies: true, Cancel: true, Far: far}})
+		return start(t, setup{backends: inZones(3, 4), place: Placement{Instances: 3, Zone: 1},
+			limits: Limits{MaxRelays: 3, SecondCopies: true, CancelRelays: true, CrossZonePriced: far}})
 	}
 	even := func(BackendID) float64 { return 0.1 }
 	if part := begin(true).shareOf(400, even, near); part < 0.8 {
@@ -62,9 +62,9 @@
 
 func TestALimitToldShortIsLivedPast(t *testing.T) {
 	begin := func(off float64) *fakeHost {
-		h := start(t, setup{verb: Verb{Effect: Effectful, Goal: 1, TimeLimit: 2.5, Utility: 1, Late: 0.2},
-			limits: Limits{Relays: 3, SecondCopies: true, Cancel: true, LeftOff: off}})
-		h.b.Command(h.now, 1, 0, 0, h.now+0.1, 0) // its client waits for 1.3 s
+		h := start(t, setup{verb: Verb{Effect: Effectful, Goal: 1, TimeLimit: 2.5, Utility: 1, LateUtility: 0.2},
+			limits: Limits{MaxRelays: 3, SecondCopies: true, CancelRelays: true, DeadlineError: off}})
+		h.b.CommandReceived(h.now, 1, 0, 0, h.now+0.1, 0) // its client waits for 1.3 s
 		return h
 	}
 	t.Run("answered after what was told", func(t *testing.T) {
@@ -94,8 +94,8 @@
 		}
 	})
 	t.Run("one that nobody could take ends soon, whatever was told", func(t *testing.T) {
-		h := start(t, setup{backends: []Entry{}, limits: Limits{Relays: 3, LeftOff: 4.8}})
-		h.b.Command(h.now, 1, 0, 0, h.now+6, 0)
+		h := start(t, setup{backends: []Entry{}, limits: Limits{MaxRelays: 3, DeadlineError: 4.8}})
+		h.b.CommandReceived(h.now, 1, 0, 0, h.now+6, 0)
 		if h.until(h.now + 0.3); len(h.declined) != 1 {
 			t.Error("held longer than a moment")
 		}
@@ -109,10 +109,10 @@
 }
 
 func TestSlowReadersHoldFewPlaces(t *testing.T) {
-	h := start(t, setup{verb: Verb{Goal: 1, TimeLimit: 5, Utility: 1, Late: 0.2},
-		limits: Limits{Relays: 1, Cancel: true, Answers: 40}})
+	h := start(t, setup{verb: Verb{Goal: 1, TimeLimit: 5, Utility: 1, LateUtility: 0.2},
+		limits: Limits{MaxRelays: 1, CancelRelays: true, MaxUnreadAnswers: 40}})
 	for cmd := uint64(1); cmd <= 30; cmd++ { // each answer waits for a client that reads for 4 s
-		h.b.Command(h.now, cmd, 0, 0, h.now+5, 0)
+		h.b.CommandReceived(h.now, cmd, 0, 0, h.now+5, 0)
 		h.until(h.now + 0.01)
 	}
 	h.until(h.now + 1.2)
@@ -127,11 +127,11 @@
 // TestWhatIsOutDoesNotRunAway is the story of places that fill all at once: calls come back to a tier whose places all
 // wait for them, and nothing is answered any more. What was out while all went well bounds what may fill them.
 func TestWhatIsOutDoesNotRunAway(t *testing.T) {
-	h := start(t, setup{backends: ready(4), place: Place{Siblings: 1}, limits: Limits{Relays: 1}})
+	h := start(t, setup{backends: ready(4), place: Placement{Instances: 1}, limits: Limits{MaxRelays: 1}})
 	cmd := uint64(0)
 	begin := func() {
 		cmd++
-		h.b.Command(h.now, cmd, 1, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, cmd, 1, 0, h.now+6, 0)
 	}
 	type out struct {
 		cmd uint64
@@ -184,7 +184,7 @@
 	l.cmd++
 	seen := len(l.relays)
 	l.keys[l.cmd] = key
-	l.b.Command(l.now, l.cmd, 1, customer, l.now+6, key)
+	l.b.CommandReceived(l.now, l.cmd, 1, customer, l.now+6, key)
 	l.follow(seen)
 	return l.cmd
 }
@@ -218,7 +218,7 @@
 				} else if !l.ended[d.cmd] {
 					l.outcome(d.cmd, d.n, Answered)
 				} else {
-					l.b.Outcome(l.now, d.cmd, d.n, Answered, 0.1, true, Load{})
+					l.b.RelayEnded(l.now, d.cmd, d.n, Answered, 0.1, true, LoadReport{})
 				}
 			}
 		}
@@ -234,8 +234,8 @@
 // wherever it is sent, and would fill the places of all the rest.
 func TestASortThatFaresIllHoldsFewPlaces(t *testing.T) {
 	for what, key := range map[string]uint64{"a key": 7, "a customer": 0} {
-		l := newLoad(t, setup{backends: ready(6), customers: []Customer{{Allowance: 1e6, Was: -1}, {Allowance: 1e6, Was: -1}},
-			limits: Limits{Relays: 3, Cancel: true}})
+		l := newLoad(t, setup{backends: ready(6), customers: []Customer{{Allowance: 1e6, PreviousIndex: -1}, {Allowance: 1e6, PreviousIndex: -1}},
+			limits: Limits{MaxRelays: 3, CancelRelays: true}})
 		locked := true
 		l.took = func(cmd, _ uint64) float64 {
 			if cmd%5 == 0 && locked {
@@ -297,18 +297,18 @@
 		k.aside = h.now + asideFor
 	}
 	for cmd := uint64(100); cmd < 120; cmd++ {
-		h.b.Command(h.now, cmd, 0, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, cmd, 0, 0, h.now+6, 0)
 		if to := h.toOf(cmd); len(to) != 1 || to[0] != h.b.fleet[2].ID {
 			t.Fatalf("sent to %v while one is not set aside", to)
 		}
 		h.outcome(cmd, 0, Answered)
 	}
 	h.b.fleet[2].aside = h.now + asideFor
-	h.b.Command(h.now, 200, 0, 0, h.now+6, 0)
+	h.b.CommandReceived(h.now, 200, 0, 0, h.now+6, 0)
 	if len(h.toOf(200)) != 1 {
 		t.Error("held with three backends ready")
 	}
-	h.outcome(200, 0, Unconnected)
+	h.outcome(200, 0, ConnectFailed)
 	if to := h.toOf(200); len(to) != 2 || to[0] == to[1] {
 		t.Errorf("then sent to %v", to)
 	}
@@ -317,8 +317,8 @@
 // New settings name the customers in another order. What was held against one, whose commands wait for a lock, was held
 // against who had its place from then on, and no longer against itself.
 func TestNewSettingsMixNoCustomers(t *testing.T) {
-	customers := []Customer{{Allowance: 1e6, Was: -1}, {Allowance: 1e6, Was: -1}}
-	l := newLoad(t, setup{backends: ready(6), customers: customers, limits: Limits{Relays: 3, Cancel: true}})
+	customers := []Customer{{Allowance: 1e6, PreviousIndex: -1}, {Allowance: 1e6, PreviousIndex: -1}}
+	l := newLoad(t, setup{backends: ready(6), customers: customers, limits: Limits{MaxRelays: 3, CancelRelays: true}})
 	ill := 1
 	l.took = func(cmd, _ uint64) float64 { return 0.2 + 4.8*one(cmd%5 == 0) } // the goal is 2.5
 	serve := func() {
@@ -340,8 +340,8 @@
 		t.Fatal("the customer that waits for a lock should be held, alone")
 	}
 	verbs := []Verb{l.b.verbs[0].Verb, l.b.verbs[1].Verb}
-	verbs[0].Was, verbs[1].Was = 0, 1
-	l.b.Turn(l.now, l.b.tick, l.b.place, verbs, []Customer{{Allowance: 1e6, Was: 1}, {Allowance: 1e6, Was: -1}, {Allowance: 1e6, Was: 0}},
+	verbs[0].PreviousIndex, verbs[1].PreviousIndex = 0, 1
+	l.b.Configure(l.now, l.b.tick, l.b.place, verbs, []Customer{{Allowance: 1e6, PreviousIndex: 1}, {Allowance: 1e6, PreviousIndex: -1}, {Allowance: 1e6, PreviousIndex: 0}},
 		0.1, l.b.limits, l.b.cold, false)
 	if !held(0) || held(2) || held(1) {
 		t.Errorf("held are the one with the lock %t, the new one %t, the other %t", held(0), held(1), held(2))
@@ -349,7 +349,7 @@
 }
 
 func TestWhatFailsEverywhereCostsOneRelayEach(t *testing.T) {
-	l := newLoad(t, setup{backends: ready(6), limits: Limits{Relays: 4, SecondCopies: true, Cancel: true}})
+	l := newLoad(t, setup{backends: ready(6), limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true}})
 	l.took = func(cmd, key uint64) float64 {
 		if key == 7 {
 			return -0.01
@@ -381,7 +381,7 @@
 // so the others leave some.
 func TestCallsFromBelowFindAPlace(t *testing.T) {
 	begin := func(back bool) *load {
-		l := newLoad(t, setup{backends: ready(4), limits: Limits{Relays: 1, Cancel: true}})
+		l := newLoad(t, setup{backends: ready(4), limits: Limits{MaxRelays: 1, CancelRelays: true}})
 		l.took = func(_, key uint64) float64 { return 0.2 }
 		for i := range 1500 {
 			l.pass(0.02)
@@ -411,7 +411,7 @@
 // times that together, and every backend choked.
 func TestManyNeedLessRoomForChance(t *testing.T) {
 	out := func(siblings int) int {
-		l := newLoad(t, setup{backends: ready(siblings), place: Place{Siblings: siblings}, limits: Limits{Relays: 1}})
+		l := newLoad(t, setup{backends: ready(siblings), place: Placement{Instances: siblings}, limits: Limits{MaxRelays: 1}})
 		l.took = func(uint64, uint64) float64 { return 0.2 }
 		for range 1500 {
 			l.pass(0.1)
@@ -431,7 +431,7 @@
 // TestChanceMakesNoSort is the story of a quiet day on which one of 57 instances saw few commands of each customer in
 // five seconds, some of them ill by chance, and declined the rest of that customer's.
 func TestChanceMakesNoSort(t *testing.T) {
-	h := start(t, setup{customers: []Customer{{Allowance: 1e6, Was: -1}, {Allowance: 1e6, Was: -1}}, limits: Limits{Relays: 1}})
+	h := start(t, setup{customers: []Customer{{Allowance: 1e6, PreviousIndex: -1}, {Allowance: 1e6, PreviousIndex: -1}}, limits: Limits{MaxRelays: 1}})
 	for cmd := uint64(1); cmd <= 30; cmd++ {
 		customer, result := 0, Answered
 		if cmd%3 == 0 {
@@ -440,7 +440,7 @@
 		if customer == 1 && cmd > 18 { // the last four of ten
 			result = Errored
 		}
-		h.b.Command(h.now, cmd, 0, customer, h.now+6, 0)
+		h.b.CommandReceived(h.now, cmd, 0, customer, h.now+6, 0)
 		h.until(h.now + 0.02)
 		h.outcome(cmd, 0, result)
 	}
@@ -454,7 +454,7 @@
 // TestWhatIsOutAtEaseIsNoSpare is the story of a calm day with 270 proxies, on which those with several times the mean
 // traffic held or declined what has little utility while no backend had anything to do.
 func TestWhatIsOutAtEaseIsNoSpare(t *testing.T) {
-	l := newLoad(t, setup{backends: ready(70), place: Place{Siblings: 70}, limits: Limits{Relays: 1}})
+	l := newLoad(t, setup{backends: ready(70), place: Placement{Instances: 70}, limits: Limits{MaxRelays: 1}})
 	chance := rand.New(rand.NewPCG(1, 2))
 	l.took = func(uint64, uint64) float64 { return 0.1 + 0.2*chance.Float64() }
 	held := 0
@@ -462,7 +462,7 @@
 		l.pass(chance.ExpFloat64() / 40)
 		l.cmd++
 		seen := len(l.relays)
-		l.b.Command(l.now, l.cmd, 0, 0, l.now+6, 0) // verb 0 has a fifth of the utility of verb 1
+		l.b.CommandReceived(l.now, l.cmd, 0, 0, l.now+6, 0) // verb 0 has a fifth of the utility of verb 1
 		if len(l.relays) == seen {
 			held++
 		}
@@ -476,12 +476,12 @@
 // A host that knows the true limit tells of it by a relay that timed out, long before the limit that was told.
 func TestALimitToldLongEndsAtItsTrueEnd(t *testing.T) {
 	for _, off := range []float64{1.2, 4.8} {
-		h := start(t, setup{verb: Verb{Effect: Pure, Goal: 1, TimeLimit: 7, Utility: 1, Late: 0.2},
-			limits: Limits{Relays: 4, SecondCopies: true, Cancel: true, LeftOff: off}})
+		h := start(t, setup{verb: Verb{Effect: Pure, Goal: 1, TimeLimit: 7, Utility: 1, LateUtility: 0.2},
+			limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, DeadlineError: off}})
 		h.serve(1, 60, 0.1) // copies are learned
 		before := len(h.relays)
 		for cmd := uint64(101); cmd <= 140; cmd++ {
-			h.b.Command(h.now, cmd, 0, 0, h.now+2+off, 0) // its client waits for 2 s
+			h.b.CommandReceived(h.now, cmd, 0, 0, h.now+2+off, 0) // its client waits for 2 s
 		}
 		h.until(h.now + 2)
 		sent := len(h.relays)
@@ -511,10 +511,10 @@
 	for _, off := range []float64{-4, 0, 4} {
 		h := start(t, setup{})
 		b := h.b
-		b.Turn(h.now, b.tick, b.place, []Verb{b.verbs[0].Verb}, nil, 0.1, b.limits, Cold{Share: 0.2, Span: 10, Multiple: 3, Off: 4}, false)
+		b.Configure(h.now, b.tick, b.place, []Verb{b.verbs[0].Verb}, nil, 0.1, b.limits, ColdStart{InitialCapacity: 0.2, WarmUp: 10, OverloadMultiple: 3, StartError: 4}, false)
 		list := ready(6)
-		list[0].Started = h.now + off
-		b.Fleet(h.now, true, list)
+		list[0].StartedAt = h.now + off
+		b.UpdateBackends(h.now, true, list)
 		for from := h.now; h.now < from+13; h.until(h.now + 0.5) {
 			truth := 0.2 + 0.8*min(1, (h.now-from)/10) // of its capacity
 			if k := b.fleet[slices.IndexFunc(b.fleet, func(k *backend) bool { return k.ID == list[0].ID })]; b.part(k) > truth+1e-9 {
@@ -531,7 +531,7 @@
 	served, asked := [2]int{}, [2]int{}
 	for cmd := uint64(1); cmd <= 1200; cmd++ {
 		verb := int(cmd % 2)
-		h.b.Command(h.now, cmd, verb, 0, h.now+6, 0)
+		h.b.CommandReceived(h.now, cmd, verb, 0, h.now+6, 0)
 		h.until(h.now + 0.02*chance.Float64())
 		for n := 0; n < len(h.toOf(cmd)) && !h.ended[cmd]; n++ {
 			if to := h.toOf(cmd)[n]; verb == 1 && to[3] < 3 {
@@ -564,7 +564,7 @@
 		fresh := map[BackendID]bool{}
 		ended := 0
 		for cmd := uint64(1001); cmd <= 1100; cmd++ {
-			h.b.Command(h.now, cmd, 0, 0, h.now+3, 0)
+			h.b.CommandReceived(h.now, cmd, 0, 0, h.now+3, 0)
 			for n := 0; n < len(h.toOf(cmd)) && !h.ended[cmd]; n++ {
 				to := h.toOf(cmd)[n]
 				result := Answered
--- a/cmd/sandpass-control/client.go
+++ b/cmd/sandpass-control/client.go
@@ -20,7 +20,7 @@
 
 const (
 	waitPause    = 100 * time.Millisecond // between two looks at who is missing
-	documentMost = revision.DocumentMost + 1
+	documentMost = revision.MaxDocumentBytes + 1
 )
 
 // change is what apply and rollback have in common.
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	document, err := revision.Canonical(text)
+	document, err := revision.Canonicalize(text)
 	if err != nil {
 		return nil, usageError("%s: %w", path, err)
 	}
--- a/cmd/sandpass/failing_calls_test.go
+++ b/cmd/sandpass/failing_calls_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"sandpass/internal/injected"
+	"sandpass/internal/faultinject"
 )
 
 // change writes the configuration anew.
@@ -51,7 +51,7 @@
 	v.ops = free.Addr().String()
 	free.Close()
 	v.Cmd, v.out = sandpass(p.config, append([]string{"serve"}, args...)...)
-	v.Env = append(v.Env, "NODE_OPS="+v.ops, "TMPDIR="+p.dir, injected.Env+"="+rules)
+	v.Env = append(v.Env, "NODE_OPS="+v.ops, "TMPDIR="+p.dir, faultinject.Env+"="+rules)
 	if err := v.Start(); err != nil {
 		p.t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := newPlatform(t)
 			begin := func(rules string) *process {
-				t.Setenv(injected.Env, rules)
+				t.Setenv(faultinject.Env, rules)
 				v := p.start()
 				v.takes(t)
 				return v
@@ -301,7 +301,7 @@
 	p.socket.Close()
 	v := &process{ended: make(chan error, 1)}
 	v.Cmd, v.out = sandpass(p.config, "serve")
-	v.Env = append(v.Env, "NODE_OPS=127.0.0.1:0", "TMPDIR="+p.dir, injected.Env+"=socket@3-12=ENFILE") // the first two are the listeners'
+	v.Env = append(v.Env, "NODE_OPS=127.0.0.1:0", "TMPDIR="+p.dir, faultinject.Env+"=socket@3-12=ENFILE") // the first two are the listeners'
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sandpass/main.go
+++ b/cmd/sandpass/main.go
@@ -29,7 +29,7 @@
 )
 
 // readConfiguration reads the configuration and what the operators say beside it.
-func readConfiguration(path, words string) (*proxy.Launch, error) {
+func readConfiguration(path, words string) (*proxy.Config, error) {
 	if path == "" {
 		return nil, fmt.Errorf("no configuration: set NODE_CONFIG or give --config")
 	}
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l, err := proxy.Read(text)
+	l, err := proxy.ParseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -45,17 +45,17 @@
 		l.Ops = at
 	}
 	l.Socket = os.Getenv("NODE_SOCKET_FD")
-	if err := l.Heed(words); err != nil {
+	if err := l.LoadOperatorFile(words); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
 // readWithin reads the configuration, again and again for so long while the system lacks descriptors or memory.
-func readWithin(path, words string, long time.Duration) (*proxy.Launch, error) {
+func readWithin(path, words string, long time.Duration) (*proxy.Config, error) {
 	for until := time.Now().Add(long); ; time.Sleep(readPause) {
 		l, err := readConfiguration(path, words)
-		if !loop.Transient(err) || time.Now().After(until) {
+		if !loop.IsTransient(err) || time.Now().After(until) {
 			return l, err
 		}
 	}
@@ -73,7 +73,7 @@
 	var started atomic.Pointer[proxy.Proxy]
 	go followEnd(&asked, cancel, func() {
 		if p := started.Load(); p != nil {
-			p.Ring()
+			p.WakeUp()
 		}
 	})
 	p, err := start(ctx, path, words)
@@ -85,7 +85,7 @@
 		return err
 	}
 	started.Store(p)
-	p.OnMemory(func(bytes int64) { debug.SetMemoryLimit(int64(memoryPart * float64(bytes))) })
+	p.OnMemoryLimit(func(bytes int64) { debug.SetMemoryLimit(int64(memoryPart * float64(bytes))) })
 	go func() { // apart from the end, which must not wait for a file
 		for range reloadSignals {
 			reload(path, words, p)
@@ -97,7 +97,7 @@
 // start reads the configuration and makes the proxy; it waits for neither a file nor the kernel once the context has ended.
 func start(ctx context.Context, path, words string) (*proxy.Proxy, error) {
 	type result struct {
-		launch *proxy.Launch
+		launch *proxy.Config
 		err    error
 	}
 	read := make(chan result, 1)
--- a/cmd/sandpass/main_test.go
+++ b/cmd/sandpass/main_test.go
@@ -13,14 +13,14 @@
 	"testing"
 	"time"
 
-	"sandpass/internal/injected"
-	"sandpass/internal/warm"
+	"sandpass/internal/faultinject"
+	"sandpass/internal/snapshot"
 )
 
 // TestMain is the program itself where the environment says so.
 func TestMain(m *testing.M) {
 	if os.Getenv("SANDPASS_ITSELF") == "1" {
-		if err := injected.Install(); err != nil {
+		if err := faultinject.Install(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(2)
 		}
@@ -70,7 +70,7 @@
 	if err := os.WriteFile(ours, fmt.Appendf(nil, "[state]\nfolder = %q\nfleet = \"mill\"\n", foreign), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	theirs, err := warm.Encode(&warm.State{Fleet: "shop", Name: "n0"})
+	theirs, err := snapshot.Encode(&snapshot.State{Fleet: "shop", Name: "n0"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sandpass/start_test.go
+++ b/cmd/sandpass/start_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"sandpass/internal/injected"
+	"sandpass/internal/faultinject"
 )
 
 // configured writes the example's configuration with an address that is free, and gives both.
@@ -61,7 +61,7 @@
 			t.Parallel()
 			config, at := configured(t)
 			cmd, out := sandpass(config, "serve")
-			cmd.Env = append(cmd.Env, injected.Env+"="+rules)
+			cmd.Env = append(cmd.Env, faultinject.Env+"="+rules)
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -93,7 +93,7 @@
 func (r *recipe) over(base []byte) ([]byte, error) {
 	site := map[string]any{}
 	if err := toml.Unmarshal(base, &site); err != nil {
-		return nil, fmt.Errorf("base %s: %w", r.Base, tomlconfig.Placed(err))
+		return nil, fmt.Errorf("base %s: %w", r.Base, tomlconfig.WithPosition(err))
 	}
 	site["name"] = r.Name
 	for name, keys := range r.Tables {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -38,7 +38,7 @@
 		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.SecondCopies = false }}
 	}},
 	{"fixed", "the module with shares by all siblings there should be, whoever is there", func(h balance.Host, _ emulator.Sight, seed uint64, now float64) emulator.Policy {
-		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.Fixed = true }}
+		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.FixedInstances = true }}
 	}},
 	{"random", "any backend", plainly(random)},
 	{"robin", "one after another", plainly(robin)},
@@ -83,10 +83,10 @@
 }
 
 // Turn hands the settings on with the limits changed.
-func (m *limited) Turn(now, tick float64, place balance.Place, verbs []balance.Verb, customers []balance.Customer,
-	overage float64, limits balance.Limits, cold balance.Cold, mustAsk bool) {
+func (m *limited) Configure(now, tick float64, place balance.Placement, verbs []balance.Verb, customers []balance.Customer,
+	overage float64, limits balance.Limits, cold balance.ColdStart, mustAsk bool) {
 	m.change(&limits)
-	m.Balancer.Turn(now, tick, place, verbs, customers, overage, limits, cold, mustAsk)
+	m.Balancer.Configure(now, tick, place, verbs, customers, overage, limits, cold, mustAsk)
 }
 
 type server struct {
@@ -117,11 +117,11 @@
 	chance *rand.Rand
 	now    float64
 	tick   float64
-	place  balance.Place
+	place  balance.Placement
 	most   float64 // highest utility of a verb
 	verbs  []balance.Verb
 	limits balance.Limits
-	cold   balance.Cold
+	cold   balance.ColdStart
 	all    []*server
 	open   map[uint64]*request
 	wakes  map[uint64]uint64 // token to command
@@ -143,7 +143,7 @@
 
 func robin(p *plain, _ *request, from []*server) *server {
 	p.turn++
-	return from[(p.turn+p.place.Me)%len(from)]
+	return from[(p.turn+p.place.Index)%len(from)]
 }
 
 func leastOut(p *plain, _ *request, from []*server) *server {
@@ -189,7 +189,7 @@
 	if best != nil {
 		p.tokens++
 		p.wakes[p.tokens] = r.id
-		p.host.WakeAfter(looks, p.tokens)
+		p.host.StartTimer(looks, p.tokens)
 	}
 	return best
 }
@@ -201,32 +201,32 @@
 			continue
 		}
 		if _, _, speed, _ := p.sight.Look(x.to.ID); speed <= 0 {
-			if r.verb.Effect != balance.Effectful && p.limits.Cancel {
+			if r.verb.Effect != balance.Effectful && p.limits.CancelRelays {
 				p.host.Cancel(r.id, i)
 			}
 			continue
 		}
 		p.tokens++
 		p.wakes[p.tokens] = r.id
-		p.host.WakeAfter(looks, p.tokens)
+		p.host.StartTimer(looks, p.tokens)
 	}
 }
 
 // Turn is told the settings.
-func (p *plain) Turn(now, tick float64, place balance.Place, verbs []balance.Verb, _ []balance.Customer, _ float64,
-	limits balance.Limits, cold balance.Cold, mustAsk bool) {
+func (p *plain) Configure(now, tick float64, place balance.Placement, verbs []balance.Verb, _ []balance.Customer, _ float64,
+	limits balance.Limits, cold balance.ColdStart, mustAsk bool) {
 	p.now, p.tick, p.place, p.verbs, p.limits, p.cold, p.asks = now, tick, place, verbs, limits, cold, mustAsk
 	p.most = 1e-9
 	for _, v := range verbs {
 		p.most = max(p.most, v.Utility)
 	}
 	if mustAsk {
-		p.host.Watch()
+		p.host.WatchBackends()
 	}
 }
 
 // Fleet is told the list.
-func (p *plain) Fleet(now float64, whole bool, entries []balance.Entry) {
+func (p *plain) UpdateBackends(now float64, whole bool, entries []balance.Entry) {
 	p.now = now
 	named := map[balance.BackendID]bool{}
 	for _, e := range entries {
@@ -247,26 +247,26 @@
 }
 
 // ListFailed asks again after a while.
-func (p *plain) ListFailed(now float64) {
+func (p *plain) BackendListFailed(now float64) {
 	p.now = now
 	if p.asks {
 		p.tokens++
-		p.host.WakeAfter(1+p.chance.Float64(), p.tokens)
+		p.host.StartTimer(1+p.chance.Float64(), p.tokens)
 		p.wakes[p.tokens] = 0
 	}
 }
 
 // Heard is not used.
-func (p *plain) Received(now float64, _ int, _ []byte) { p.now = now }
+func (p *plain) MessageReceived(now float64, _ int, _ []byte) { p.now = now }
 
 // Command sends it at once.
-func (p *plain) Command(now float64, id uint64, verb, _ int, expires float64, _ uint64) {
+func (p *plain) CommandReceived(now float64, id uint64, verb, _ int, expires float64, _ uint64) {
 	p.now = now
 	r := &request{id: id, verb: &p.verbs[verb], expires: expires}
 	p.open[id] = r
 	p.tokens++
 	p.wakes[p.tokens] = id
-	p.host.WakeAfter(expires-now-late*p.tick, p.tokens)
+	p.host.StartTimer(expires-now-late*p.tick, p.tokens)
 	p.next(r)
 }
 
@@ -279,7 +279,7 @@
 		return true
 	}
 	first := r.sent[i]
-	if r.verb.Effect == balance.Effectful || p.now > first.at+r.verb.Window-p.tick {
+	if r.verb.Effect == balance.Effectful || p.now > first.at+r.verb.DedupWindow-p.tick {
 		return false
 	}
 	return r.verb.Scope == balance.ScopeAll || r.verb.Scope == balance.ScopeZone && s.Zone == first.to.Zone ||
@@ -291,7 +291,7 @@
 	for _, cold := range []bool{false, true} {
 		p.usable = p.usable[:0]
 		for _, s := range p.all {
-			warm := s.Started <= 0 || p.now-s.Started >= p.cold.Span
+			warm := s.StartedAt <= 0 || p.now-s.StartedAt >= p.cold.WarmUp
 			if warm != cold && p.may(r, s) {
 				p.usable = append(p.usable, s)
 			}
@@ -300,7 +300,7 @@
 			break
 		}
 	}
-	if len(p.usable) > 0 && len(r.sent) < p.limits.Relays && r.expires > p.now+2*p.tick {
+	if len(p.usable) > 0 && len(r.sent) < p.limits.MaxRelays && r.expires > p.now+2*p.tick {
 		if s := p.pick(p, r, p.usable); s != nil {
 			r.sent = append(r.sent, sentTo{to: s, out: true, at: p.now})
 			r.out++
@@ -313,7 +313,7 @@
 		!slices.ContainsFunc(r.sent, func(x sentTo) bool { return !x.never })
 	r.done = true
 	if harmless {
-		p.host.Decline(r.id, min(p.limits.ComeBack, comeBack*r.verb.Goal))
+		p.host.Decline(r.id, min(p.limits.MaxRetryAfter, comeBack*r.verb.Goal))
 	} else {
 		p.host.Terminate(r.id)
 	}
@@ -327,7 +327,7 @@
 }
 
 // Outcome is told how a relay ended.
-func (p *plain) Outcome(now float64, id uint64, n int, result balance.Result, _ float64, final bool, _ balance.Load) {
+func (p *plain) RelayEnded(now float64, id uint64, n int, result balance.Result, _ float64, final bool, _ balance.LoadReport) {
 	p.now = now
 	r := p.open[id]
 	if r == nil || n >= len(r.sent) || !r.sent[n].out {
@@ -346,7 +346,7 @@
 }
 
 // Departed is told that nothing is owed any more.
-func (p *plain) Departed(now float64, id uint64) {
+func (p *plain) ClientDisconnected(now float64, id uint64) {
 	p.now = now
 	if r := p.open[id]; r != nil {
 		p.stop(r)
@@ -356,7 +356,7 @@
 func (p *plain) stop(r *request) {
 	r.done = true
 	for i, x := range r.sent {
-		if x.out && p.limits.Cancel {
+		if x.out && p.limits.CancelRelays {
 			p.host.Cancel(r.id, i)
 		}
 	}
@@ -364,12 +364,12 @@
 }
 
 // Wake is a time limit that is near, or a list to be asked for.
-func (p *plain) Wake(now float64, token uint64) {
+func (p *plain) TimerFired(now float64, token uint64) {
 	p.now = now
 	id, ok := p.wakes[token]
 	delete(p.wakes, token)
 	if ok && id == 0 {
-		p.host.Watch()
+		p.host.WatchBackends()
 	}
 	if r := p.open[id]; r != nil && !r.done && now < r.expires-(late+0.5)*p.tick {
 		p.watch(r)
--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -42,7 +42,7 @@
 
 var results = map[uint16]balance.Result{
 	100: balance.Answered, 301: balance.Errored, 302: balance.Full, 303: balance.TimedOut,
-	304: balance.Unconnected, 305: balance.Reset, 306: balance.Cancelled, 307: balance.Moot,
+	304: balance.ConnectFailed, 305: balance.Reset, 306: balance.Cancelled, 307: balance.NotSent,
 }
 
 // host writes an instance's actions into the reply being built.
@@ -85,18 +85,18 @@
 	h.u64(cmd)
 }
 
-func (h *host) WakeAfter(seconds float64, token uint64) {
+func (h *host) StartTimer(seconds float64, token uint64) {
 	h.record(outDefer, 16)
 	h.f64(seconds * 1000)
 	h.u64(token)
 }
 
-func (h *host) Watch() {
+func (h *host) WatchBackends() {
 	h.record(outStream, 1)
 	*h.reply = append(*h.reply, 1)
 }
 
-func (h *host) Send(to int, text []byte) {
+func (h *host) SendToPeer(to int, text []byte) {
 	h.record(outSignal, 6+len(text))
 	*h.reply = binary.LittleEndian.AppendUint32(*h.reply, uint32(to))
 	*h.reply = binary.LittleEndian.AppendUint16(*h.reply, uint16(len(text)))
@@ -205,8 +205,8 @@
 			default:
 				return fmt.Errorf("list status %d is unknown", status)
 			}
-			e.Size = float64(math.Float32frombits(f.u32()))
-			e.Started = f.seconds()
+			e.Capacity = float64(math.Float32frombits(f.u32()))
+			e.StartedAt = f.seconds()
 			list = append(list, e)
 		}
 		l.lists[ref], l.listed[ref] = list, true
@@ -240,28 +240,28 @@
 			return fmt.Errorf("list kind %d is unknown", kind)
 		}
 		if kind == 3 {
-			call = func() { at.ListFailed(now) }
+			call = func() { at.BackendListFailed(now) }
 			break
 		}
 		if ref >= 16 || !l.listed[ref] {
 			return fmt.Errorf("list number %d was never given", ref)
 		}
-		call = func() { at.Fleet(now, kind != 0, l.lists[ref]) }
+		call = func() { at.UpdateBackends(now, kind != 0, l.lists[ref]) }
 	case inAccept:
 		cmd, expires, verb := f.u64(), f.seconds(), int(f.u16())
 		key := f.u64()
 		f.u64() // expected work
 		customer := int(f.u16())
 		f.u16() // state bits
-		if at.Balancer != nil && verb >= at.Verbs() {
+		if at.Balancer != nil && verb >= at.VerbCount() {
 			return fmt.Errorf("verb %d is not in the settings", verb)
 		}
-		call = func() { at.Command(now, cmd, verb, customer, expires, key) }
+		call = func() { at.CommandReceived(now, cmd, verb, customer, expires, key) }
 	case inStarted:
 		cmd, n := f.u64(), int(f.u16())
 		f.backend()
 		f.u64()
-		call = func() { at.Started(now, cmd, n) }
+		call = func() { at.StreamStarted(now, cmd, n) }
 	case inReply:
 		cmd, n := f.u64(), int(f.u16())
 		f.backend()
@@ -270,13 +270,13 @@
 		if !ok && !f.short {
 			return fmt.Errorf("outcome %d is unknown", code)
 		}
-		call = func() { at.Outcome(now, cmd, n, result, took, final, load) }
+		call = func() { at.RelayEnded(now, cmd, n, result, took, final, load) }
 	case inGone:
 		cmd := f.u64()
-		call = func() { at.Departed(now, cmd) }
+		call = func() { at.ClientDisconnected(now, cmd) }
 	case inBell:
 		token := f.u64()
-		call = func() { at.Wake(now, token) }
+		call = func() { at.TimerFired(now, token) }
 	case inHealth:
 		f.backend()
 		code := f.u16()
@@ -288,7 +288,7 @@
 	case inNeighbour:
 		from := int(f.u16())
 		text := f.bytes(int(f.u16()))
-		call = func() { at.Received(now, from, text) }
+		call = func() { at.MessageReceived(now, from, text) }
 	default:
 		return errors.New("the code is unknown")
 	}
@@ -324,8 +324,8 @@
 	return id
 }
 
-func (f *fields) load(h *host) balance.Load {
-	load := balance.Load{Active: -1, Waiting: -1, CPU: -1, Took: -1}
+func (f *fields) load(h *host) balance.LoadReport {
+	load := balance.LoadReport{Active: -1, Waiting: -1, CPU: -1, Latency: -1}
 	for i := range int(f.u8()) {
 		v := float64(math.Float32frombits(f.u32()))
 		if h == nil || i >= len(h.fields) {
@@ -339,7 +339,7 @@
 		case "cpu":
 			load.CPU = v
 		case "avg_ms":
-			load.Took = v / 1000
+			load.Latency = v / 1000
 		}
 	}
 	return load
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,12 +8,12 @@
 	if d, known := later.Since(first); !known || d < 0 || d > 60 {
 		t.Errorf("%v after %v: %.3f s, known %t", later, first, d, known)
 	}
-	for _, before := range []Mark{{}, {Boot: "another", Seconds: 1}, {Boot: later.Boot, Seconds: later.Seconds + 1}} {
+	for _, before := range []Time{{}, {BootID: "another", Seconds: 1}, {BootID: later.BootID, Seconds: later.Seconds + 1}} {
 		if _, known := later.Since(before); known {
 			t.Errorf("%v is known to be after %v", later, before)
 		}
 	}
-	if _, known := (Mark{}).Since(Mark{}); known {
+	if _, known := (Time{}).Since(Time{}); known {
 		t.Error("two moments of no known run")
 	}
 }
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	scopesMost  = 5                                        // kinds of scopes
-	messageMost = scopesMost*revision.DocumentMost + 1<<16 // bytes of an update
-	tasksMost   = 1024                                     // and how many of them
-	waitingMost = 2 * messageMost                          // bytes of updates that wait to be looked at
-	spread      = 0.5                                      // seconds over which the proxies of a lost replica come back
+	scopesMost  = 5                                            // kinds of scopes
+	messageMost = scopesMost*revision.MaxDocumentBytes + 1<<16 // bytes of an update
+	tasksMost   = 1024                                         // and how many of them
+	waitingMost = 2 * messageMost                              // bytes of updates that wait to be looked at
+	spread      = 0.5                                          // seconds over which the proxies of a lost replica come back
 )
 
 var (
@@ -42,21 +42,21 @@
 	Replicas []netip.AddrPort // the preferred one first
 	Folder   string           // where it is saved, empty: nowhere
 	// Local is the proxy's own configuration, over which the held one is laid. Any goroutine calls it.
-	Local func() Reloadable
+	Local func() ReloadableConfig
 	// Check tells what is wrong with a configuration, if anything. It is never called on the loop.
-	Check func(Reloadable) error
+	Check func(ReloadableConfig) error
 }
 
 // Client watches one proxy's configuration. A nil Client does nothing.
 type Client struct {
 	config   Config
-	follower *Follower // belongs to the worker once it runs
-	start    Reloadable
+	follower *StateMachine // belongs to the worker once it runs
+	start    ReloadableConfig
 
 	// On the loop.
 	loop     *loop.Loop
 	watch    *watch.Client
-	takeOver func(Reloadable) error
+	takeOver func(ReloadableConfig) error
 	paused   bool
 	opened   bool
 	received []byte  // the update decoded last
@@ -79,11 +79,11 @@
 // New reads what was saved. It is an error where the folder is another fleet's; whatever else is wrong is a line in the
 // log, and the proxy's own file counts.
 func New(config Config) (*Client, error) {
-	c := &Client{config: config, follower: NewFollower(config.Identity, config.Folder != ""), start: config.Local()}
+	c := &Client{config: config, follower: NewStateMachine(config.Identity, config.Folder != ""), start: config.Local()}
 	c.worker.init()
 	if config.Folder != "" {
 		saved, err := c.file().load()
-		var foreign *statefile.Foreign
+		var foreign *statefile.FleetMismatchError
 		if errors.As(err, &foreign) {
 			return nil, err
 		}
@@ -100,7 +100,7 @@
 
 // restore has the proxy start with what was saved.
 func (c *Client) restore(saved Configuration) {
-	if c.follower.Reread(saved).Step != Check {
+	if c.follower.Loaded(saved).Step != Check {
 		return
 	}
 	laid, err := c.check(saved)
@@ -108,16 +108,16 @@
 		log.Printf("msg=config_not_taken revision=%d error=%q", saved.Revision, err)
 		return
 	}
-	c.follower.TakenOver(nil)
+	c.follower.Applied(nil)
 	c.start = laid
 	log.Printf("msg=config_restored revision=%d checksum=%.12s", saved.Revision, saved.Checksum)
 }
 
 // Start is the configuration with which the proxy starts.
-func (c *Client) Start() Reloadable { return c.start }
+func (c *Client) InitialConfig() ReloadableConfig { return c.start }
 
 // check lays a configuration over the proxy's own and checks that.
-func (c *Client) check(candidate Configuration) (Reloadable, error) {
+func (c *Client) check(candidate Configuration) (ReloadableConfig, error) {
 	laid, err := c.config.Local().Overlay(candidate.Effective)
 	if err == nil {
 		err = c.config.Check(laid)
@@ -127,7 +127,7 @@
 
 // Run begins the work, on the loop's goroutine or before it runs. takeOver is called on the loop with a configuration that
 // Check found good; Turn must be called in each turn from now on. The watch is opened by Open.
-func (c *Client) Run(l *loop.Loop, takeOver func(Reloadable) error) {
+func (c *Client) Start(l *loop.Loop, takeOver func(ReloadableConfig) error) {
 	if c == nil {
 		return
 	}
@@ -135,8 +135,8 @@
 	c.started = l.Now()
 	c.since = c.started
 	jitter := c.jitter()
-	c.watch = watch.New(l, owner{c}, watch.Config{Servers: spreadOut(c.config.Replicas, jitter), Most: messageMost, Body: true,
-		Spread: spread, Chance: jitter.Float64})
+	c.watch = watch.New(l, owner{c}, watch.Config{Servers: spreadOut(c.config.Replicas, jitter), MaxObjectBytes: messageMost, StreamRequest: true,
+		ReconnectSpread: spread, Random: jitter.Float64})
 	c.worker.done.Go(c.work)
 }
 
@@ -174,35 +174,35 @@
 // Resume goes on after Pause, from what the other process has saved.
 func (c *Client) Resume() {
 	if c != nil && c.paused {
-		c.Reread()
+		c.ReloadSaved()
 		c.Open()
 	}
 }
 
 // Reread takes over what lies on the disk, where that is newer than what is in force.
-func (c *Client) Reread() {
+func (c *Client) ReloadSaved() {
 	if c != nil {
 		c.worker.put(task{kind: reread})
 	}
 }
 
 // Reload lays what is held over the proxy's own configuration again, which has changed. Any goroutine may call it.
-func (c *Client) Reload() { c.worker.put(task{kind: localChanged}) }
+func (c *Client) ReloadLocal() { c.worker.put(task{kind: localChanged}) }
 
 // Settled tells that nothing waits to be looked at or taken over.
-func (c *Client) Settled() bool { return c == nil || c.worker.idle() }
+func (c *Client) Idle() bool { return c == nil || c.worker.idle() }
 
 // Turn does on the loop what the worker has asked for.
-func (c *Client) Turn() {
+func (c *Client) RunPending() {
 	if c != nil {
 		c.calls.run()
 	}
 }
 
 // Sweep gives up a connection that is silent; it is called every 0.25 s at least.
-func (c *Client) Sweep(now float64) {
+func (c *Client) CheckLiveness(now float64) {
 	if c != nil && c.opened {
-		c.watch.Sweep(now)
+		c.watch.CheckLiveness(now)
 	}
 }
 
@@ -227,13 +227,13 @@
 type owner struct{ *Client }
 
 // Request is the head of the watch's request.
-func (o owner) Request(to netip.AddrPort) []byte {
+func (o owner) RequestHead(to netip.AddrPort) []byte {
 	return []byte("POST " + revision.WatchPath + " HTTP/1.1\r\nHost: " + to.String() +
 		"\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
 // First says who the proxy is and what it holds.
-func (o owner) First() []byte { return encode(o.public.Load().hello) }
+func (o owner) FirstMessage() []byte { return encode(o.public.Load().hello) }
 
 // Decode keeps a copy: what is in it is looked at by the worker.
 func (o owner) Decode(object []byte) error {
@@ -242,7 +242,7 @@
 }
 
 // Take hands an update to the worker.
-func (o owner) Take() error {
+func (o owner) Apply() error {
 	text := o.received
 	o.Client.received = nil
 	if !o.worker.put(task{kind: update, text: text}) {
@@ -252,13 +252,13 @@
 }
 
 // Returned says that a replica answers again.
-func (o owner) Returned() { log.Printf("msg=config_watch_back replica=%s", o.watch.Server()) }
+func (o owner) Reconnected() { log.Printf("msg=config_watch_back replica=%s", o.watch.Server()) }
 
 // Lost says that no replica is connected.
-func (o owner) Lost(err error, news bool) {
+func (o owner) Disconnected(err error, news bool) {
 	o.Client.lost = err.Error()
 	if news {
-		log.Printf("msg=config_watch_lost replica=%s error=%q byte=%d", o.watch.Server(), err, o.watch.BodyBytes())
+		log.Printf("msg=config_watch_lost replica=%s error=%q byte=%d", o.watch.Server(), err, o.watch.BodyBytesReceived())
 	}
 }
 
--- a/internal/configwatch/client_test.go
+++ b/internal/configwatch/client_test.go
@@ -74,17 +74,17 @@
 	*Client
 	todo    chan func()
 	checks  chan chan error // each check waits for what the test sends
-	taken   chan Reloadable
+	taken   chan ReloadableConfig
 	running chan bool
 }
 
 func newLooped(t *testing.T, folder string) *looped {
 	t.Helper()
-	r := &looped{todo: make(chan func(), 1), checks: make(chan chan error), taken: make(chan Reloadable, 10), running: make(chan bool)}
+	r := &looped{todo: make(chan func(), 1), checks: make(chan chan error), taken: make(chan ReloadableConfig, 10), running: make(chan bool)}
 	var err error
 	r.Client, err = New(Config{Identity: identity, Replicas: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Folder: folder,
-		Local: func() Reloadable { return Reloadable{Settings: []byte(`{"settings":0}`)} },
-		Check: func(Reloadable) error {
+		Local: func() ReloadableConfig { return ReloadableConfig{Settings: []byte(`{"settings":0}`)} },
+		Check: func(ReloadableConfig) error {
 			answer := make(chan error)
 			r.checks <- answer
 			return <-answer
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Run(l, func(laid Reloadable) error { r.taken <- laid; return nil })
+	r.Start(l, func(laid ReloadableConfig) error { r.taken <- laid; return nil })
 	go func() {
 		defer close(r.running)
 		l.Run(func() {
@@ -105,7 +105,7 @@
 				f()
 			default:
 			}
-			r.Turn()
+			r.RunPending()
 		})
 	}()
 	t.Cleanup(func() {
@@ -120,7 +120,7 @@
 func (r *looped) do(f func()) {
 	done := make(chan bool)
 	r.todo <- func() { f(); close(done) }
-	r.loop.Ring()
+	r.loop.WakeUp()
 	<-done
 }
 
@@ -129,17 +129,17 @@
 func TestNothingNewerIsTakenOverWhilePaused(t *testing.T) {
 	r := newLooped(t, t.TempDir())
 	first := revision.Update{Revision: 1, Checksum: sum(t, `{"settings":{"a":1}}`), Scopes: []revision.Change{
-		{Scope: revision.Fleet, Number: 1, Document: revision.Document(`{"settings":{"a":1}}`)}}}
+		{Scope: revision.FleetScope, Number: 1, Document: revision.Document(`{"settings":{"a":1}}`)}}}
 	r.do(r.Open)
 	r.worker.put(task{kind: update, text: encoded(first)})
 	check := <-r.checks
-	if r.Settled() {
+	if r.Idle() {
 		t.Error("nothing waits, it says, with a check under way")
 	}
 	r.do(r.Pause)
 	check <- nil
 	r.do(func() {}) // and the turn in which it would be taken over
-	for !r.Settled() {
+	for !r.Idle() {
 		runtime.Gosched()
 	}
 	if len(r.taken) > 0 || r.public.Load().hello.Revision != 0 {
--- a/internal/configwatch/configuration.go
+++ b/internal/configwatch/configuration.go
@@ -16,37 +16,37 @@
 // Configuration is what a proxy holds from the control replicas. The zero value holds nothing: the proxy's own file counts.
 type Configuration struct {
 	Revision  revision.Number
-	Held      []revision.Held   // in the order of merging, with documents
-	Effective revision.Document // of all of them
-	Checksum  string            // of Effective
+	Documents []revision.ScopeDocument // in the order of merging, with documents
+	Effective revision.Document        // of all of them
+	Checksum  string                   // of Effective
 }
 
 // newConfiguration merges what is held.
-func newConfiguration(identity revision.Identity, number revision.Number, held []revision.Held) (Configuration, error) {
-	effective, err := revision.Effective(identity, held)
+func newConfiguration(identity revision.Identity, number revision.Number, held []revision.ScopeDocument) (Configuration, error) {
+	effective, err := revision.EffectiveDocument(identity, held)
 	if err != nil {
 		return Configuration{}, err
 	}
-	return Configuration{Revision: number, Held: held, Effective: effective, Checksum: revision.Checksum(effective)}, nil
+	return Configuration{Revision: number, Documents: held, Effective: effective, Checksum: revision.Checksum(effective)}, nil
 }
 
 // numbers is what is held without the documents.
-func (c Configuration) numbers() []revision.Held {
-	var held []revision.Held
-	for _, one := range c.Held {
-		held = append(held, revision.Held{Scope: one.Scope, Number: one.Number})
+func (c Configuration) numbers() []revision.ScopeDocument {
+	var held []revision.ScopeDocument
+	for _, one := range c.Documents {
+		held = append(held, revision.ScopeDocument{Scope: one.Scope, Number: one.Number})
 	}
 	return held
 }
 
 // of gives what is held of a scope.
-func (c Configuration) of(scope revision.Scope) revision.Held {
-	for _, one := range c.Held {
+func (c Configuration) of(scope revision.Scope) revision.ScopeDocument {
+	for _, one := range c.Documents {
 		if one.Scope == scope {
 			return one
 		}
 	}
-	return revision.Held{Scope: scope, Document: revision.Empty}
+	return revision.ScopeDocument{Scope: scope, Document: revision.EmptyDocument}
 }
 
 // has tells whether an update brings nothing that is not there.
@@ -81,9 +81,9 @@
 
 // updated gives the configuration after an update, or tells in one line with the place why it does not follow.
 func (c Configuration) updated(identity revision.Identity, update *revision.Update) (Configuration, error) {
-	after := map[revision.Scope]revision.Held{}
-	if !update.Whole {
-		for _, one := range c.Held {
+	after := map[revision.Scope]revision.ScopeDocument{}
+	if !update.Full {
+		for _, one := range c.Documents {
 			after[one.Scope] = one
 		}
 	}
@@ -103,7 +103,7 @@
 		seen[change.Scope] = true
 		after[change.Scope] = held
 	}
-	var held []revision.Held
+	var held []revision.ScopeDocument
 	for _, scope := range scopes { // what is held of others, before the proxy was moved, counts no more
 		if one, ok := after[scope]; ok {
 			held = append(held, one)
@@ -117,9 +117,9 @@
 }
 
 // changed gives one scope's document after a change.
-func (c Configuration) changed(update *revision.Update, change revision.Change) (revision.Held, error) {
+func (c Configuration) changed(update *revision.Update, change revision.Change) (revision.ScopeDocument, error) {
 	before := c.of(change.Scope)
-	after := revision.Held{Scope: change.Scope, Number: change.Number}
+	after := revision.ScopeDocument{Scope: change.Scope, Number: change.Number}
 	patched, whole := len(change.Patch) > 0, len(change.Document) > 0
 	switch {
 	case change.Number == 0 || change.Number > update.Revision:
@@ -128,22 +128,22 @@
 		return after, fmt.Errorf("number %d is below %d, which is held", change.Number, before.Number)
 	case patched == whole:
 		return after, errors.New("one of patch and document is needed")
-	case patched && update.Whole:
+	case patched && update.Full:
 		return after, errors.New("a patch where the whole is due")
 	case patched && change.From != before.Number:
 		return after, fmt.Errorf("a patch of %d, and %d is held", change.From, before.Number)
 	}
 	var err error
 	if patched {
-		after.Document, err = revision.Patch(before.Document, change.Patch)
+		after.Document, err = revision.ApplyPatch(before.Document, change.Patch)
 	} else {
-		after.Document, err = revision.Canonical(change.Document)
+		after.Document, err = revision.Canonicalize(change.Document)
 	}
 	return after, err
 }
 
 // Reloadable is the part of a proxy's configuration that it takes over while it runs, and that a revision may set.
-type Reloadable struct {
+type ReloadableConfig struct {
 	Discovery string          `json:"discovery"`
 	Peers     []string        `json:"peers"`
 	Settings  json.RawMessage `json:"settings"`
@@ -153,8 +153,8 @@
 var reloadableKeys = []string{"discovery", "peers", "settings"}
 
 // Overlay lays a document over it by RFC 7396. A key that needs a start is an error.
-func (r Reloadable) Overlay(effective revision.Document) (Reloadable, error) {
-	if len(effective) == 0 || bytes.Equal(effective, revision.Empty) {
+func (r ReloadableConfig) Overlay(effective revision.Document) (ReloadableConfig, error) {
+	if len(effective) == 0 || bytes.Equal(effective, revision.EmptyDocument) {
 		return r, nil
 	}
 	var keys map[string]json.RawMessage
@@ -174,7 +174,7 @@
 	if err != nil {
 		return r, fmt.Errorf("merge patch: %w", err)
 	}
-	var laid Reloadable
+	var laid ReloadableConfig
 	if err := json.Unmarshal(merged, &laid); err != nil {
 		return r, err
 	}
--- a/internal/configwatch/file.go
+++ b/internal/configwatch/file.go
@@ -9,14 +9,14 @@
 )
 
 // form is the file in which a proxy keeps what it holds.
-var form = statefile.Form{Name: "sandpass-config", Version: 1, Suffix: ".config", What: "a saved configuration"}
+var form = statefile.Format{Name: "sandpass-config", Version: 1, Suffix: ".config", Description: "a saved configuration"}
 
 // saved is the file's body.
 type saved struct {
-	Fleet    string          `json:"fleet"`
-	Name     string          `json:"name"`
-	Revision revision.Number `json:"revision"`
-	Held     []revision.Held `json:"held"`
+	Fleet    string                   `json:"fleet"`
+	Name     string                   `json:"name"`
+	Revision revision.Number          `json:"revision"`
+	Held     []revision.ScopeDocument `json:"held"`
 }
 
 // file is where one proxy's configuration lies.
@@ -42,10 +42,10 @@
 		return Configuration{}, fmt.Errorf("%s: its body: %w", f.path(), err)
 	}
 	if s.Fleet != f.identity.Fleet {
-		return Configuration{}, &statefile.Foreign{Folder: f.folder, Fleet: s.Fleet, Ours: f.identity.Fleet}
+		return Configuration{}, &statefile.FleetMismatchError{Folder: f.folder, Fleet: s.Fleet, WantFleet: f.identity.Fleet}
 	}
 	for i, one := range s.Held {
-		document, err := revision.Canonical(one.Document)
+		document, err := revision.Canonicalize(one.Document)
 		if err != nil {
 			return Configuration{}, fmt.Errorf("%s: held[%d] %s: %w", f.path(), i, one.Scope, err)
 		}
@@ -61,11 +61,11 @@
 // save writes the configuration, unless a newer one lies there already, as another process of the same name may have
 // written it. It returns once the disk has it.
 func (f file) save(c Configuration) error {
-	body, err := json.Marshal(saved{Fleet: f.identity.Fleet, Name: f.identity.Proxy, Revision: c.Revision, Held: c.Held})
+	body, err := json.Marshal(saved{Fleet: f.identity.Fleet, Name: f.identity.Proxy, Revision: c.Revision, Held: c.Documents})
 	if err != nil {
 		return err
 	}
-	_, err = statefile.Replace(f.path(), form.Encode(body), func() bool {
+	_, err = statefile.ReplaceIf(f.path(), form.Encode(body), func() bool {
 		present, err := f.load()
 		return err != nil || present.Revision <= c.Revision // one that can't be read is of no use
 	})
--- a/internal/configwatch/file_test.go
+++ b/internal/configwatch/file_test.go
@@ -25,7 +25,7 @@
 	}
 	other := at
 	other.identity.Fleet = "mill"
-	var foreign *statefile.Foreign
+	var foreign *statefile.FleetMismatchError
 	if _, err := other.load(); !errors.As(err, &foreign) {
 		t.Errorf("a folder of another fleet: %v", err)
 	}
--- a/internal/configwatch/follower_test.go
+++ b/internal/configwatch/follower_test.go
@@ -23,8 +23,8 @@
 // holds is a configuration with one document for the fleet and one for the zone, as of revision 3.
 func holds(t testing.TB) Configuration {
 	t.Helper()
-	c, err := newConfiguration(identity, 3, []revision.Held{
-		{Scope: revision.Fleet, Number: 1, Document: revision.Document(`{"settings":{"a":1,"b":1}}`)},
+	c, err := newConfiguration(identity, 3, []revision.ScopeDocument{
+		{Scope: revision.FleetScope, Number: 1, Document: revision.Document(`{"settings":{"a":1,"b":1}}`)},
 		{Scope: zone, Number: 3, Document: revision.Document(`{"settings":{"b":3}}`)},
 	})
 	if err != nil {
@@ -33,8 +33,8 @@
 	return c
 }
 
-func following(c Configuration, keeps bool) *Follower {
-	f := NewFollower(identity, keeps)
+func following(c Configuration, keeps bool) *StateMachine {
+	f := NewStateMachine(identity, keeps)
 	f.inForce, f.newest = c, c.Revision
 	return f
 }
@@ -79,26 +79,26 @@
 			}
 			step = f.Saved(nil)
 		}
-		if step.Step != TakeOver || f.InForce().Revision != 3 {
+		if step.Step != Apply || f.InForce().Revision != 3 {
 			t.Fatalf("%+v with %d in force", step, f.InForce().Revision)
 		}
-		end := f.TakenOver(nil)
+		end := f.Applied(nil)
 		want := &revision.Report{Revision: 4, Verdict: revision.InForce, Checksum: good(t).Checksum}
 		if end.Step != Idle || !reflect.DeepEqual(end.Report, want) || f.InForce().Revision != 4 || f.Counts() != (Counts{InForce: 1}) {
 			t.Errorf("%+v, %+v", end.Report, f.Counts())
 		}
 		hello := f.Hello()
-		if hello.Revision != 4 || len(hello.Held) != 2 || hello.Held[1].Number != 4 || hello.Held[1].Document != nil {
+		if hello.Revision != 4 || len(hello.Documents) != 2 || hello.Documents[1].Number != 4 || hello.Documents[1].Document != nil {
 			t.Errorf("%+v", hello)
 		}
 	}
 }
 
 func TestWhatFailsLeavesWhatWasInForce(t *testing.T) {
-	for name, fail := range map[string]func(f *Follower) Outcome{
-		"the check":    func(f *Follower) Outcome { return f.Checked(errRefused) },
-		"the disk":     func(f *Follower) Outcome { f.Checked(nil); return f.Saved(errRefused) },
-		"the takeover": func(f *Follower) Outcome { f.Checked(nil); f.Saved(nil); return f.TakenOver(errRefused) },
+	for name, fail := range map[string]func(f *StateMachine) Decision{
+		"the check":    func(f *StateMachine) Decision { return f.Checked(errRefused) },
+		"the disk":     func(f *StateMachine) Decision { f.Checked(nil); return f.Saved(errRefused) },
+		"the takeover": func(f *StateMachine) Decision { f.Checked(nil); f.Saved(nil); return f.Applied(errRefused) },
 	} {
 		f := following(holds(t), true)
 		f.Received(encoded(good(t)))
@@ -119,9 +119,9 @@
 func TestWhatDoesNotFollowIsUnknown(t *testing.T) {
 	document := revision.Document(`{"settings":{"b":4,"c":4}}`)
 	whole := func(u *revision.Update) {
-		u.Whole = true
+		u.Full = true
 		u.Scopes = []revision.Change{
-			{Scope: revision.Fleet, Number: 1, Document: revision.Document(`{"settings":{"a":1,"b":1}}`)},
+			{Scope: revision.FleetScope, Number: 1, Document: revision.Document(`{"settings":{"a":1,"b":1}}`)},
 			{Scope: zone, Number: 4, Document: document},
 		}
 	}
@@ -140,7 +140,7 @@
 		"a number above":     {func(u *revision.Update) { u.Scopes[0].Number = 5 }, "number 5 in an update to revision 4", false},
 		"no change":          {func(u *revision.Update) { u.Scopes[0].Patch = nil }, "one of patch and document", false},
 		"both":               {func(u *revision.Update) { u.Scopes[0].Document = document }, "one of patch and document", false},
-		"a patch in a whole": {func(u *revision.Update) { u.Whole = true }, "a patch where the whole is due", true},
+		"a patch in a whole": {func(u *revision.Update) { u.Full = true }, "a patch where the whole is due", true},
 		"twice": {func(u *revision.Update) { u.Scopes = append(u.Scopes, u.Scopes[0]) },
 			"scopes[1] zone:eu-1: it comes twice", false},
 		"back":            {func(u *revision.Update) { u.Revision, u.Scopes[0].Number = 2, 2 }, "revision 2 is below 3", false},
@@ -155,10 +155,10 @@
 		}, "nested", true},
 		"too large": {func(u *revision.Update) {
 			whole(u)
-			u.Scopes[1].Document = revision.Document(`{"a":"` + strings.Repeat("x", revision.DocumentMost) + `"}`)
+			u.Scopes[1].Document = revision.Document(`{"a":"` + strings.Repeat("x", revision.MaxDocumentBytes) + `"}`)
 		}, "are allowed", true},
 		"too large as a patch": {func(u *revision.Update) {
-			u.Scopes[0].Patch = revision.Document(`{"a":"` + strings.Repeat("x", revision.DocumentMost) + `"}`)
+			u.Scopes[0].Patch = revision.Document(`{"a":"` + strings.Repeat("x", revision.MaxDocumentBytes) + `"}`)
 		}, "are allowed", false},
 		"too large together": {func(u *revision.Update) {
 			whole(u)
@@ -170,8 +170,8 @@
 		c.spoil(&update)
 		end := f.Received(encoded(update))
 		if end.Step != Idle || end.Report.Verdict != revision.Unknown || end.Report.Revision != update.Revision ||
-			!strings.Contains(end.Report.Reason, c.reason) || (end.GiveUp != nil) != c.giveUp {
-			t.Errorf("%s: %+v, given up %v", name, end.Report, end.GiveUp)
+			!strings.Contains(end.Report.Reason, c.reason) || (end.ReconnectReason != nil) != c.giveUp {
+			t.Errorf("%s: %+v, given up %v", name, end.Report, end.ReconnectReason)
 		}
 		if !reflect.DeepEqual(f.InForce(), holds(t)) || f.Counts() != (Counts{Unknown: 1}) {
 			t.Errorf("%s: %+v", name, f.InForce())
@@ -185,8 +185,8 @@
 		f := following(holds(t), true)
 		end := f.Received([]byte(text))
 		if end.Step != Idle || end.Report.Verdict != revision.Unknown || !strings.Contains(end.Report.Reason, reason) ||
-			end.GiveUp == nil {
-			t.Errorf("%s: %+v, given up %v", text, end.Report, end.GiveUp)
+			end.ReconnectReason == nil {
+			t.Errorf("%s: %+v, given up %v", text, end.Report, end.ReconnectReason)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 	f.Received(encoded(good(t)))
 	f.Checked(nil)
 	f.Saved(nil)
-	f.TakenOver(nil)
+	f.Applied(nil)
 	end := f.Received(encoded(good(t)))
 	if end.Step != Idle || end.Report.Verdict != revision.InForce || end.Report.Revision != 4 {
 		t.Errorf("%+v", end.Report)
@@ -207,15 +207,15 @@
 func TestTheWholeOfTheSameNumberReplacesWhatIsHeld(t *testing.T) {
 	f := following(holds(t), true)
 	own := revision.Document(`{"settings":{"d":2}}`)
-	update := revision.Update{Revision: 3, Whole: true, Scopes: []revision.Change{
-		{Scope: revision.Fleet, Number: 1, Document: holds(t).Held[0].Document},
-		{Scope: zone, Number: 3, Document: holds(t).Held[1].Document},
+	update := revision.Update{Revision: 3, Full: true, Scopes: []revision.Change{
+		{Scope: revision.FleetScope, Number: 1, Document: holds(t).Documents[0].Document},
+		{Scope: zone, Number: 3, Document: holds(t).Documents[1].Document},
 		{Scope: ownScope, Number: 2, Document: own},
 	}, Checksum: sum(t, string(holds(t).Effective), string(own))}
-	if f.Received(encoded(update)).Step != Check || f.Checked(nil).Step != Save || f.Saved(nil).Step != TakeOver {
+	if f.Received(encoded(update)).Step != Check || f.Checked(nil).Step != Save || f.Saved(nil).Step != Apply {
 		t.Fatal("it is not taken over")
 	}
-	if end := f.TakenOver(nil); end.Report.Verdict != revision.InForce || len(f.InForce().Held) != 3 {
+	if end := f.Applied(nil); end.Report.Verdict != revision.InForce || len(f.InForce().Documents) != 3 {
 		t.Errorf("%+v", end.Report)
 	}
 }
@@ -226,22 +226,22 @@
 	later.Revision, later.Scopes[0].Number = 6, 6
 	between := good(t)
 	between.Revision, between.Scopes[0].Number = 5, 5
-	for name, toSix := range map[string]func(f *Follower){
-		"saved, and not taken over": func(f *Follower) {
+	for name, toSix := range map[string]func(f *StateMachine){
+		"saved, and not taken over": func(f *StateMachine) {
 			f.Received(encoded(later))
 			f.Checked(nil)
 			f.Saved(nil)
-			f.TakenOver(errRefused)
+			f.Applied(errRefused)
 		},
-		"written, though the disk failed": func(f *Follower) {
+		"written, though the disk failed": func(f *StateMachine) {
 			f.Received(encoded(later))
 			f.Checked(nil)
 			f.Saved(errRefused)
 		},
-		"another process's, and not good here": func(f *Follower) {
+		"another process's, and not good here": func(f *StateMachine) {
 			saved := holds(t)
 			saved.Revision = 6
-			f.Reread(saved)
+			f.Loaded(saved)
 			f.Checked(errRefused)
 		},
 	} {
@@ -263,7 +263,7 @@
 	f := following(holds(t), true)
 	older := holds(t)
 	older.Revision = 2
-	if f.Reread(older).Step != Idle || f.Reread(holds(t)).Step != Idle {
+	if f.Loaded(older).Step != Idle || f.Loaded(holds(t)).Step != Idle {
 		t.Error("it is looked at")
 	}
 }
@@ -271,25 +271,25 @@
 func TestAMovedProxyHoldsNothingOfItsOldZone(t *testing.T) {
 	moved := identity
 	moved.Zone = "eu-2"
-	before, err := newConfiguration(moved, 3, holds(t).Held)
+	before, err := newConfiguration(moved, 3, holds(t).Documents)
 	if err != nil || string(before.Effective) != `{"settings":{"a":1,"b":1}}` {
 		t.Fatalf("%s, %v", before.Effective, err)
 	}
-	f := NewFollower(moved, true)
-	f.Reread(before)
+	f := NewStateMachine(moved, true)
+	f.Loaded(before)
 	f.Checked(nil)
-	f.TakenOver(nil)
+	f.Applied(nil)
 	f.Received(encoded(revision.Update{Revision: 5, Checksum: sum(t, `{"settings":{"a":5,"b":1}}`), Scopes: []revision.Change{
-		{Scope: revision.Fleet, Number: 5, From: 1, Patch: revision.Document(`{"settings":{"a":5}}`)}}}))
+		{Scope: revision.FleetScope, Number: 5, From: 1, Patch: revision.Document(`{"settings":{"a":5}}`)}}}))
 	f.Checked(nil)
 	f.Saved(nil)
-	if end := f.TakenOver(nil); end.Report.Verdict != revision.InForce || len(f.InForce().Held) != 1 {
-		t.Errorf("%+v, %+v", end.Report, f.InForce().Held)
+	if end := f.Applied(nil); end.Report.Verdict != revision.InForce || len(f.InForce().Documents) != 1 {
+		t.Errorf("%+v, %+v", end.Report, f.InForce().Documents)
 	}
 }
 
 func TestOnlyReloadableKeysAreLaidOver(t *testing.T) {
-	local := Reloadable{Discovery: "127.0.0.1:1", Settings: json.RawMessage(`{"me": 0, "x": null, "limits": {"a": 1, "b": 1.50}}`)}
+	local := ReloadableConfig{Discovery: "127.0.0.1:1", Settings: json.RawMessage(`{"me": 0, "x": null, "limits": {"a": 1, "b": 1.50}}`)}
 	same, err := local.Overlay(nil)
 	if err != nil || !reflect.DeepEqual(same, local) {
 		t.Errorf("%+v, %v", same, err)
@@ -299,7 +299,7 @@
 	if err != nil || string(laid.Settings) != want || laid.Discovery != local.Discovery || len(laid.Peers) != 1 {
 		t.Errorf("%s %+v, %v", laid.Settings, laid, err)
 	}
-	laid, err = (Reloadable{}).Overlay(revision.Document(`{"discovery":"x"}`))
+	laid, err = (ReloadableConfig{}).Overlay(revision.Document(`{"discovery":"x"}`))
 	if err != nil || laid.Settings != nil || laid.Peers != nil {
 		t.Errorf("%+v, %v", laid, err)
 	}
@@ -316,15 +316,15 @@
 // world is a fleet's history with one proxy that follows it: process, disk and what is on the way.
 type world struct {
 	truth   []Configuration // by revision, from 0
-	follow  *Follower
+	follow  *StateMachine
 	disk    Configuration
-	pending Outcome  // what the proxy's process is at
+	pending Decision // what the proxy's process is at
 	onWay   [][]byte // updates sent
 	highest revision.Number
 }
 
 func newWorld() *world {
-	return &world{truth: []Configuration{{}}, follow: NewFollower(identity, true)}
+	return &world{truth: []Configuration{{}}, follow: NewStateMachine(identity, true)}
 }
 
 // change accepts a revision.
@@ -334,13 +334,13 @@
 		rapid.IntRange(0, 3).Draw(t, "value")))
 	last := w.truth[len(w.truth)-1]
 	number := revision.Number(len(w.truth))
-	var held []revision.Held
-	for _, one := range last.Held {
+	var held []revision.ScopeDocument
+	for _, one := range last.Documents {
 		if one.Scope != scope {
 			held = append(held, one)
 		}
 	}
-	next, err := newConfiguration(identity, number, append(held, revision.Held{Scope: scope, Number: number, Document: document}))
+	next, err := newConfiguration(identity, number, append(held, revision.ScopeDocument{Scope: scope, Number: number, Document: document}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -355,11 +355,11 @@
 func (w *world) sendFrom(t *rapid.T, from Configuration) {
 	to := w.truth[rapid.IntRange(int(from.Revision), len(w.truth)-1).Draw(t, "to")]
 	update := revision.Update{Revision: to.Revision, Checksum: to.Checksum,
-		Whole: from.Revision == 0 || from.Revision == to.Revision || rapid.Bool().Draw(t, "whole")}
-	for _, one := range to.Held {
+		Full: from.Revision == 0 || from.Revision == to.Revision || rapid.Bool().Draw(t, "whole")}
+	for _, one := range to.Documents {
 		before := from.of(one.Scope)
 		change := revision.Change{Scope: one.Scope, Number: one.Number}
-		if update.Whole {
+		if update.Full {
 			change.Document = one.Document
 		} else if before.Number == one.Number {
 			continue
@@ -413,8 +413,8 @@
 			w.write(t, candidate)
 		}
 		w.pending = w.follow.Saved(err)
-	case TakeOver:
-		w.pending = w.follow.TakenOver(err)
+	case Apply:
+		w.pending = w.follow.Applied(err)
 	}
 	r := w.pending.Report
 	if r != nil && r.Verdict == revision.InForce && (w.disk.Revision < r.Revision || w.follow.InForce().Revision != r.Revision) {
@@ -449,10 +449,10 @@
 	if w.pending.Step == Save && rapid.Bool().Draw(t, "written") {
 		w.write(t, w.pending.Candidate)
 	}
-	w.follow, w.pending = NewFollower(identity, true), Outcome{}
-	if w.follow.Reread(w.disk).Step == Check {
+	w.follow, w.pending = NewStateMachine(identity, true), Decision{}
+	if w.follow.Loaded(w.disk).Step == Check {
 		w.follow.Checked(nil)
-		w.follow.TakenOver(nil)
+		w.follow.Applied(nil)
 	}
 }
 
@@ -474,7 +474,7 @@
 	if c.Checksum != want.Checksum || string(c.Effective) != string(want.Effective) {
 		t.Fatalf("revision %d is %s, in force is %s", c.Revision, want.Effective, c.Effective)
 	}
-	for _, one := range c.Held {
+	for _, one := range c.Documents {
 		if number := want.of(one.Scope).Number; one.Number > number {
 			t.Fatalf("%s is held as of %d, it is %d", one.Scope, one.Number, number)
 		}
@@ -510,7 +510,7 @@
 		if end.Candidate.Revision < 3 || revision.Checksum(end.Candidate.Effective) != end.Candidate.Checksum {
 			t.Fatalf("%+v", end.Candidate)
 		}
-		if _, err := (Reloadable{}).Overlay(end.Candidate.Effective); err != nil && strings.Contains(err.Error(), "\n") {
+		if _, err := (ReloadableConfig{}).Overlay(end.Candidate.Effective); err != nil && strings.Contains(err.Error(), "\n") {
 			t.Fatal(err)
 		}
 	})
--- a/internal/configwatch/worker.go
+++ b/internal/configwatch/worker.go
@@ -122,21 +122,21 @@
 	}
 }
 
-func (c *Client) reread() Outcome {
+func (c *Client) reread() Decision {
 	if c.config.Folder == "" {
-		return Outcome{}
+		return Decision{}
 	}
 	saved, err := c.file().load()
 	if err != nil {
 		log.Printf("msg=config_not_read error=%q", err)
-		return Outcome{}
+		return Decision{}
 	}
-	return c.follower.Reread(saved)
+	return c.follower.Loaded(saved)
 }
 
 // finish takes the steps that a task leads to, and tells how it ended.
-func (c *Client) finish(outcome Outcome) {
-	var laid Reloadable
+func (c *Client) finish(outcome Decision) {
+	var laid ReloadableConfig
 	for outcome.Step != Idle {
 		var err error
 		switch outcome.Step {
@@ -145,8 +145,8 @@
 			outcome = c.follower.Checked(err)
 		case Save:
 			outcome = c.follower.Saved(c.file().save(outcome.Candidate))
-		case TakeOver:
-			outcome = c.follower.TakenOver(c.takeOverOnLoop(outcome.Candidate.Revision, laid))
+		case Apply:
+			outcome = c.follower.Applied(c.takeOverOnLoop(outcome.Candidate.Revision, laid))
 		}
 	}
 	var refused *revision.Report
@@ -158,7 +158,7 @@
 }
 
 // takeOverOnLoop has the loop take a configuration over and waits for it.
-func (c *Client) takeOverOnLoop(number revision.Number, laid Reloadable) error {
+func (c *Client) takeOverOnLoop(number revision.Number, laid ReloadableConfig) error {
 	done := make(chan error, 1)
 	inForce := c.follower.InForce().Revision
 	c.onLoop(func() {
@@ -181,9 +181,9 @@
 }
 
 // tell reports to the replica and in the log.
-func (c *Client) tell(outcome Outcome) {
-	if outcome.Local != nil {
-		log.Printf("msg=reload_not_taken error=%q", outcome.Local)
+func (c *Client) tell(outcome Decision) {
+	if outcome.LocalError != nil {
+		log.Printf("msg=reload_not_taken error=%q", outcome.LocalError)
 	}
 	report := outcome.Report
 	if report == nil {
@@ -199,8 +199,8 @@
 			return
 		}
 		c.watch.Send(encode(report))
-		if outcome.GiveUp != nil && c.watch.Connected() {
-			c.watch.Lose(outcome.GiveUp)
+		if outcome.ReconnectReason != nil && c.watch.Connected() {
+			c.watch.Reconnect(outcome.ReconnectReason)
 			c.worker.dropUpdates()
 		}
 	})
@@ -217,7 +217,7 @@
 	c.calls.mutex.Lock()
 	c.calls.all = append(c.calls.all, f)
 	c.calls.mutex.Unlock()
-	c.loop.Ring()
+	c.loop.WakeUp()
 }
 
 func (c *calls) run() {
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -26,7 +26,7 @@
 			b.Fatal(outcome.Err)
 		}
 	}
-	add(revision.Fleet, 100)
+	add(revision.FleetScope, 100)
 	var identities []revision.Identity
 	scopes := map[revision.Scope]bool{}
 	for i := range 560 {
@@ -53,8 +53,8 @@
 	s, identities := benchFleet(b)
 	sessions := benchSessions(b, s, identities)
 	for b.Loop() {
-		latest, _ := s.Latest(revision.Fleet)
-		command := apply(fmt.Sprint(s.Newest()), revision.Fleet, latest.Number, benchDocument(100, int(s.Newest())))
+		latest, _ := s.Latest(revision.FleetScope)
+		command := apply(fmt.Sprint(s.Newest()), revision.FleetScope, latest.Number, benchDocument(100, int(s.Newest())))
 		if outcome := s.Apply(command); outcome.Err != nil {
 			b.Fatal(outcome.Err)
 		}
@@ -104,8 +104,8 @@
 	document := benchDocument(100, 1)
 	b.SetBytes(int64(len(document)))
 	for b.Loop() {
-		latest, _ := s.Latest(revision.Fleet)
-		if outcome := s.Apply(apply(fmt.Sprint(s.Newest()), revision.Fleet, latest.Number, document)); outcome.Err != nil {
+		latest, _ := s.Latest(revision.FleetScope)
+		if outcome := s.Apply(apply(fmt.Sprint(s.Newest()), revision.FleetScope, latest.Number, document)); outcome.Err != nil {
 			b.Fatal(outcome.Err)
 		}
 	}
@@ -115,8 +115,8 @@
 func BenchmarkMarshal(b *testing.B) {
 	s, _ := benchFleet(b)
 	for i := range HistoryMost {
-		latest, _ := s.Latest(revision.Fleet)
-		if outcome := s.Apply(apply(fmt.Sprint("h", i), revision.Fleet, latest.Number, benchDocument(100, i))); outcome.Err != nil {
+		latest, _ := s.Latest(revision.FleetScope)
+		if outcome := s.Apply(apply(fmt.Sprint("h", i), revision.FleetScope, latest.Number, benchDocument(100, i))); outcome.Err != nil {
 			b.Fatal(outcome.Err)
 		}
 	}
--- a/internal/control/check.go
+++ b/internal/control/check.go
@@ -35,8 +35,8 @@
 
 // combinations gives the lists of scopes to check a scope's document in, the bare one first.
 func combinations(scope revision.Scope, identities []revision.Identity) [][]revision.Scope {
-	lists := [][]revision.Scope{{revision.Fleet, scope}}
-	if scope == revision.Fleet {
+	lists := [][]revision.Scope{{revision.FleetScope, scope}}
+	if scope == revision.FleetScope {
 		lists[0] = []revision.Scope{scope}
 	}
 	for _, identity := range identities {
--- a/internal/control/delivery.go
+++ b/internal/control/delivery.go
@@ -5,13 +5,13 @@
 )
 
 // Effective gives the released documents of the scopes that a proxy lies in, in the order of merging.
-func (s *State) Effective(identity revision.Identity) ([]revision.Held, error) {
+func (s *State) Effective(identity revision.Identity) ([]revision.ScopeDocument, error) {
 	if identity.Fleet != s.fleet {
 		return nil, &FleetError{Fleet: identity.Fleet, Want: s.fleet}
 	}
-	var held []revision.Held
+	var held []revision.ScopeDocument
 	for _, entry := range s.releasedEntries(identity) {
-		held = append(held, revision.Held{Scope: entry.Scope, Number: entry.Number, Document: entry.Document})
+		held = append(held, revision.ScopeDocument{Scope: entry.Scope, Number: entry.Number, Document: entry.Document})
 	}
 	return held, nil
 }
@@ -60,8 +60,8 @@
 	}
 	update := &revision.Update{Revision: max(hello.Revision, plan.newest())}
 	// By the number alone a proxy would take an update with an old number for one that it has.
-	update.Whole = whole || plan.nothingHeld() || update.Revision == hello.Revision
-	update.Scopes = s.changes(plan, update.Whole)
+	update.Full = whole || plan.nothingHeld() || update.Revision == hello.Revision
+	update.Scopes = s.changes(plan, update.Full)
 	update.Checksum, err = s.mergedChecksum(plan.targets())
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	}
 	var steps plan
 	for _, scope := range hello.Identity.Scopes() {
-		next := step{heldNumber: heldNumber(hello.Held, scope)}
+		next := step{heldNumber: heldNumber(hello.Documents, scope)}
 		if next.heldNumber > s.newest {
 			return nil, &AheadError{Scope: scope, Held: next.heldNumber, Newest: s.newest}
 		}
@@ -106,7 +106,7 @@
 }
 
 // heldNumber is the newest number that a proxy holds of a scope, 0 for none.
-func heldNumber(held []revision.Held, scope revision.Scope) revision.Number {
+func heldNumber(held []revision.ScopeDocument, scope revision.Scope) revision.Number {
 	number := revision.Number(0)
 	for _, one := range held {
 		if one.Scope == scope {
--- a/internal/control/delivery_test.go
+++ b/internal/control/delivery_test.go
@@ -20,10 +20,10 @@
 type numbers map[revision.Scope]revision.Number
 
 // held lists numbers of scopes.
-func held(scopes numbers) []revision.Held {
-	var list []revision.Held
+func held(scopes numbers) []revision.ScopeDocument {
+	var list []revision.ScopeDocument
 	for scope, number := range scopes {
-		list = append(list, revision.Held{Scope: scope, Number: number})
+		list = append(list, revision.ScopeDocument{Scope: scope, Number: number})
 	}
 	return list
 }
@@ -34,7 +34,7 @@
 		return "nothing"
 	}
 	text := fmt.Sprint(update.Revision)
-	if update.Whole {
+	if update.Full {
 		text += " whole"
 	}
 	for _, change := range update.Scopes {
@@ -52,13 +52,13 @@
 func deliveryState(t testing.TB) *State {
 	s := NewState(simFleet)
 	for _, command := range []Command{
-		apply("1", revision.Fleet, 0, `{"a":1,`+filler+`}`),
-		apply("2", revision.Fleet, 1, `{"a":2,`+filler+`}`),
+		apply("1", revision.FleetScope, 0, `{"a":1,`+filler+`}`),
+		apply("2", revision.FleetScope, 1, `{"a":2,`+filler+`}`),
 		apply("3", zoneA, 0, `{"b":3,`+filler+`}`),
-		apply("4", revision.Fleet, 2, `{"a":4,`+filler+`}`),
+		apply("4", revision.FleetScope, 2, `{"a":4,`+filler+`}`),
 		tried("5", zoneA, 3, `{"b":5,`+filler+`}`, "p9"),
 		hold(5),
-		tried("6", revision.Fleet, 4, `{"a":6,`+filler+`}`, "p1"),
+		tried("6", revision.FleetScope, 4, `{"a":6,`+filler+`}`, "p1"),
 	} {
 		if outcome := s.Apply(command); outcome.Err != nil {
 			t.Fatal(command.ID, outcome.Err)
@@ -91,21 +91,21 @@
 		"a new canary":      {proxy: "p1", want: "6 whole fleet@6 zone:a@3", after: sum(6, 3)},
 		"a new other proxy": {proxy: "p2", want: "4 whole fleet@4 zone:a@3", after: sum(4, 3)},
 		"a canary behind": {
-			"p1", 4, numbers{revision.Fleet: 4, zoneA: 3}, sum(4, 3), `6 fleet@6 from 4 by {"a":6}`, sum(6, 3)},
-		"another that has all": {"p2", 4, numbers{revision.Fleet: 4, zoneA: 3}, sum(4, 3), "nothing", ""},
-		"a wrong checksum":     {"p2", 4, numbers{revision.Fleet: 4, zoneA: 3}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
-		"no checksum":          {"p2", 4, numbers{revision.Fleet: 4, zoneA: 3}, "", "4 whole fleet@4 zone:a@3", sum(4, 3)},
-		"two behind":           {"p2", 1, numbers{revision.Fleet: 1}, sum(1), `4 fleet@4 from 1 by {"a":4} zone:a@3`, sum(4, 3)},
-		"holds a held one":     {"p9", 5, numbers{revision.Fleet: 4, zoneA: 5}, sum(4, 5), "nothing", ""},
-		"and lacks another":    {"p9", 5, numbers{revision.Fleet: 2, zoneA: 5}, sum(2, 5), "5 whole fleet@4 zone:a@5", sum(4, 5)},
-		"and lost it":          {"p9", 5, numbers{revision.Fleet: 4, zoneA: 5}, sum(4), "5 whole fleet@4 zone:a@5", sum(4, 5)},
-		"moved from a zone":    {"p2", 4, numbers{revision.Fleet: 4, zoneB: 2}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
+			"p1", 4, numbers{revision.FleetScope: 4, zoneA: 3}, sum(4, 3), `6 fleet@6 from 4 by {"a":6}`, sum(6, 3)},
+		"another that has all": {"p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}, sum(4, 3), "nothing", ""},
+		"a wrong checksum":     {"p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
+		"no checksum":          {"p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}, "", "4 whole fleet@4 zone:a@3", sum(4, 3)},
+		"two behind":           {"p2", 1, numbers{revision.FleetScope: 1}, sum(1), `4 fleet@4 from 1 by {"a":4} zone:a@3`, sum(4, 3)},
+		"holds a held one":     {"p9", 5, numbers{revision.FleetScope: 4, zoneA: 5}, sum(4, 5), "nothing", ""},
+		"and lacks another":    {"p9", 5, numbers{revision.FleetScope: 2, zoneA: 5}, sum(2, 5), "5 whole fleet@4 zone:a@5", sum(4, 5)},
+		"and lost it":          {"p9", 5, numbers{revision.FleetScope: 4, zoneA: 5}, sum(4), "5 whole fleet@4 zone:a@5", sum(4, 5)},
+		"moved from a zone":    {"p2", 4, numbers{revision.FleetScope: 4, zoneB: 2}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			identity := someone
 			identity.Proxy = test.proxy
 			update, err := s.Update(revision.Hello{
-				Identity: identity, Revision: test.revision, Held: held(test.held), Checksum: test.checksum,
+				Identity: identity, Revision: test.revision, Documents: held(test.held), Checksum: test.checksum,
 			})
 			if err != nil || told(update) != test.want {
 				t.Fatalf("%s, %v; wanted %s", told(update), err, test.want)
@@ -126,10 +126,10 @@
 		want  any
 	}{
 		"another fleet":       {revision.Hello{Identity: foreign}, new(*FleetError)},
-		"a scope ahead":       {revision.Hello{Identity: someone, Held: held(numbers{zoneA: 7})}, new(*AheadError)},
+		"a scope ahead":       {revision.Hello{Identity: someone, Documents: held(numbers{zoneA: 7})}, new(*AheadError)},
 		"a number ahead":      {revision.Hello{Identity: someone, Revision: 7}, new(*AheadError)},
-		"another's number":    {revision.Hello{Identity: someone, Held: held(numbers{zoneA: 4})}, new(*UnknownRevisionError)},
-		"a scope without any": {revision.Hello{Identity: someone, Held: held(numbers{cart: 4})}, new(*UnknownRevisionError)},
+		"another's number":    {revision.Hello{Identity: someone, Documents: held(numbers{zoneA: 4})}, new(*UnknownRevisionError)},
+		"a scope without any": {revision.Hello{Identity: someone, Documents: held(numbers{cart: 4})}, new(*UnknownRevisionError)},
 	} {
 		if update, err := s.Update(test.hello); update != nil || !errors.As(err, test.want) {
 			t.Errorf("%s: %v, %v", name, told(update), err)
@@ -140,20 +140,20 @@
 func TestANumberThatThePatchLibraryTakesForEqualIsSentWhole(t *testing.T) {
 	s := NewState(simFleet)
 	accept(t, s,
-		apply("1", revision.Fleet, 0, `{"a":9007199254740992,`+filler+`}`),
-		apply("2", revision.Fleet, 1, `{"a":9007199254740993,`+filler+`}`))
+		apply("1", revision.FleetScope, 0, `{"a":9007199254740992,`+filler+`}`),
+		apply("2", revision.FleetScope, 1, `{"a":9007199254740993,`+filler+`}`))
 	update, err := s.Update(revision.Hello{
-		Identity: someone,
-		Revision: 1,
-		Held:     held(numbers{revision.Fleet: 1}),
-		Checksum: s.entries[1].Checksum,
+		Identity:  someone,
+		Revision:  1,
+		Documents: held(numbers{revision.FleetScope: 1}),
+		Checksum:  s.entries[1].Checksum,
 	})
 	if err != nil || update == nil {
 		t.Fatal(update, err)
 	}
 	document := update.Scopes[0].Document
 	if update.Scopes[0].From != 0 {
-		if document, err = revision.Patch(s.entries[1].Document, update.Scopes[0].Patch); err != nil {
+		if document, err = revision.ApplyPatch(s.entries[1].Document, update.Scopes[0].Patch); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -182,7 +182,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		canonical, err := revision.Canonical(text)
+		canonical, err := revision.Canonicalize(text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -226,7 +226,7 @@
 func TestExplainGivesEachValueItsScope(t *testing.T) {
 	s := NewState(simFleet)
 	accept(t, s,
-		apply("1", revision.Fleet, 0, `{"limits":{"rate":1,"burst":[2,3]},"x":{"y":1},"e":{},"f":{"g":1}}`),
+		apply("1", revision.FleetScope, 0, `{"limits":{"rate":1,"burst":[2,3]},"x":{"y":1},"e":{},"f":{"g":1}}`),
 		apply("2", zoneA, 0, `{"limits":{"rate":4},"x":5,"z":{"a.b":true}}`),
 		apply("3", zoneB, 0, `{"limits":{"rate":9}}`),
 		tried("4", cart, 0, `{"limits":{"rate":8}}`, "p1"),
@@ -321,7 +321,7 @@
 func TestCheckApplyChecksEachCombinationOnce(t *testing.T) {
 	s := NewState(simFleet)
 	accept(t, s,
-		apply("1", revision.Fleet, 0, `{"least":1}`),
+		apply("1", revision.FleetScope, 0, `{"least":1}`),
 		apply("2", zoneA, 0, `{"most":5}`),
 		apply("3", zoneB, 0, `{"most":2}`))
 	identities := []revision.Identity{someone, someone, someone, {Fleet: simFleet, Proxy: "q", Zone: "b", Service: "cart"}}
@@ -385,13 +385,13 @@
 	second := next("6 whole fleet@6 zone:a@3")
 	report(second, revision.InForce)
 	next("nothing")
-	accept(t, s, apply("7", revision.Fleet, 6, `{"a":7,`+filler+`}`))
+	accept(t, s, apply("7", revision.FleetScope, 6, `{"a":7,`+filler+`}`))
 	third := next(`7 fleet@7 from 6 by {"a":7}`)
 	report(third, revision.Unknown)
 	fourth := next("7 whole fleet@7 zone:a@3")
 	report(fourth, revision.Unknown)
 	next("nothing")
-	accept(t, s, apply("8", revision.Fleet, 7, `{"a":8,`+filler+`}`))
+	accept(t, s, apply("8", revision.FleetScope, 7, `{"a":8,`+filler+`}`))
 	fifth := next("8 whole fleet@8 zone:a@3")
 	session.Unsent()
 	next("8 whole fleet@8 zone:a@3")
--- a/internal/control/fleetview.go
+++ b/internal/control/fleetview.go
@@ -13,16 +13,16 @@
 
 // ProxyStatus is the newest that is known of one proxy. It travels from replica to replica.
 type ProxyStatus struct {
-	Identity  revision.Identity `json:"identity"`
-	Replica   string            `json:"replica"`            // that it watches, or watched last
-	Connected bool              `json:"connected"`          // its watch is open
-	At        time.Time         `json:"at"`                 // when its replica learned this, by that replica's clock
-	Held      []revision.Held   `json:"held,omitempty"`     // what is in force, numbers only
-	InForce   revision.Number   `json:"in_force"`           // the newest number that came into force
-	Checksum  string            `json:"checksum,omitempty"` // of the configuration in force
-	Since     time.Time         `json:"since"`              // when this InForce was first reported
-	Refused   revision.Number   `json:"refused,omitempty"`  // the newest that it refused, 0 once a later one is in force
-	Reason    string            `json:"reason,omitempty"`   // why
+	Identity  revision.Identity        `json:"identity"`
+	Replica   string                   `json:"replica"`            // that it watches, or watched last
+	Connected bool                     `json:"connected"`          // its watch is open
+	At        time.Time                `json:"at"`                 // when its replica learned this, by that replica's clock
+	Held      []revision.ScopeDocument `json:"held,omitempty"`     // what is in force, numbers only
+	InForce   revision.Number          `json:"in_force"`           // the newest number that came into force
+	Checksum  string                   `json:"checksum,omitempty"` // of the configuration in force
+	Since     time.Time                `json:"since"`              // when this InForce was first reported
+	Refused   revision.Number          `json:"refused,omitempty"`  // the newest that it refused, 0 once a later one is in force
+	Reason    string                   `json:"reason,omitempty"`   // why
 }
 
 // FleetView is what a replica knows of all proxies. It is not safe for concurrent use.
@@ -51,7 +51,7 @@
 		Replica:   replica,
 		Connected: true,
 		At:        after(known.At, now),
-		Held:      numbersOnly(hello.Held),
+		Held:      numbersOnly(hello.Documents),
 		InForce:   hello.Revision,
 		Checksum:  hello.Checksum,
 		Since:     known.Since,
@@ -71,10 +71,10 @@
 }
 
 // numbersOnly leaves the documents out.
-func numbersOnly(held []revision.Held) []revision.Held {
-	var numbers []revision.Held
+func numbersOnly(held []revision.ScopeDocument) []revision.ScopeDocument {
+	var numbers []revision.ScopeDocument
 	for _, one := range held {
-		numbers = append(numbers, revision.Held{Scope: one.Scope, Number: one.Number})
+		numbers = append(numbers, revision.ScopeDocument{Scope: one.Scope, Number: one.Number})
 	}
 	return numbers
 }
--- a/internal/control/fleetview_test.go
+++ b/internal/control/fleetview_test.go
@@ -19,7 +19,7 @@
 func holding(proxy string, newest revision.Number, scopes numbers) revision.Hello {
 	identity := someone
 	identity.Proxy = proxy
-	return revision.Hello{Identity: identity, Revision: newest, Held: held(scopes)}
+	return revision.Hello{Identity: identity, Revision: newest, Documents: held(scopes)}
 }
 
 func TestTheNewestWordOfAProxyCounts(t *testing.T) {
@@ -116,12 +116,12 @@
 func TestSummaries(t *testing.T) {
 	s := deliveryState(t)
 	view := NewFleetView()
-	view.Opened(at(1), "r1", holding("p1", 6, numbers{revision.Fleet: 6, zoneA: 3}))
-	view.Opened(at(2), "r1", holding("p2", 4, numbers{revision.Fleet: 4, zoneA: 3}))
+	view.Opened(at(1), "r1", holding("p1", 6, numbers{revision.FleetScope: 6, zoneA: 3}))
+	view.Opened(at(2), "r1", holding("p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}))
 	// Its newest number is that of zone a, it still lacks the fleet's 4.
-	view.Opened(at(3), "r1", holding("p9", 5, numbers{revision.Fleet: 2, zoneA: 5}))
-	view.Opened(at(0), "r2", holding("p5", 1, numbers{revision.Fleet: 1}))
-	view.Reported(at(4), "r2", holding("p5", 1, numbers{revision.Fleet: 1}), revision.Report{
+	view.Opened(at(3), "r1", holding("p9", 5, numbers{revision.FleetScope: 2, zoneA: 5}))
+	view.Opened(at(0), "r2", holding("p5", 1, numbers{revision.FleetScope: 1}))
+	view.Reported(at(4), "r2", holding("p5", 1, numbers{revision.FleetScope: 1}), revision.Report{
 		Revision: 4, Verdict: revision.Refused, Reason: "no such key",
 	})
 	view.Opened(at(0), "r1", holding("p7", 1, nil))
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -44,8 +44,8 @@
 	_, _ = s.Update(revision.Hello{Identity: identity})
 	_, _ = s.Explain(identity)
 	NewGuard(GuardConfig{}).Due(1, s)
-	latest, _ := s.Latest(revision.Fleet)
-	s.Apply(tried("new", revision.Fleet, latest.Number, `{"a":1}`, "p1"))
+	latest, _ := s.Latest(revision.FleetScope)
+	s.Apply(tried("new", revision.FleetScope, latest.Number, `{"a":1}`, "p1"))
 	s.Apply(hold(s.Newest()))
 	if _, err := s.Marshal(); err != nil {
 		t.Fatal(err)
@@ -105,11 +105,11 @@
 		if err != nil || update == nil {
 			return
 		}
-		if update.Revision < hello.Revision || update.Revision == hello.Revision && !update.Whole {
+		if update.Revision < hello.Revision || update.Revision == hello.Revision && !update.Full {
 			t.Fatalf("%s, revision %d is in force", told(update), hello.Revision)
 		}
 		for _, change := range update.Scopes {
-			if change.Number < heldNumber(hello.Held, change.Scope) {
+			if change.Number < heldNumber(hello.Documents, change.Scope) {
 				t.Fatalf("%s goes back: %s", told(update), text)
 			}
 		}
--- a/internal/control/guard_test.go
+++ b/internal/control/guard_test.go
@@ -36,14 +36,14 @@
 		scope     revision.Scope
 		want      string
 	}{
-		"the fleet":         {zones(3, 20), revision.Fleet, "z00-00 z01-00 z02-00"},
-		"a share":           {zones(11, 2), revision.Fleet, "z00-00 z01-00"},
-		"one at least":      {zones(3, 1), revision.Fleet, "z00-00"},
+		"the fleet":         {zones(3, 20), revision.FleetScope, "z00-00 z01-00 z02-00"},
+		"a share":           {zones(11, 2), revision.FleetScope, "z00-00 z01-00"},
+		"one at least":      {zones(3, 1), revision.FleetScope, "z00-00"},
 		"a zone":            {zones(4, 20), zone, "z03-00"},
 		"a service":         {zones(3, 20), service, "z00-01 z01-01 z02-01"},
 		"a proxy":           {zones(3, 20), one, "z01-02"},
 		"none concerned":    {zones(1, 20), zone, ""},
-		"none is connected": {nil, revision.Fleet, ""},
+		"none is connected": {nil, revision.FleetScope, ""},
 	} {
 		if got := strings.Join(g.Canaries(test.connected, test.scope), " "); got != test.want {
 			t.Errorf("%s: %s; wanted %s", name, got, test.want)
@@ -51,7 +51,7 @@
 	}
 	shuffled := zones(11, 51)
 	slices.Reverse(shuffled)
-	if canaries := g.Canaries(shuffled, revision.Fleet); len(canaries) != 11 || canaries[0] != "z00-00" {
+	if canaries := g.Canaries(shuffled, revision.FleetScope); len(canaries) != 11 || canaries[0] != "z00-00" {
 		t.Errorf("of 561 proxies: %v", canaries)
 	}
 }
@@ -88,7 +88,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewState(simFleet)
-			accept(t, s, apply("1", revision.Fleet, 0, "{}"), tried("2", revision.Fleet, 1, "{}", "p1", "p2", "p3"))
+			accept(t, s, apply("1", revision.FleetScope, 0, "{}"), tried("2", revision.FleetScope, 1, "{}", "p1", "p2", "p3"))
 			g := NewGuard(GuardConfig{})
 			var due []string
 			words := test.words
@@ -126,7 +126,7 @@
 		"late": {WatchReleased + 2, Released},
 	} {
 		s := NewState(simFleet)
-		accept(t, s, apply("1", revision.Fleet, 0, "{}"), tried("2", revision.Fleet, 1, "{}", "p1"))
+		accept(t, s, apply("1", revision.FleetScope, 0, "{}"), tried("2", revision.FleetScope, 1, "{}", "p1"))
 		g := NewGuard(GuardConfig{})
 		g.Due(0, s)
 		accept(t, s, release(2))
@@ -136,7 +136,7 @@
 		for _, command := range g.Due(test.at, s) {
 			s.Apply(command)
 		}
-		if latest, _ := s.Latest(revision.Fleet); latest.Stage != test.want {
+		if latest, _ := s.Latest(revision.FleetScope); latest.Stage != test.want {
 			t.Errorf("%s: %s", name, latest.Stage)
 		}
 	}
@@ -144,19 +144,19 @@
 
 func TestAtOnceIsNeverHeld(t *testing.T) {
 	s := NewState(simFleet)
-	command := tried("1", revision.Fleet, 0, "{}", "p1")
+	command := tried("1", revision.FleetScope, 0, "{}", "p1")
 	command.Apply.AtOnce = true
 	accept(t, s, command)
 	g := NewGuard(GuardConfig{})
 	g.Reported(0, "p1", revision.Report{Revision: 1, Verdict: revision.Refused})
-	if due := g.Due(9, s); len(due) != 0 || s.chains[revision.Fleet].released() == nil {
+	if due := g.Due(9, s); len(due) != 0 || s.chains[revision.FleetScope].released() == nil {
 		t.Errorf("%v is due, %s", due, stages(s))
 	}
 }
 
 func TestACommandThatWasDroppedIsGivenAgain(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s, tried("1", revision.Fleet, 0, "{}", "p1"))
+	accept(t, s, tried("1", revision.FleetScope, 0, "{}", "p1"))
 	g := NewGuard(GuardConfig{})
 	g.Reported(0, "p1", revision.Report{Revision: 1, Verdict: revision.InForce})
 	var given []float64
@@ -175,23 +175,23 @@
 	s := NewState(simFleet)
 	connected := zones(2, 20)
 	g := NewGuard(GuardConfig{})
-	canaries := g.Canaries(connected, revision.Fleet)
-	accept(t, s, tried("1", revision.Fleet, 0, "{}", canaries...))
+	canaries := g.Canaries(connected, revision.FleetScope)
+	accept(t, s, tried("1", revision.FleetScope, 0, "{}", canaries...))
 	g.Due(0, s)
 	g.Reported(0, canaries[0], revision.Report{Revision: 1, Verdict: revision.InForce})
 	g.Due(1, s)
-	if next := g.Canaries(connected, revision.Fleet); fmt.Sprint(next) != "[z00-00 z01-01]" {
+	if next := g.Canaries(connected, revision.FleetScope); fmt.Sprint(next) != "[z00-00 z01-01]" {
 		t.Errorf("next are %v", next)
 	}
 	g.Reported(2, canaries[1], revision.Report{Revision: 1, Verdict: revision.InForce})
-	if next := g.Canaries(connected, revision.Fleet); fmt.Sprint(next) != "[z00-00 z01-00]" {
+	if next := g.Canaries(connected, revision.FleetScope); fmt.Sprint(next) != "[z00-00 z01-00]" {
 		t.Errorf("next are %v", next)
 	}
 }
 
 func TestANewLeaderLearnsWhatCanariesSaid(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s, tried("1", revision.Fleet, 0, "{}", "p1"))
+	accept(t, s, tried("1", revision.FleetScope, 0, "{}", "p1"))
 	view := NewFleetView()
 	identity := someone
 	view.Opened(time.Unix(1, 0), "r1", revision.Hello{Identity: identity})
--- a/internal/control/history.go
+++ b/internal/control/history.go
@@ -65,7 +65,7 @@
 	first := slices.IndexFunc(c, func(entry *Entry) bool { return entry.Number > a.Base })
 	first = max(first, len(c)-ConflictChangesMost)
 	for i := first; i < len(c); i++ {
-		before := revision.Empty
+		before := revision.EmptyDocument
 		if i > 0 {
 			before = c[i-1].Document
 		}
--- a/internal/control/merged.go
+++ b/internal/control/merged.go
@@ -76,8 +76,8 @@
 	}
 	s.cache.text.Reset()
 	merged.write(&s.cache.text)
-	if s.cache.text.Len() > revision.DocumentMost {
-		return "", &LimitError{What: "bytes of a merged configuration", Most: revision.DocumentMost}
+	if s.cache.text.Len() > revision.MaxDocumentBytes {
+		return "", &LimitError{What: "bytes of a merged configuration", Most: revision.MaxDocumentBytes}
 	}
 	checksum := revision.Checksum(s.cache.text.Bytes())
 	s.cache.checksums.put(key, checksum, 1)
@@ -131,6 +131,6 @@
 
 // leadsTo says whether a patch gives the wanted document exactly. The library takes numbers for equal whose texts differ.
 func leadsTo(from, patch, to revision.Document) bool {
-	got, err := revision.Patch(from, patch)
+	got, err := revision.ApplyPatch(from, patch)
 	return err == nil && bytes.Equal(got, to)
 }
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -40,7 +40,7 @@
 
 func TestOnlyTheLeaderTakesProposals(t *testing.T) {
 	s := quietSim(t)
-	command := apply("a", revision.Fleet, 0, "{}")
+	command := apply("a", revision.FleetScope, 0, "{}")
 	if err := s.follower().node.Propose(command); !errors.Is(err, ErrNotLeader) {
 		t.Errorf("a follower: %v", err)
 	}
@@ -66,7 +66,7 @@
 		s.cut[[2]uint64{r.id, leader.id}] = true
 		s.cut[[2]uint64{leader.id, r.id}] = true
 	}
-	if err := leader.node.Propose(apply("a", revision.Fleet, 0, "{}")); err != nil {
+	if err := leader.node.Propose(apply("a", revision.FleetScope, 0, "{}")); err != nil {
 		t.Fatal(err)
 	}
 	for range 30 {
@@ -75,7 +75,7 @@
 	if s.counts["undecided"] != 1 || leader.node.IsLeader() {
 		t.Errorf("%d are undecided, it leads: %v", s.counts["undecided"], leader.node.IsLeader())
 	}
-	if err := leader.node.Propose(apply("b", revision.Fleet, 0, "{}")); !errors.Is(err, ErrNotLeader) {
+	if err := leader.node.Propose(apply("b", revision.FleetScope, 0, "{}")); !errors.Is(err, ErrNotLeader) {
 		t.Errorf("the next proposal: %v", err)
 	}
 	if other := s.leader(); other == nil || other == leader {
@@ -94,7 +94,7 @@
 	if fresh == nil {
 		t.Fatal("the others have no leader")
 	}
-	command := apply("a", revision.Fleet, 0, "{}")
+	command := apply("a", revision.FleetScope, 0, "{}")
 	s.submissions[command.ID] = &submission{command: command}
 	if err := fresh.node.Propose(command); err != nil {
 		t.Fatal(err)
@@ -144,7 +144,7 @@
 					continue
 				}
 				leaders++
-				if err := r.node.Propose(apply("a", revision.Fleet, 0, "{}")); err != nil {
+				if err := r.node.Propose(apply("a", revision.FleetScope, 0, "{}")); err != nil {
 					t.Error(err)
 				}
 			}
@@ -165,7 +165,7 @@
 		if leader.disk.Snapshot != nil {
 			t.Fatalf("after %d commands there is one", i)
 		}
-		if err := leader.node.Propose(apply(fmt.Sprint(i), revision.Fleet, revision.Number(i), large)); err != nil {
+		if err := leader.node.Propose(apply(fmt.Sprint(i), revision.FleetScope, revision.Number(i), large)); err != nil {
 			t.Fatal(err)
 		}
 		s.round()
@@ -180,7 +180,7 @@
 	leader := s.leader()
 	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", 1<<20-100))
 	for i := range 32 {
-		err := leader.node.Propose(apply(fmt.Sprint(i), revision.Fleet, 0, large))
+		err := leader.node.Propose(apply(fmt.Sprint(i), revision.FleetScope, 0, large))
 		if errors.Is(err, ErrDropped) {
 			return
 		}
@@ -197,7 +197,7 @@
 	s.crash(late)
 	base := revision.Number(0)
 	for i := range 40 {
-		if err := s.leader().node.Propose(apply(fmt.Sprint(i), revision.Fleet, base, "{}")); err != nil {
+		if err := s.leader().node.Propose(apply(fmt.Sprint(i), revision.FleetScope, base, "{}")); err != nil {
 			t.Fatal(err)
 		}
 		s.round()
@@ -224,7 +224,7 @@
 func TestStorageThatCannotBeRightIsRefused(t *testing.T) {
 	s := quietSim(t)
 	for i := range 3 {
-		if err := s.leader().node.Propose(apply(fmt.Sprint(i), revision.Fleet, revision.Number(i), "{}")); err != nil {
+		if err := s.leader().node.Propose(apply(fmt.Sprint(i), revision.FleetScope, revision.Number(i), "{}")); err != nil {
 			t.Fatal(err)
 		}
 		s.round()
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -72,7 +72,7 @@
 		s.take(update)
 	case revision.Unknown:
 		s.hello.Checksum = unknownChecksum
-		if update.Whole {
+		if update.Full {
 			s.refused = updateKey(update) // another whole one would fare no better
 		}
 	default:
@@ -84,18 +84,18 @@
 // take notes that an update is in force.
 func (s *Session) take(update *revision.Update) {
 	held := map[revision.Scope]revision.Number{}
-	if !update.Whole {
-		for _, one := range s.hello.Held {
+	if !update.Full {
+		for _, one := range s.hello.Documents {
 			held[one.Scope] = one.Number
 		}
 	}
 	for _, change := range update.Scopes {
 		held[change.Scope] = change.Number
 	}
-	s.hello.Held = nil
+	s.hello.Documents = nil
 	for _, scope := range s.hello.Identity.Scopes() {
 		if number := held[scope]; number > 0 {
-			s.hello.Held = append(s.hello.Held, revision.Held{Scope: scope, Number: number})
+			s.hello.Documents = append(s.hello.Documents, revision.ScopeDocument{Scope: scope, Number: number})
 		}
 	}
 	s.hello.Revision = update.Revision
--- a/internal/control/simproxy_test.go
+++ b/internal/control/simproxy_test.go
@@ -11,7 +11,7 @@
 )
 
 var simScopes = []revision.Scope{
-	revision.Fleet,
+	revision.FleetScope,
 	{Kind: revision.ZoneKind, Name: "a"},
 	{Kind: revision.ServiceKind, Name: "cart"},
 	{Kind: revision.ProxyKind, Name: "p11"},
@@ -20,7 +20,7 @@
 // simProxy is a proxy: what its state folder holds, and its watch.
 type simProxy struct {
 	identity revision.Identity
-	held     []revision.Held // with documents
+	held     []revision.ScopeDocument // with documents
 	revision revision.Number
 	checksum string
 	replica  *simReplica // nil while it has no watch
@@ -54,7 +54,7 @@
 		Revision: p.revision,
 		Checksum: p.checksum,
 	}
-	hello.Held = numbersOnly(p.held)
+	hello.Documents = numbersOnly(p.held)
 	return hello
 }
 
@@ -66,7 +66,7 @@
 	}
 	hello := p.hello()
 	if s.defects.heldForgotten {
-		hello.Held, hello.Revision, hello.Checksum = nil, 0, ""
+		hello.Documents, hello.Revision, hello.Checksum = nil, 0, ""
 	}
 	session, err := NewSession(hello)
 	if err != nil {
@@ -102,7 +102,7 @@
 		return
 	}
 	s.counts["updates"]++
-	if update.Whole {
+	if update.Full {
 		s.counts["whole updates"]++
 		if len(p.held) == 0 {
 			s.counts["first updates"]++
@@ -136,11 +136,11 @@
 // take is a proxy's side of an update: whole or not at all, and never back.
 func (s *sim) take(p *simProxy, update revision.Update) revision.Report {
 	report := revision.Report{Revision: update.Revision, Checksum: p.checksum}
-	if update.Revision < p.revision || update.Revision == p.revision && !update.Whole {
+	if update.Revision < p.revision || update.Revision == p.revision && !update.Full {
 		s.fail("proxy %s has revision %d and is sent %d", p.identity.Proxy, p.revision, update.Revision)
 	}
 	held := slices.Clone(p.held)
-	if update.Whole {
+	if update.Full {
 		held = nil
 	}
 	for _, change := range update.Scopes {
@@ -150,26 +150,26 @@
 		document := change.Document
 		if change.From != 0 {
 			s.counts["patches"]++
-			i := slices.IndexFunc(held, func(one revision.Held) bool { return one.Scope == change.Scope })
+			i := slices.IndexFunc(held, func(one revision.ScopeDocument) bool { return one.Scope == change.Scope })
 			if i < 0 || held[i].Number != change.From {
 				s.fail("proxy %s is sent a change from %d of %v", p.identity.Proxy, change.From, change.Scope)
 				return report
 			}
 			var err error
-			if document, err = revision.Patch(held[i].Document, change.Patch); err != nil {
+			if document, err = revision.ApplyPatch(held[i].Document, change.Patch); err != nil {
 				s.fail("proxy %s: %w", p.identity.Proxy, err)
 			}
 		}
-		held = slices.DeleteFunc(held, func(one revision.Held) bool { return one.Scope == change.Scope })
-		held = append(held, revision.Held{Scope: change.Scope, Number: change.Number, Document: document})
+		held = slices.DeleteFunc(held, func(one revision.ScopeDocument) bool { return one.Scope == change.Scope })
+		held = append(held, revision.ScopeDocument{Scope: change.Scope, Number: change.Number, Document: document})
 	}
-	effective, err := revision.Effective(p.identity, held)
+	effective, err := revision.EffectiveDocument(p.identity, held)
 	if err != nil {
 		s.fail("proxy %s: %w", p.identity.Proxy, err)
 	}
 	if revision.Checksum(effective) != update.Checksum {
 		s.counts["unknown verdicts"]++
-		if update.Whole {
+		if update.Full {
 			s.fail("proxy %s is sent a whole update with a wrong checksum", p.identity.Proxy)
 		}
 		report.Verdict = revision.Unknown
@@ -214,7 +214,7 @@
 	}
 	i := s.choose.below("damaged", len(p.held))
 	p.held[i].Document = revision.Document(`{"lost":true}`)
-	if effective, err := revision.Effective(p.identity, p.held); err == nil {
+	if effective, err := revision.EffectiveDocument(p.identity, p.held); err == nil {
 		p.checksum = revision.Checksum(effective)
 	}
 	p.disconnect()
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -132,7 +132,7 @@
 	default:
 		return fmt.Errorf("stage %q is unknown", e.Stage)
 	}
-	document, err := revision.Canonical(e.Document)
+	document, err := revision.Canonicalize(e.Document)
 	if err != nil {
 		return err
 	}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -207,7 +207,7 @@
 		}
 		return entry.Document, nil
 	}
-	document, err := revision.Canonical(a.Document)
+	document, err := revision.Canonicalize(a.Document)
 	if err != nil {
 		return nil, &BadCommandError{Reason: oneLine(err)}
 	}
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -69,36 +69,36 @@
 		want     string
 	}{
 		"released at once": {
-			[]Command{apply("a", revision.Fleet, 0, "{}"), apply("b", revision.Fleet, 1, "{}")},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), apply("b", revision.FleetScope, 1, "{}")},
 			"1 superseded, 2 released",
 		},
 		"a trial leaves the released one": {
-			[]Command{apply("a", revision.Fleet, 0, "{}"), tried("b", revision.Fleet, 1, "{}", "p1")},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1")},
 			"1 released, 2 trial",
 		},
 		"a trial ends well": {
-			[]Command{apply("a", revision.Fleet, 0, "{}"), tried("b", revision.Fleet, 1, "{}", "p1"), release(2)},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1"), release(2)},
 			"1 superseded, 2 released",
 		},
 		"a trial is held": {
-			[]Command{apply("a", revision.Fleet, 0, "{}"), tried("b", revision.Fleet, 1, "{}", "p1"), hold(2)},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1"), hold(2)},
 			"1 released, 2 held",
 		},
 		"held after its release": {
-			[]Command{apply("a", revision.Fleet, 0, "{}"), tried("b", revision.Fleet, 1, "{}", "p1"), release(2), hold(2)},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1"), release(2), hold(2)},
 			"1 released, 2 held",
 		},
 		"the next one after a held one": {
-			[]Command{apply("a", revision.Fleet, 0, "{}"), tried("b", revision.Fleet, 1, "{}", "p1"), hold(2),
-				apply("c", revision.Fleet, 2, "{}")},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1"), hold(2),
+				apply("c", revision.FleetScope, 2, "{}")},
 			"1 superseded, 2 held, 3 released",
 		},
 		"a trial is overtaken": {
-			[]Command{tried("a", revision.Fleet, 0, "{}", "p1"), tried("b", revision.Fleet, 1, "{}", "p2"), release(2)},
+			[]Command{tried("a", revision.FleetScope, 0, "{}", "p1"), tried("b", revision.FleetScope, 1, "{}", "p2"), release(2)},
 			"1 superseded, 2 released",
 		},
 		"scopes have chains of their own": {
-			[]Command{apply("a", revision.Fleet, 0, "{}"), apply("b", zoneA, 0, "{}"), apply("c", revision.Fleet, 1, "{}")},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), apply("b", zoneA, 0, "{}"), apply("c", revision.FleetScope, 1, "{}")},
 			"1 superseded, 2 released, 3 released",
 		},
 	} {
@@ -118,16 +118,16 @@
 		command Command
 		want    any
 	}{
-		"stale base":         {apply("x", revision.Fleet, 1, "{}"), new(*ConflictError)},
-		"base to come":       {apply("x", revision.Fleet, 9, "{}"), new(*UnknownRevisionError)},
+		"stale base":         {apply("x", revision.FleetScope, 1, "{}"), new(*ConflictError)},
+		"base to come":       {apply("x", revision.FleetScope, 9, "{}"), new(*UnknownRevisionError)},
 		"no scope":           {apply("x", revision.Scope{}, 0, "{}"), new(*BadCommandError)},
 		"unknown kind":       {apply("x", revision.Scope{Kind: "rack", Name: "a"}, 0, "{}"), new(*BadCommandError)},
-		"cut document":       {apply("x", revision.Fleet, 2, `{"a":`), new(*BadCommandError)},
-		"null in it":         {apply("x", revision.Fleet, 2, `{"a":null}`), new(*BadCommandError)},
-		"no document":        {apply("x", revision.Fleet, 2, ""), new(*BadCommandError)},
-		"no ID":              {apply("", revision.Fleet, 2, "{}"), new(*BadCommandError)},
-		"long ID":            {apply(strings.Repeat("x", IDMost+1), revision.Fleet, 2, "{}"), new(*BadCommandError)},
-		"bad canary":         {tried("x", revision.Fleet, 2, "{}", "p 1"), new(*BadCommandError)},
+		"cut document":       {apply("x", revision.FleetScope, 2, `{"a":`), new(*BadCommandError)},
+		"null in it":         {apply("x", revision.FleetScope, 2, `{"a":null}`), new(*BadCommandError)},
+		"no document":        {apply("x", revision.FleetScope, 2, ""), new(*BadCommandError)},
+		"no ID":              {apply("", revision.FleetScope, 2, "{}"), new(*BadCommandError)},
+		"long ID":            {apply(strings.Repeat("x", IDMost+1), revision.FleetScope, 2, "{}"), new(*BadCommandError)},
+		"bad canary":         {tried("x", revision.FleetScope, 2, "{}", "p 1"), new(*BadCommandError)},
 		"nothing set":        {Command{ID: "x"}, new(*BadCommandError)},
 		"long reason":        {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: long}}, new(*BadCommandError)},
 		"no UTF-8":           {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: "\xff"}}, new(*BadCommandError)},
@@ -135,12 +135,12 @@
 		"release of old":     {release(1), new(*StageError)},
 		"hold of old":        {hold(1), new(*StageError)},
 		"release of none":    {release(9), new(*UnknownRevisionError)},
-		"rollback to none":   {rollback(revision.Fleet, 2, 9), new(*UnknownRevisionError)},
+		"rollback to none":   {rollback(revision.FleetScope, 2, 9), new(*UnknownRevisionError)},
 		"rollback of zone's": {rollback(zoneB, 0, 1), new(*UnknownRevisionError)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewState(simFleet)
-			accept(t, s, apply("a", revision.Fleet, 0, `{"a":1}`), apply("b", revision.Fleet, 1, `{"a":2}`))
+			accept(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`), apply("b", revision.FleetScope, 1, `{"a":2}`))
 			before := stages(s)
 			outcome := s.Apply(test.command)
 			if outcome.Err == nil || !errors.As(outcome.Err, test.want) {
@@ -159,11 +159,11 @@
 func TestAConflictTellsWhatChangedMeanwhile(t *testing.T) {
 	s := NewState(simFleet)
 	accept(t, s,
-		apply("a", revision.Fleet, 0, `{"limits":{"rate":1},"x":1}`),
+		apply("a", revision.FleetScope, 0, `{"limits":{"rate":1},"x":1}`),
 		apply("b", zoneA, 0, `{"y":1}`),
-		apply("c", revision.Fleet, 1, `{"limits":{"rate":2},"x":1}`),
-		apply("d", revision.Fleet, 3, `{"limits":{"rate":2},"z":1}`))
-	outcome := s.Apply(apply("e", revision.Fleet, 1, "{}"))
+		apply("c", revision.FleetScope, 1, `{"limits":{"rate":2},"x":1}`),
+		apply("d", revision.FleetScope, 3, `{"limits":{"rate":2},"z":1}`))
+	outcome := s.Apply(apply("e", revision.FleetScope, 1, "{}"))
 	conflict := new(ConflictError)
 	if !errors.As(outcome.Err, &conflict) {
 		t.Fatal(outcome.Err)
@@ -180,14 +180,14 @@
 
 func TestASecondCommandWithAnIDChangesNothing(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s, apply("a", revision.Fleet, 0, `{"a":1}`))
-	refused := s.Apply(apply("b", revision.Fleet, 2, `{"a":2}`))
-	accept(t, s, apply("c", revision.Fleet, 1, `{"a":3}`))
-	if outcome := s.Apply(apply("a", revision.Fleet, 2, `{"a":4}`)); outcome.Number != 1 || outcome.Err != nil {
+	accept(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`))
+	refused := s.Apply(apply("b", revision.FleetScope, 2, `{"a":2}`))
+	accept(t, s, apply("c", revision.FleetScope, 1, `{"a":3}`))
+	if outcome := s.Apply(apply("a", revision.FleetScope, 2, `{"a":4}`)); outcome.Number != 1 || outcome.Err != nil {
 		t.Errorf("the second a: %v", outcome)
 	}
 	// Its base exists by now, but its submitter was told that it was refused.
-	if outcome := s.Apply(apply("b", revision.Fleet, 2, `{"a":2}`)); outcome.Err != refused.Err {
+	if outcome := s.Apply(apply("b", revision.FleetScope, 2, `{"a":2}`)); outcome.Err != refused.Err {
 		t.Errorf("the second b: %v, the first %v", outcome, refused)
 	}
 	if s.Newest() != 2 {
@@ -203,9 +203,9 @@
 
 func TestRollbackIsANewRevision(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s, apply("a", revision.Fleet, 0, `{"a":1}`), apply("b", revision.Fleet, 1, `{"a":2}`))
-	accept(t, s, rollback(revision.Fleet, 2, 1))
-	latest, _ := s.Latest(revision.Fleet)
+	accept(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`), apply("b", revision.FleetScope, 1, `{"a":2}`))
+	accept(t, s, rollback(revision.FleetScope, 2, 1))
+	latest, _ := s.Latest(revision.FleetScope)
 	if latest.Number != 3 || string(latest.Document) != `{"a":1}` || latest.RollbackOf != 1 || latest.Previous != 2 {
 		t.Errorf("%+v", latest)
 	}
@@ -216,7 +216,7 @@
 	accept(t, s, apply("zone", zoneA, 0, `{"a":1}`), apply("zone 2", zoneA, 1, `{"a":2}`))
 	base := revision.Number(0)
 	for i := range HistoryMost + 100 {
-		command := apply(fmt.Sprint("f", i), revision.Fleet, base, fmt.Sprintf(`{"a":%d}`, i))
+		command := apply(fmt.Sprint("f", i), revision.FleetScope, base, fmt.Sprintf(`{"a":%d}`, i))
 		outcome := s.Apply(command)
 		if outcome.Err != nil {
 			t.Fatal(outcome.Err)
@@ -239,7 +239,7 @@
 
 func TestDocumentBytesAreBounded(t *testing.T) {
 	s := NewState(simFleet)
-	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", revision.DocumentMost-100))
+	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", revision.MaxDocumentBytes-100))
 	for i := range 2 * DocumentBytesMost / len(large) {
 		scope := revision.Scope{Kind: revision.ProxyKind, Name: fmt.Sprint("p", i)}
 		outcome := s.Apply(apply(scope.Name, scope, 0, large))
@@ -256,14 +256,14 @@
 	s := NewState(simFleet)
 	base := revision.Number(0)
 	for i := range UnreleasedMost {
-		accept(t, s, tried(fmt.Sprint(i), revision.Fleet, base, "{}", "p1"))
+		accept(t, s, tried(fmt.Sprint(i), revision.FleetScope, base, "{}", "p1"))
 		base = s.Newest()
 	}
 	limit := new(LimitError)
-	if outcome := s.Apply(tried("x", revision.Fleet, base, "{}", "p1")); !errors.As(outcome.Err, &limit) {
+	if outcome := s.Apply(tried("x", revision.FleetScope, base, "{}", "p1")); !errors.As(outcome.Err, &limit) {
 		t.Errorf("one more: %v", outcome)
 	}
-	accept(t, s, apply("at once", revision.Fleet, base, "{}"))
+	accept(t, s, apply("at once", revision.FleetScope, base, "{}"))
 }
 
 func TestOutcomesAreBounded(t *testing.T) {
@@ -279,13 +279,13 @@
 // everyOutcome gives a state with all stages and all kinds of outcomes.
 func everyOutcome(t testing.TB) *State {
 	s := NewState(simFleet)
-	s.Apply(apply("a", revision.Fleet, 0, `{"html":"<&>\u2028","n":1.50}`))
-	s.Apply(tried("b", revision.Fleet, 1, `{"n":2}`, "p1", "p2"))
+	s.Apply(apply("a", revision.FleetScope, 0, `{"html":"<&>\u2028","n":1.50}`))
+	s.Apply(tried("b", revision.FleetScope, 1, `{"n":2}`, "p1", "p2"))
 	s.Apply(hold(2))
 	s.Apply(tried("c", zoneA, 0, `{"n":2}`, "p1"))
-	s.Apply(apply("conflict", revision.Fleet, 1, `{"n":3}`))
-	s.Apply(apply("unknown", revision.Fleet, 9, `{"n":3}`))
-	s.Apply(apply("bad", revision.Fleet, 2, `{"n":`))
+	s.Apply(apply("conflict", revision.FleetScope, 1, `{"n":3}`))
+	s.Apply(apply("unknown", revision.FleetScope, 9, `{"n":3}`))
+	s.Apply(apply("bad", revision.FleetScope, 2, `{"n":`))
 	s.Apply(release(2))
 	s.Apply(release(99))
 	s.outcomes.add("limit", Outcome{Err: &LimitError{What: "scopes", Most: 1}})
@@ -315,8 +315,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	accept(t, s, apply("z", revision.Fleet, 2, "{}"))
-	accept(t, read, apply("z", revision.Fleet, 2, "{}"))
+	accept(t, s, apply("z", revision.FleetScope, 2, "{}"))
+	accept(t, read, apply("z", revision.FleetScope, 2, "{}"))
 	one, err := s.Checksum()
 	if other, otherErr := read.Checksum(); err != nil || otherErr != nil || one != other || one == before {
 		t.Errorf("%s (%v) and %s (%v), before %s", one, err, other, otherErr, before)
@@ -336,7 +336,7 @@
 	entry := func(number int, stage, document, checksum string) string {
 		return fmt.Sprintf(`{"number":%d,"scope":"fleet","stage":%q,"document":%s,"checksum":%q}`, number, stage, document, checksum)
 	}
-	empty := revision.Checksum(revision.Empty)
+	empty := revision.Checksum(revision.EmptyDocument)
 	second := entry(2, "held", "{}", empty)
 	for name, text := range map[string][]byte{
 		"nothing":         nil,
--- a/internal/controlserver/apply.go
+++ b/internal/controlserver/apply.go
@@ -102,7 +102,7 @@
 		request.Document = nil
 		return nil
 	}
-	document, err := revision.Canonical(request.Document)
+	document, err := revision.Canonicalize(request.Document)
 	if err != nil {
 		return badRequest(fmt.Errorf("document: %w", err))
 	}
--- a/internal/controlserver/check.go
+++ b/internal/controlserver/check.go
@@ -24,13 +24,13 @@
 			return nil, fmt.Errorf("check_base: %w", err)
 		}
 	}
-	base, err := revision.Canonical(text)
+	base, err := revision.Canonicalize(text)
 	if err != nil {
 		return nil, fmt.Errorf("check_base: %s: %w", path, err)
 	}
 	check := func(effective revision.Document) error { return checkOver(base, effective) }
 	if path != "" {
-		if err := check(revision.Empty); err != nil {
+		if err := check(revision.EmptyDocument); err != nil {
 			return nil, fmt.Errorf("check_base: %s: %w", path, err)
 		}
 	}
@@ -42,11 +42,11 @@
 	if err := checkKeys(effective); err != nil {
 		return err
 	}
-	merged, err := revision.Patch(base, effective)
+	merged, err := revision.ApplyPatch(base, effective)
 	if err != nil {
 		return err
 	}
-	launch, err := proxy.Read(merged)
+	launch, err := proxy.ParseConfig(merged)
 	if err != nil {
 		return err
 	}
--- a/internal/controlserver/cluster_test.go
+++ b/internal/controlserver/cluster_test.go
@@ -145,7 +145,7 @@
 	})
 	for n := range 5 {
 		begin := time.Now()
-		number := apply(t, client, revision.Fleet, utility(n))
+		number := apply(t, client, revision.FleetScope, utility(n))
 		accepted := time.Since(begin)
 		await(t, spreadTime, "in force", func() (string, bool) {
 			for _, proxy := range fleet.proxies {
--- a/internal/controlserver/defects_test.go
+++ b/internal/controlserver/defects_test.go
@@ -23,7 +23,7 @@
 		document := utility(n)
 		sum := revision.Checksum(document)
 		journal.asked(sum)
-		number, err := tryApply(client, revision.Fleet, document, electTime)
+		number, err := tryApply(client, revision.FleetScope, document, electTime)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,9 +75,9 @@
 		})
 	}
 	await(t, electTime, "all proxies watch", allWatch(client, len(fleet.proxies)))
-	good := apply(t, client, revision.Fleet, utility(1))
+	good := apply(t, client, revision.FleetScope, utility(1))
 	await(t, spreadTime, "in force", allAt(client, fleet.proxies))
-	accepted, err := client.Apply(context.Background(), controlapi.ApplyRequest{Scope: revision.Fleet, Base: good, Document: bad,
+	accepted, err := client.Apply(context.Background(), controlapi.ApplyRequest{Scope: revision.FleetScope, Base: good, Document: bad,
 		Author: "tester", Reason: "a bad one", AtOnce: atOnce})
 	if err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 		c := startCluster(t, 7, defect)
 		client := operatorOf(t, c.addresses()...)
 		c.awaitLeader(client)
-		_, err := tryApply(client, revision.Fleet, revision.Document(`{"settings":{"tick_ms":"soon"}}`), electTime)
+		_, err := tryApply(client, revision.FleetScope, revision.Document(`{"settings":{"tick_ms":"soon"}}`), electTime)
 		if caught := kindOf(err) != controlapi.KindRefused; caught != (defect == noCheck) {
 			t.Errorf("defect %q: %v", defect, err)
 		}
--- a/internal/controlserver/faults_test.go
+++ b/internal/controlserver/faults_test.go
@@ -129,7 +129,7 @@
 // operate changes configurations until the context ends. Every document is another.
 func (j *journal) operate(ctx context.Context, client *controlclient.Client, seed uint64, operator int) {
 	chance := rand.New(rand.NewPCG(seed, uint64(operator)))
-	scopes := []revision.Scope{revision.Fleet, {Kind: revision.RegionKind, Name: "us"}, {Kind: revision.ZoneKind, Name: "eu-0"},
+	scopes := []revision.Scope{revision.FleetScope, {Kind: revision.RegionKind, Name: "us"}, {Kind: revision.ZoneKind, Name: "eu-0"},
 		{Kind: revision.ServiceKind, Name: "s1"}, {Kind: revision.ProxyKind, Name: "p3"}}
 	for n := 0; ctx.Err() == nil; n++ {
 		document := utility(100000*operator + n)
--- a/internal/controlserver/join_test.go
+++ b/internal/controlserver/join_test.go
@@ -26,7 +26,7 @@
 	client := operatorOf(t, c.addresses()...)
 	leader := c.awaitLeader(client)
 	for n := range 3 {
-		apply(t, client, revision.Fleet, utility(n))
+		apply(t, client, revision.FleetScope, utility(n))
 	}
 	lost := (leader + 1) % len(c.replicas)
 	c.kill(lost)
@@ -35,7 +35,7 @@
 	}
 	c.start(lost)
 	for n := range 2 {
-		apply(t, client, revision.Fleet, utility(10+n))
+		apply(t, client, revision.FleetScope, utility(10+n))
 	}
 	c.awaitJoined(lost)
 	own := operatorOf(t, c.replicas[lost].address)
@@ -55,12 +55,12 @@
 	for i := range c.replicas {
 		c.awaitJoined(i)
 	}
-	apply(t, client, revision.Fleet, utility(0))
+	apply(t, client, revision.FleetScope, utility(0))
 	behind := []int{(leader + 1) % len(c.replicas), (leader + 2) % len(c.replicas)}
 	for _, i := range behind {
 		c.kill(i)
 	}
-	newest := apply(t, client, revision.Fleet, utility(1))
+	newest := apply(t, client, revision.FleetScope, utility(1))
 	lost, other := (leader+3)%len(c.replicas), (leader+4)%len(c.replicas)
 	for _, i := range []int{leader, lost, other} {
 		c.kill(i)
--- a/internal/controlserver/reads.go
+++ b/internal/controlserver/reads.go
@@ -166,7 +166,7 @@
 
 // showScope gives a scope's newest document, the empty one for a scope without revisions.
 func showScope(state *control.State, scope revision.Scope, freshness controlapi.Freshness) controlapi.ShowResponse {
-	response := controlapi.ShowResponse{Scope: &scope, Document: revision.Empty, Freshness: freshness}
+	response := controlapi.ShowResponse{Scope: &scope, Document: revision.EmptyDocument, Freshness: freshness}
 	if entry, known := state.Latest(scope); known {
 		response.Number, response.Document = entry.Number, entry.Document
 		entry.Document = nil
@@ -188,7 +188,7 @@
 		return response, err
 	}
 	response.Freshness = freshness
-	if response.Document, err = revision.Effective(identity, held); err != nil {
+	if response.Document, err = revision.EffectiveDocument(identity, held); err != nil {
 		return response, err
 	}
 	for _, one := range held {
@@ -208,7 +208,7 @@
 	}
 	_, err := revision.ParseScope(request.Scope.String())
 	if err == nil {
-		request.Document, err = revision.Canonical(request.Document)
+		request.Document, err = revision.Canonicalize(request.Document)
 	}
 	if err != nil {
 		writeError(w, badRequest(err))
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -113,7 +113,7 @@
 	t.Parallel()
 	server, client := startAlone(t, nil)
 	awaitReady(t, client)
-	apply(t, client, revision.Fleet, utility(1))
+	apply(t, client, revision.FleetScope, utility(1))
 	answer, _ := openWatch(t, server, strings.Replace(goodHello, `"protocol":1`, `"protocol":2`, 1))
 	lines := bufio.NewReader(answer.Body)
 	var update revision.Update
@@ -174,7 +174,7 @@
 	t.Parallel()
 	server, client := startAlone(t, nil)
 	awaitReady(t, client)
-	apply(t, client, revision.Fleet, utility(1))
+	apply(t, client, revision.FleetScope, utility(1))
 	answer, _ := openWatch(t, server, goodHello)
 	begin := time.Now()
 	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
@@ -292,7 +292,7 @@
 	t.Parallel()
 	_, client := startAlone(t, nil)
 	awaitReady(t, client)
-	request := controlapi.ApplyRequest{ID: "first", Scope: revision.Fleet, Document: utility(1), Author: "anna", Reason: "more"}
+	request := controlapi.ApplyRequest{ID: "first", Scope: revision.FleetScope, Document: utility(1), Author: "anna", Reason: "more"}
 	for range 3 {
 		if accepted, err := client.Apply(context.Background(), request); err != nil || accepted.Number != 1 {
 			t.Fatalf("%+v, %v", accepted, err)
@@ -312,7 +312,7 @@
 	_, client := startAlone(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	request := controlapi.ApplyRequest{Scope: revision.Fleet, Document: utility(1), Author: "anna", Reason: "more"}
+	request := controlapi.ApplyRequest{Scope: revision.FleetScope, Document: utility(1), Author: "anna", Reason: "more"}
 	if _, err := client.Apply(ctx, request); kindOf(err) != controlapi.KindNoQuorum {
 		t.Errorf("%v", err)
 	}
@@ -395,7 +395,7 @@
 			return accepted, end
 		default:
 		}
-		if _, err := tryApply(client, revision.Fleet, utility(n), 300*time.Millisecond); err == nil {
+		if _, err := tryApply(client, revision.FleetScope, utility(n), 300*time.Millisecond); err == nil {
 			accepted++
 		}
 	}
--- a/internal/controlserver/simproxy_test.go
+++ b/internal/controlserver/simproxy_test.go
@@ -24,7 +24,7 @@
 	refuse   func(effective revision.Document) string // why it refuses a configuration, empty: it takes it
 
 	mu       sync.Mutex
-	held     map[revision.Scope]revision.Held
+	held     map[revision.Scope]revision.ScopeDocument
 	revision revision.Number
 	checksum string
 	refused  map[revision.Number]bool
@@ -38,8 +38,8 @@
 )
 
 func newSimProxy(identity revision.Identity, replicas []string) *simProxy {
-	return &simProxy{identity: identity, replicas: replicas, held: map[revision.Scope]revision.Held{},
-		checksum: revision.Checksum(revision.Empty), refused: map[revision.Number]bool{}}
+	return &simProxy{identity: identity, replicas: replicas, held: map[revision.Scope]revision.ScopeDocument{},
+		checksum: revision.Checksum(revision.EmptyDocument), refused: map[revision.Number]bool{}}
 }
 
 // run watches until the context ends.
@@ -62,7 +62,7 @@
 		hello.Checksum = ""
 	}
 	for _, held := range p.held {
-		hello.Held = append(hello.Held, revision.Held{Scope: held.Scope, Number: held.Number})
+		hello.Documents = append(hello.Documents, revision.ScopeDocument{Scope: held.Scope, Number: held.Number})
 	}
 	return hello
 }
@@ -124,8 +124,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	report := revision.Report{Revision: update.Revision, Verdict: revision.Unknown, Checksum: p.checksum}
-	next := map[revision.Scope]revision.Held{}
-	if !update.Whole {
+	next := map[revision.Scope]revision.ScopeDocument{}
+	if !update.Full {
 		for scope, held := range p.held {
 			next[scope] = held
 		}
@@ -134,7 +134,7 @@
 		document := change.Document
 		if len(change.Patch) > 0 {
 			held := next[change.Scope]
-			patched, err := revision.Patch(held.Document, change.Patch)
+			patched, err := revision.ApplyPatch(held.Document, change.Patch)
 			if err != nil || held.Number != change.From {
 				report.Reason = "the change does not follow"
 				return report
@@ -145,7 +145,7 @@
 			p.faults = append(p.faults, fmt.Sprintf("%s: %s goes back from %d to %d", p.identity.Proxy, change.Scope,
 				p.held[change.Scope].Number, change.Number))
 		}
-		next[change.Scope] = revision.Held{Scope: change.Scope, Number: change.Number, Document: document}
+		next[change.Scope] = revision.ScopeDocument{Scope: change.Scope, Number: change.Number, Document: document}
 	}
 	if update.Revision < p.revision {
 		p.faults = append(p.faults, fmt.Sprintf("%s goes back from %d to %d", p.identity.Proxy, p.revision, update.Revision))
@@ -154,12 +154,12 @@
 }
 
 // judge takes a configuration over, or says why not.
-func (p *simProxy) judge(update revision.Update, next map[revision.Scope]revision.Held, report revision.Report) revision.Report {
-	var held []revision.Held
+func (p *simProxy) judge(update revision.Update, next map[revision.Scope]revision.ScopeDocument, report revision.Report) revision.Report {
+	var held []revision.ScopeDocument
 	for _, one := range next {
 		held = append(held, one)
 	}
-	effective, err := revision.Effective(p.identity, held)
+	effective, err := revision.EffectiveDocument(p.identity, held)
 	if err != nil || revision.Checksum(effective) != update.Checksum {
 		report.Reason = "the checksum is wrong"
 		p.faults = append(p.faults, fmt.Sprintf("%s: update %d gives %s, its checksum is another's (%v)",
--- a/internal/controlserver/watch.go
+++ b/internal/controlserver/watch.go
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	for update.Whole {
+	for update.Full {
 		wait, ok := w.server.pace(len(text))
 		if ok {
 			break
--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -183,7 +183,7 @@
 func (d *Day) ran(b *backend, r *relay) {
 	v := &d.verbs[r.verb]
 	r.made = true
-	d.judge.Executed(d.now, r.sent, r.op, checker.Effect(v.Effect), checker.Scope(v.Scope), v.Window, b.zone, b.cell)
+	d.judge.Executed(d.now, r.sent, r.op, checker.Effect(v.Effect), checker.Scope(v.Scope), v.DedupWindow, b.zone, b.cell)
 }
 
 // leave sends a command's outcome back and lets in the next that waits.
@@ -219,9 +219,9 @@
 	r.b = b
 	switch {
 	case b.burden.silent:
-		d.answerAt(r, max(d.now, r.sent+d.w.Rules.Connect), balance.Unconnected)
+		d.answerAt(r, max(d.now, r.sent+d.w.Rules.Connect), balance.ConnectFailed)
 	case !b.alive, float64(b.conns) >= float64(d.tierOf(b).Connections)*(1-b.burden.Table):
-		d.back(r, balance.Unconnected)
+		d.back(r, balance.ConnectFailed)
 	default:
 		b.conns++
 		r.conn = b
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -345,7 +345,7 @@
 	}
 	o.mayHaveRun = o.mayHaveRun || a == failed || a == died || a == unheard
 	allowed := v.Effect == balance.Pure || !o.mayHaveRun ||
-		v.Effect == balance.Receipted && v.Scope == balance.ScopeAll && d.now < o.first+v.Window
+		v.Effect == balance.Receipted && v.Scope == balance.ScopeAll && d.now < o.first+v.DedupWindow
 	if a == declined && draw(o.seed, uint64(40+o.tries)) < w.Follow {
 		backoff = max(backoff, comeBack)
 	}
