--- a/internal/emulator/day.go
+++ b/internal/emulator/day.go
@@ -24,15 +24,15 @@
 
 // Policy is what an instance goes by: the module itself, or something to compare it with.
 type Policy interface {
-	Turn(now, tick float64, place balance.Place, verbs []balance.Verb, customers []balance.Customer, overage float64,
-		limits balance.Limits, cold balance.Cold, mustAsk bool)
-	Command(now float64, id uint64, verb, customer int, expires float64, key uint64)
-	Outcome(now float64, id uint64, n int, result balance.Result, took float64, final bool, load balance.Load)
-	Departed(now float64, id uint64)
-	Fleet(now float64, whole bool, entries []balance.Entry)
-	ListFailed(now float64)
-	Received(now float64, from int, text []byte)
-	Wake(now float64, token uint64)
+	Configure(now, tick float64, place balance.Placement, verbs []balance.Verb, customers []balance.Customer, overage float64,
+		limits balance.Limits, cold balance.ColdStart, mustAsk bool)
+	CommandReceived(now float64, id uint64, verb, customer int, expires float64, key uint64)
+	RelayEnded(now float64, id uint64, n int, result balance.Result, took float64, final bool, load balance.LoadReport)
+	ClientDisconnected(now float64, id uint64)
+	UpdateBackends(now float64, whole bool, entries []balance.Entry)
+	BackendListFailed(now float64)
+	MessageReceived(now float64, from int, text []byte)
+	TimerFired(now float64, token uint64)
 }
 
 // Sight is the true state of backends, for a policy that is to show what could be reached.
@@ -113,13 +113,13 @@
 		CrossingPrice: w.Prices.Crossing, LateRejectionPrice: w.Prices.LateNo, Length: w.Length, Tenants: len(w.Customers),
 		DeadlineError: w.Rules.LimitOff, FreeRetries: w.Rules.Free, RetryRatio: w.Rules.FreeShare, BudgetWindow: w.Rules.FreeSpan})
 	for _, v := range w.Verbs {
-		d.verbs = append(d.verbs, balance.Verb{Effect: effects[v.Effect], Scope: scopes[v.Scope], Window: v.Window,
-			Goal: v.Goal, TimeLimit: v.Limit, Utility: v.Utility, Late: v.Late, Was: -1})
+		d.verbs = append(d.verbs, balance.Verb{Effect: effects[v.Effect], Scope: scopes[v.Scope], DedupWindow: v.Window,
+			Goal: v.Goal, TimeLimit: v.Limit, Utility: v.Utility, LateUtility: v.Late, PreviousIndex: -1})
 	}
-	d.limits = balance.Limits{Relays: w.Rules.Relays, SecondCopies: w.Rules.Copies, Cancel: w.Rules.Cancel,
-		ComeBack: w.Rules.ComeBack, Peers: w.Rules.Peers, Keys: w.Tiers[0].KeySaves > 0, Far: w.Prices.Crossing > 0,
-		Answers: w.Rules.Answers, LeftOff: w.Rules.LimitOff,
-		Further: balance.Budget{Free: w.Rules.Free, Share: w.Rules.FreeShare, Span: w.Rules.FreeSpan}}
+	d.limits = balance.Limits{MaxRelays: w.Rules.Relays, SecondCopies: w.Rules.Copies, CancelRelays: w.Rules.Cancel,
+		MaxRetryAfter: w.Rules.ComeBack, PeerMessages: w.Rules.Peers, KeyAffinity: w.Tiers[0].KeySaves > 0, CrossZonePriced: w.Prices.Crossing > 0,
+		MaxUnreadAnswers: w.Rules.Answers, DeadlineError: w.Rules.LimitOff,
+		ExtraRelays: balance.RelayBudget{Free: w.Rules.Free, PerCommand: w.Rules.FreeShare, Span: w.Rules.FreeSpan}}
 	d.build()
 	return d
 }
@@ -207,7 +207,7 @@
 		d.noted(int(e.n))
 	case onTimer:
 		if x := d.instances[e.a]; x.alive {
-			x.policy.Wake(d.now, e.n)
+			x.policy.TimerFired(d.now, e.n)
 		}
 	case onLimit:
 		d.limit(e.n)
--- a/internal/emulator/day_test.go
+++ b/internal/emulator/day_test.go
@@ -141,7 +141,7 @@
 	known []balance.BackendID
 }
 
-func (w *wrong) Fleet(now float64, whole bool, entries []balance.Entry) {
+func (w *wrong) UpdateBackends(now float64, whole bool, entries []balance.Entry) {
 	for _, e := range entries {
 		w.known = append(w.known, e.ID)
 	}
@@ -149,14 +149,14 @@
 		w.fleet(w.Policy, now, whole, entries)
 		return
 	}
-	w.Policy.Fleet(now, whole, entries)
+	w.Policy.UpdateBackends(now, whole, entries)
 }
 
-func (w *wrong) Outcome(now float64, id uint64, n int, result balance.Result, took float64, final bool, l balance.Load) {
+func (w *wrong) RelayEnded(now float64, id uint64, n int, result balance.Result, took float64, final bool, l balance.LoadReport) {
 	if w.after != nil && !final {
 		w.after(w, id, result)
 	}
-	w.Policy.Outcome(now, id, n, result, took, final, l)
+	w.Policy.RelayEnded(now, id, n, result, took, final, l)
 }
 
 // wrongHost is between a policy and its world.
@@ -243,20 +243,20 @@
 					e.State = balance.Ready
 					all = append(all, e)
 				}
-				p.Fleet(now, whole, all)
+				p.UpdateBackends(now, whole, all)
 			}})},
 		{"believes only the newest to be there", checker.Cold, "after its start, got", roll,
 			build(nil, wrong{fleet: func(p emulator.Policy, now float64, whole bool, entries []balance.Entry) {
 				newest, only := 0.0, entries
 				for _, e := range entries {
-					if e.State == balance.Ready && e.Started > newest {
-						newest, only = e.Started, []balance.Entry{e}
+					if e.State == balance.Ready && e.StartedAt > newest {
+						newest, only = e.StartedAt, []balance.Entry{e}
 					}
 				}
-				if only[0].Started > 0 {
-					p.Fleet(now, true, only)
+				if only[0].StartedAt > 0 {
+					p.UpdateBackends(now, true, only)
 				} else {
-					p.Fleet(now, whole, entries)
+					p.UpdateBackends(now, whole, entries)
 				}
 			}})},
 	} {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -16,9 +16,9 @@
 }
 
 func (d *Day) entry(c change) balance.Entry {
-	e := balance.Entry{ID: c.b.id, Zone: c.b.zone, Cell: c.b.cell, State: c.state, Size: c.b.size, Started: c.started}
+	e := balance.Entry{ID: c.b.id, Zone: c.b.zone, Cell: c.b.cell, State: c.state, Capacity: c.b.size, StartedAt: c.started}
 	if c.started > 0 {
-		e.Started = max(1e-9, c.started+d.drift(c.b))
+		e.StartedAt = max(1e-9, c.started+d.drift(c.b))
 	}
 	return e
 }
@@ -135,7 +135,7 @@
 		d.judge.EndpointReceived(d.now, x.serial, d.named(e.ID).serial, e.State == balance.Ready, starts[i])
 	}
 	if len(entries) > 0 || whole {
-		x.policy.Fleet(d.now, whole, entries)
+		x.policy.UpdateBackends(d.now, whole, entries)
 	}
 }
 
@@ -153,7 +153,7 @@
 }
 
 // Watch is the policy's word: where discovery must be asked, a call that costs it work and may fail.
-func (x *instance) Watch() {
+func (x *instance) WatchBackends() {
 	d := x.d
 	if !d.w.Discovery.Asked {
 		return
@@ -164,7 +164,7 @@
 	if until > d.now || d.busyList > d.now+queued {
 		d.later(d.now+silence, func() {
 			if x.alive {
-				x.policy.ListFailed(d.now)
+				x.policy.BackendListFailed(d.now)
 			}
 		})
 		return
@@ -183,7 +183,7 @@
 	for _, x := range d.instances {
 		if x.alive && x.watching && d.w.Discovery.Asked {
 			x.watching = false
-			x.policy.ListFailed(d.now)
+			x.policy.BackendListFailed(d.now)
 		}
 	}
 }
--- a/internal/emulator/instances.go
+++ b/internal/emulator/instances.go
@@ -54,12 +54,12 @@
 	if tier == 0 {
 		rate := d.w.CommandRate()
 		for _, c := range d.w.Customers {
-			customers = append(customers, balance.Customer{Allowance: c.Allowance * rate, Was: -1})
+			customers = append(customers, balance.Customer{Allowance: c.Allowance * rate, PreviousIndex: -1})
 		}
 	}
 	r := &d.w.Rules
-	x.policy.Turn(d.now, d.w.Tick, balance.Place{Me: me, Siblings: len(d.places[tier]), Tier: tier, Zone: zone}, d.verbs,
-		customers, d.w.Clients.Over, d.limits, balance.Cold{Share: r.ColdShare, Span: r.ColdSpan, Multiple: r.ColdMultiple, Off: r.StartOff},
+	x.policy.Configure(d.now, d.w.Tick, balance.Placement{Index: me, Instances: len(d.places[tier]), Tier: tier, Zone: zone}, d.verbs,
+		customers, d.w.Clients.Over, d.limits, balance.ColdStart{InitialCapacity: r.ColdShare, WarmUp: r.ColdSpan, OverloadMultiple: r.ColdMultiple, StartError: r.StartOff},
 		d.w.Discovery.Asked)
 	x.whole = true
 	d.tell(x)
@@ -148,9 +148,9 @@
 func (d *Day) take(c *command) {
 	v := &d.verbs[c.verb]
 	d.judge.Accepted(d.now, checker.Request{ID: c.id, Op: c.opID, Instance: c.inst.serial, Expires: c.expires,
-		Effect: checker.Effect(v.Effect), Scope: checker.Scope(v.Scope), Window: v.Window})
+		Effect: checker.Effect(v.Effect), Scope: checker.Scope(v.Scope), Window: v.DedupWindow})
 	d.queue.push(onLimit, event{at: c.expires, n: c.id})
-	c.inst.policy.Command(d.now, c.id, c.verb, c.customer, c.expires-d.skew(c.inst), c.key)
+	c.inst.policy.CommandReceived(d.now, c.id, c.verb, c.customer, c.expires-d.skew(c.inst), c.key)
 }
 
 // skew is by how much an instance is told limits too short.
@@ -200,7 +200,7 @@
 	}
 	c.done = true
 	d.judge.ClientLeft(id)
-	x.policy.Departed(d.now, id)
+	x.policy.ClientDisconnected(d.now, id)
 	d.forget(c)
 }
 
@@ -325,7 +325,7 @@
 		d.judge.RequestEnded(d.now, c.id, false, true, r.made)
 		d.finish(c, answered, 0, d.slowest(c, r))
 	}
-	x.policy.Outcome(d.now, c.id, r.n, result, d.now-r.sent, final, balance.Load{Active: -1, Waiting: -1, CPU: -1, Took: -1})
+	x.policy.RelayEnded(d.now, c.id, r.n, result, d.now-r.sent, final, balance.LoadReport{Active: -1, Waiting: -1, CPU: -1, Latency: -1})
 	d.forget(c)
 }
 
@@ -381,7 +381,7 @@
 	c.out++
 	if c.done || len(c.relays) > d.w.Rules.Relays || d.now >= c.expires {
 		r.state = over
-		d.answerAt(r, d.now, balance.Moot)
+		d.answerAt(r, d.now, balance.NotSent)
 		return
 	}
 	if l := x.link(b); l.idle > 0 {
@@ -440,12 +440,12 @@
 }
 
 // WakeAfter is the policy's word.
-func (x *instance) WakeAfter(seconds float64, token uint64) {
+func (x *instance) StartTimer(seconds float64, token uint64) {
 	x.d.queue.push(onTimer, event{at: x.d.now + max(0, seconds), n: token, a: int32(x.serial)})
 }
 
 // Tell is the policy's word.
-func (x *instance) Send(to int, text []byte) {
+func (x *instance) SendToPeer(to int, text []byte) {
 	d := x.d
 	d.judge.MessageSent()
 	if to < 0 || to >= len(d.places[x.tier]) || len(text) > 256 {
@@ -493,7 +493,7 @@
 func (d *Day) noted(n int) {
 	w := d.noteTo[n]
 	if w.to.alive {
-		w.to.policy.Received(d.now, w.from, d.notes[n])
+		w.to.policy.MessageReceived(d.now, w.from, d.notes[n])
 	}
 	d.spare = append(d.spare, n)
 }
@@ -553,7 +553,7 @@
 	switch r.result {
 	case balance.Full:
 		l.Where = checker.Refused
-	case balance.Unconnected:
+	case balance.ConnectFailed:
 		l.Where = checker.Connecting
 	case balance.Errored:
 		l.Where = checker.Failed
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -119,7 +119,7 @@
 		return
 	}
 	if k == onConnect {
-		d.answerAt(r, d.now+d.w.Rules.Connect, balance.Unconnected)
+		d.answerAt(r, d.now+d.w.Rules.Connect, balance.ConnectFailed)
 		return
 	}
 	r.cut = true
@@ -155,7 +155,7 @@
 func (d *Day) back(r *relay, result balance.Result) {
 	r.ended = d.now
 	if !d.passes(r.to.zone, r.inst.zone) {
-		if r.conn == nil && result == balance.Unconnected {
+		if r.conn == nil && result == balance.ConnectFailed {
 			d.answerAt(r, max(d.now, r.sent+d.w.Rules.Connect), result)
 			return
 		}
--- a/internal/emulator/troubles.go
+++ b/internal/emulator/troubles.go
@@ -95,8 +95,8 @@
 			x.still = max(x.still, f.From+f.For)
 			d.later(f.From+f.For, func() {
 				d.judge.Stalled(x.serial, f.From, d.now)
-				if s, ok := x.policy.(interface{ Stood(float64) }); ok && x.alive {
-					s.Stood(d.now)
+				if s, ok := x.policy.(interface{ Stalled(float64) }); ok && x.alive {
+					s.Stalled(d.now)
 				}
 			})
 		}
--- a/internal/injected/injected.go
+++ b/internal/faultinject/faultinject.go
@@ -1,6 +1,6 @@
 // Package injected has system calls, writings of files and the wall clock of a process under test fail or step as a line of
 // text says. Test programs call Install before they start a proxy; nothing that operators run links it.
-package injected
+package faultinject
 
 import (
 	"fmt"
@@ -52,11 +52,11 @@
 
 // Plan is what a process is to suffer. It may be asked by several goroutines.
 type Plan struct {
-	Clock time.Duration // by which the wall clock is off
-	rules []rule
-	seed  uint64
-	mu    sync.Mutex
-	calls map[string]int
+	ClockOffset time.Duration // by which the wall clock is off
+	rules       []rule
+	seed        uint64
+	mu          sync.Mutex
+	calls       map[string]int
 }
 
 // Parse reads rules.
@@ -95,7 +95,7 @@
 		return err
 	case "clock":
 		seconds, err := strconv.ParseFloat(value, 64)
-		p.Clock = time.Duration(seconds * float64(time.Second))
+		p.ClockOffset = time.Duration(seconds * float64(time.Second))
 		return err
 	}
 	r := rule{err: errnos[value]}
@@ -147,10 +147,10 @@
 }
 
 // Loop is the plan as a loop asks it.
-func (p *Plan) Loop(call loop.Call) (int, error) { return p.next(string(call)) }
+func (p *Plan) LoopFault(call loop.Syscall) (int, error) { return p.next(string(call)) }
 
 // File is the plan as the writings of files ask it.
-func (p *Plan) File(step statefile.Step) error {
+func (p *Plan) FileFault(step statefile.Step) error {
 	_, err := p.next(string(step) + fileSuffix)
 	return err
 }
@@ -165,7 +165,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", Env, err)
 	}
-	loop.Faults, statefile.Faults = p.Loop, p.File
-	loop.WallClock = func() time.Time { return time.Now().Add(p.Clock) }
+	loop.Faults, statefile.FaultHook = p.LoopFault, p.FileFault
+	loop.WallClock = func() time.Time { return time.Now().Add(p.ClockOffset) }
 	return nil
 }
--- a/internal/http1/bench_test.go
+++ b/internal/http1/bench_test.go
@@ -12,7 +12,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			m.Reset()
-			if whole, err := m.Command(command); !whole || err != nil {
+			if whole, err := m.ParseCommand(command); !whole || err != nil {
 				b.Fatal(whole, err)
 			}
 		}
@@ -21,7 +21,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			m.Reset()
-			if whole, err := m.Answer(answer, false); !whole || err != nil {
+			if whole, err := m.ParseResponse(answer, false); !whole || err != nil {
 				b.Fatal(whole, err)
 			}
 		}
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -6,7 +6,7 @@
 const maxLine = 4 << 10 // bytes of a chunk's first line or of a trailer
 
 // Chunks reads a chunked body piece by piece. The zero value is at its start.
-type Chunks struct {
+type ChunkReader struct {
 	left  int // bytes of the chunk still to come
 	state int
 }
@@ -20,7 +20,7 @@
 
 // Next gives the next piece of data at the start of in, how many bytes are done with, and whether the body is whole.
 // With nothing used it needs more bytes.
-func (c *Chunks) Next(in []byte) (data []byte, used int, done bool, err error) {
+func (c *ChunkReader) Next(in []byte) (data []byte, used int, done bool, err error) {
 	if c.state == inData {
 		n := min(c.left, len(in))
 		if c.left -= n; c.left == 0 {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	MaxHead = 16 << 10 // bytes of a head; common servers take 8 to 16 KiB
-	MaxBody = 32 << 20 // bytes of any body
+	MaxHeadBytes = 16 << 10 // bytes of a head; common servers take 8 to 16 KiB
+	MaxBodyBytes = 32 << 20 // bytes of any body
 	// Held is how many bytes of an answer's body are kept together before any go on.
-	Held = 64 << 10
+	MaxBufferedResponseBody = 64 << 10
 	// HeldCommand is the same for a command's.
-	HeldCommand = 256 << 10
+	MaxBufferedCommandBody = 256 << 10
 	// Report is the field in which a backend tells its load.
-	Report   = "Srv-Load"
-	nameMost = 64 // bytes in which a line's beginning is judged before it is whole
+	LoadReportField = "Srv-Load"
+	nameMost        = 64 // bytes in which a line's beginning is judged before it is whole
 	// MaxMessage is what a buffer must hold for a command; one whose chunks take more goes on as it comes.
-	MaxMessage = MaxHead + HeldCommand
+	MaxBufferedCommand = MaxHeadBytes + MaxBufferedCommandBody
 	// MaxWhole is the same for an answer: chunks come with their own lines.
-	MaxWhole = MaxHead + 2*Held
+	MaxBufferedResponse = MaxHeadBytes + 2*MaxBufferedResponseBody
 )
 
 // Fault is what is wrong with a message and the status that says so to a client.
-type Fault struct {
+type ProtocolError struct {
 	Status int
 	Text   string
 }
 
-func (f *Fault) Error() string { return f.Text }
+func (f *ProtocolError) Error() string { return f.Text }
 
-func fault(status int, text string) error { return &Fault{status, text} }
+func fault(status int, text string) error { return &ProtocolError{status, text} }
 
 // span is a place in the message, counted from its start.
 type span struct{ from, to int }
@@ -43,25 +43,25 @@
 
 // Message is one command or answer, read step by step. The zero value is ready; Reset readies it for the next.
 type Message struct {
-	Status  int  // of an answer
-	Keep    bool // the connection may carry another message
-	method  span
-	target  span
-	fields  []field
-	begun   bool // the first line has been read
-	old     bool // HTTP/1.0
-	at      int  // where the line starts that is being read
-	judged  int  // bytes looked at
-	head    int  // bytes of the head, 0 while it is not whole
-	length  int  // of the body, -1 if it goes on to the end of the connection
-	chunked bool
-	chunks  Chunks
-	raw     int // bytes read of the message
-	body    int // bytes of the body decoded so far
+	Status    int  // of an answer
+	KeepAlive bool // the connection may carry another message
+	method    span
+	target    span
+	fields    []field
+	begun     bool // the first line has been read
+	old       bool // HTTP/1.0
+	at        int  // where the line starts that is being read
+	judged    int  // bytes looked at
+	head      int  // bytes of the head, 0 while it is not whole
+	length    int  // of the body, -1 if it goes on to the end of the connection
+	chunked   bool
+	chunks    ChunkReader
+	raw       int // bytes read of the message
+	body      int // bytes of the body decoded so far
 }
 
 // Blank is how many bytes of blank lines stand before a command; they are let pass.
-func Blank(in []byte) (n int) {
+func LeadingBlankLines(in []byte) (n int) {
 	for bytes.HasPrefix(in[n:], []byte("\r\n")) {
 		n += 2
 	}
@@ -75,7 +75,7 @@
 func (m *Message) Size() int { return m.raw }
 
 // Length is how many bytes the body has, -1 where that is not said.
-func (m *Message) Length() int {
+func (m *Message) BodyLength() int {
 	if m.chunked {
 		return -1
 	}
@@ -83,14 +83,14 @@
 }
 
 // Decoded is how many bytes of the body have been read.
-func (m *Message) Decoded() int { return m.body }
+func (m *Message) DecodedBytes() int { return m.body }
 
 // Old tells a message of HTTP/1.0, whose sender knows no chunks.
-func (m *Message) Old() bool { return m.old }
+func (m *Message) IsHTTP10() bool { return m.old }
 
 // Rest reads on in a body whose head and first part, Size bytes, have been consumed: the next piece of it at the start of
 // in, how many bytes are done with, and whether the body is whole. With nothing used it needs more bytes.
-func (m *Message) Rest(in []byte) (data []byte, used int, done bool, err error) {
+func (m *Message) ReadBodyPart(in []byte) (data []byte, used int, done bool, err error) {
 	switch {
 	case m.chunked:
 		data, used, done, err = m.chunks.Next(in)
@@ -100,17 +100,17 @@
 		used = min(m.length-m.body, len(in))
 		data, done = in[:used], m.body+used == m.length
 	}
-	if m.body += len(data); m.body > MaxBody && err == nil {
+	if m.body += len(data); m.body > MaxBodyBytes && err == nil {
 		err = fault(413, "the body is too large")
 	}
 	return data, used, done, err
 }
 
 // Begun tells whether any of the message is there, interim answers apart.
-func (m *Message) Begun(in []byte) bool { return m.begun || len(in) > m.at }
+func (m *Message) Started(in []byte) bool { return m.begun || len(in) > m.at }
 
 // HeadWhole tells whether the head has been read.
-func (m *Message) HeadWhole() bool { return m.head > 0 }
+func (m *Message) HeadComplete() bool { return m.head > 0 }
 
 // HeadSize is how many bytes the head took.
 func (m *Message) HeadSize() int { return m.head }
@@ -138,11 +138,11 @@
 
 // hopByHop fields concern one connection or are written anew; they don't go on.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
-	"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", Report}
+	"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", LoadReportField}
 
 // AppendFields writes the fields that go on with the message, but for those named.
 func (m *Message) AppendFields(to, in []byte, but ...string) []byte {
-	connection := m.Count(in, "Connection") > 0
+	connection := m.CountFields(in, "Connection") > 0
 next:
 	for _, f := range m.fields {
 		name := f.name.of(in)
@@ -153,7 +153,7 @@
 				}
 			}
 		}
-		if connection && m.Named(in, string(name)) {
+		if connection && m.IsConnectionOption(in, string(name)) {
 			continue
 		}
 		to = append(append(to, name...), ": "...)
@@ -173,13 +173,13 @@
 }
 
 // Command reads a command from the bytes that begin with it and tells whether it is whole.
-func (m *Message) Command(in []byte) (bool, error) {
+func (m *Message) ParseCommand(in []byte) (bool, error) {
 	if m.head == 0 {
 		whole, err := m.readHead(in, false)
 		if !whole || err != nil {
 			return false, err
 		}
-		if hosts := m.Count(in, "Host"); hosts > 1 || hosts == 0 && !m.old {
+		if hosts := m.CountFields(in, "Host"); hosts > 1 || hosts == 0 && !m.old {
 			return false, fault(400, "one Host field is needed")
 		}
 		m.length = max(0, m.length)
@@ -189,8 +189,8 @@
 }
 
 // Answer reads an answer and tells whether it is whole; ended says that the connection has ended after these bytes.
-func (m *Message) Answer(in []byte, ended bool) (bool, error) {
-	if whole, err := m.AnswerHead(in); !whole || err != nil {
+func (m *Message) ParseResponse(in []byte, ended bool) (bool, error) {
+	if whole, err := m.ParseResponseHead(in); !whole || err != nil {
 		return false, err
 	}
 	return m.readBody(in, ended)
@@ -198,7 +198,7 @@
 
 // AnswerHead reads an answer's head alone, for a body that is used as it comes. Interim answers (1xx) are passed
 // over by taking their bytes for part of the head.
-func (m *Message) AnswerHead(in []byte) (bool, error) {
+func (m *Message) ParseResponseHead(in []byte) (bool, error) {
 	for m.head == 0 {
 		if whole, err := m.readHead(in, true); !whole || err != nil {
 			return false, err
@@ -212,7 +212,7 @@
 		case n == 204 || n == 304:
 			m.length, m.chunked = 0, false
 		case m.length < 0 && !m.chunked:
-			m.Keep = false
+			m.KeepAlive = false
 		}
 		m.head, m.raw = m.at, m.at
 	}
@@ -229,7 +229,7 @@
 		if n < 0 {
 			end = len(in)
 		}
-		if end > MaxHead || n < 0 && end == MaxHead {
+		if end > MaxHeadBytes || n < 0 && end == MaxHeadBytes {
 			return false, fault(431, "the head is too large")
 		}
 		text := in[m.at:end]
@@ -292,7 +292,7 @@
 
 // isReport tells a line with a backend's load report.
 func isReport(text []byte) bool {
-	return len(text) > len(Report) && is(text[:len(Report)], Report) && text[len(Report)] == ':'
+	return len(text) > len(LoadReportField) && is(text[:len(LoadReportField)], LoadReportField) && text[len(LoadReportField)] == ':'
 }
 
 func (m *Message) firstOfCommand(text []byte, at int) error {
@@ -332,7 +332,7 @@
 
 func (m *Message) version(text []byte) error {
 	m.old = string(text) == "HTTP/1.0"
-	m.length, m.chunked, m.Keep = -1, false, !m.old
+	m.length, m.chunked, m.KeepAlive = -1, false, !m.old
 	switch {
 	case m.old || string(text) == "HTTP/1.1":
 		return nil
@@ -365,9 +365,9 @@
 		m.chunked = true
 	case is(name, "Connection"):
 		if lists(string(value), "close") {
-			m.Keep = false
+			m.KeepAlive = false
 		} else if m.old && lists(string(value), "keep-alive") {
-			m.Keep = true
+			m.KeepAlive = true
 		}
 	}
 	return nil
@@ -378,14 +378,14 @@
 	if m.chunked && m.length >= 0 {
 		return fault(400, "both Content-Length and Transfer-Encoding")
 	}
-	if m.length > MaxBody {
+	if m.length > MaxBodyBytes {
 		return fault(413, "the body is too large")
 	}
 	return nil
 }
 
 // Count is how many fields have that name.
-func (m *Message) Count(in []byte, name string) (n int) {
+func (m *Message) CountFields(in []byte, name string) (n int) {
 	for _, f := range m.fields {
 		if is(f.name.of(in), name) {
 			n++
@@ -395,7 +395,7 @@
 }
 
 // Named tells whether a Connection field says that the named one concerns this connection alone.
-func (m *Message) Named(in []byte, name string) bool {
+func (m *Message) IsConnectionOption(in []byte, name string) bool {
 	for _, f := range m.fields {
 		if is(f.name.of(in), "Connection") && lists(string(f.value.of(in)), name) {
 			return true
@@ -415,7 +415,7 @@
 			}
 			m.body += copy(in[m.head+m.body:], data)
 			m.raw += used
-			if m.body > MaxBody {
+			if m.body > MaxBodyBytes {
 				return false, fault(413, "the body is too large")
 			}
 			if done || used == 0 {
@@ -424,7 +424,7 @@
 		}
 	case m.length < 0:
 		m.raw, m.body = len(in), len(in)-m.head
-		if m.body > MaxBody {
+		if m.body > MaxBodyBytes {
 			return false, fault(413, "the body is too large")
 		}
 		return ended, nil
--- a/internal/http1/message_test.go
+++ b/internal/http1/message_test.go
@@ -34,15 +34,15 @@
 		"chunks": "Transfer-Encoding: chunked\r\n\r\n2;x=y\r\nhe\r\n003\r\nllo\r\n0\r\nTrail: er\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, in, n := grow(t, good+rest+"GET /", (*Message).Command)
+			m, in, n := grow(t, good+rest+"GET /", (*Message).ParseCommand)
 			if n != len(good+rest) || m.Size() != n {
 				t.Errorf("whole after %d bytes, size %d, want %d", n, m.Size(), len(good+rest))
 			}
 			if string(m.Method(in)) != "POST" || string(m.Target(in)) != "/buy?sid=7" || string(m.Body(in)) != "hello" {
 				t.Errorf("read %s %s %q", m.Method(in), m.Target(in), m.Body(in))
 			}
-			if !m.Keep || string(m.Get(in, "x-two")) != "b c" || m.Get(in, "none") != nil {
-				t.Errorf("keep %t, field %q", m.Keep, m.Get(in, "x-two"))
+			if !m.KeepAlive || string(m.Get(in, "x-two")) != "b c" || m.Get(in, "none") != nil {
+				t.Errorf("keep %t, field %q", m.KeepAlive, m.Get(in, "x-two"))
 			}
 			if f := string(m.AppendFields(nil, in, "Host")); f != "Req-Id: 9b\r\nX-Two: b c\r\n" {
 				t.Errorf("goes on with %q", f)
@@ -53,11 +53,11 @@
 
 func TestAnswers(t *testing.T) {
 	read := func(ended bool) func(*Message, []byte) (bool, error) {
-		return func(m *Message, in []byte) (bool, error) { return m.Answer(in, ended) }
+		return func(m *Message, in []byte) (bool, error) { return m.ParseResponse(in, ended) }
 	}
 	m, in, n := grow(t, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP", read(false))
-	if m.Status != 200 || string(m.Body(in)) != "ok" || n != 65 || !m.Keep {
-		t.Errorf("after an interim answer: %d %q after %d bytes, keep %t", m.Status, m.Body(in), n, m.Keep)
+	if m.Status != 200 || string(m.Body(in)) != "ok" || n != 65 || !m.KeepAlive {
+		t.Errorf("after an interim answer: %d %q after %d bytes, keep %t", m.Status, m.Body(in), n, m.KeepAlive)
 	}
 	m, in, _ = grow(t, "HTTP/1.1 200 OK\r\nSrv-Load: \x01\xffin;flight\rx\r\nContent-Length: 0\r\n\r\n", read(false))
 	if m.Status != 200 || len(m.AppendFields(nil, in)) != 0 {
@@ -69,11 +69,11 @@
 	}
 	text := []byte("HTTP/1.1 200 OK\r\n\r\nall of it")
 	var open Message
-	if whole, err := open.Answer(text, false); whole || err != nil {
+	if whole, err := open.ParseResponse(text, false); whole || err != nil {
 		t.Errorf("a body that runs to the end is not whole before it: %t %v", whole, err)
 	}
-	if whole, _ := open.Answer(text, true); !whole || open.Keep || string(open.Body(text)) != "all of it" {
-		t.Errorf("at the end: %t, keep %t, %q", whole, open.Keep, open.Body(text))
+	if whole, _ := open.ParseResponse(text, true); !whole || open.KeepAlive || string(open.Body(text)) != "all of it" {
+		t.Errorf("at the end: %t, keep %t, %q", whole, open.KeepAlive, open.Body(text))
 	}
 	for name, text := range map[string]string{
 		"garbage": "SSH-2.0-x\r\n\r\n", "status": "HTTP/1.1 2x0 OK\r\n\r\n", "short": "HTTP/1.1\r\n\r\n",
@@ -82,14 +82,14 @@
 		"no line's end": "\xb9=\x17", "half a line": "HTTP/2", "half a field": "HTTP/1.1 200 OK\r\nno colon \xff",
 	} {
 		var m Message
-		if whole, err := m.Answer([]byte(text), false); whole || err == nil {
+		if whole, err := m.ParseResponse([]byte(text), false); whole || err == nil {
 			t.Errorf("%s: taken for an answer", name)
 		}
 	}
 }
 
 func TestBadCommands(t *testing.T) {
-	long := strings.Repeat("a", MaxHead)
+	long := strings.Repeat("a", MaxHeadBytes)
 	for name, c := range map[string]struct {
 		text   string
 		status int
@@ -109,7 +109,7 @@
 		"overflowing length":    {good + "Content-Length: 99999999999999999999\r\n\r\n", 400},
 		"unknown coding":        {good + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
 		"large body":            {good + "Content-Length: 33554433\r\n\r\n", 413},
-		"large chunk":           {good + "Transfer-Encoding: chunked\r\n\r\n2000001\r\n" + strings.Repeat("b", MaxBody+1), 413},
+		"large chunk":           {good + "Transfer-Encoding: chunked\r\n\r\n2000001\r\n" + strings.Repeat("b", MaxBodyBytes+1), 413},
 		"bad chunk size":        {good + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400},
 		"chunk past its length": {good + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", 400},
 		"two equal lengths":     {good + "Content-Length: 3\r\nContent-Length: 3\r\n\r\n", 400},
@@ -125,8 +125,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var m Message
-			whole, err := m.Command([]byte(c.text))
-			var f *Fault
+			whole, err := m.ParseCommand([]byte(c.text))
+			var f *ProtocolError
 			if whole || !errors.As(err, &f) || f.Status != c.status {
 				t.Errorf("whole %t, %v, want %d", whole, err, c.status)
 			}
@@ -141,7 +141,7 @@
 	f.Add([]byte("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), 30)
 	f.Fuzz(func(t *testing.T, text []byte, cut int) {
 		for _, read := range []func(*Message, []byte) (bool, error){
-			(*Message).Command, func(m *Message, in []byte) (bool, error) { return m.Answer(in, false) },
+			(*Message).ParseCommand, func(m *Message, in []byte) (bool, error) { return m.ParseResponse(in, false) },
 		} {
 			var one, two Message
 			pieces := append([]byte{}, text...) // chunks are moved together in place
@@ -180,11 +180,11 @@
 		}
 		var cmd, rsp Message
 		for n := random.IntN(len(in) + 1); n <= len(in); n += 1 + random.IntN(9) {
-			if whole, err := cmd.Command(in[:n]); whole && err == nil && cmd.Size() > n {
+			if whole, err := cmd.ParseCommand(in[:n]); whole && err == nil && cmd.Size() > n {
 				t.Fatalf("%q is said to be %d bytes", in[:n], cmd.Size())
 			}
 		}
-		if whole, err := rsp.Answer(in, i%2 == 0); whole && err == nil {
+		if whole, err := rsp.ParseResponse(in, i%2 == 0); whole && err == nil {
 			_ = rsp.AppendFields(nil, in)
 			_ = rsp.Body(in)
 		}
@@ -202,18 +202,18 @@
 		for cut := range len(text) {
 			var m Message
 			in := []byte(text[:cut])
-			whole, err := m.Command(in)
+			whole, err := m.ParseCommand(in)
 			if err != nil {
 				t.Fatalf("%s, %d bytes: %v", name, cut, err)
 			}
-			if !m.HeadWhole() || whole {
+			if !m.HeadComplete() || whole {
 				continue
 			}
 			body, ended := string(m.Body(in)), -1
 			in = in[m.Size():]
 			for i := cut; i <= len(text) && ended < 0; i++ {
 				for len(in) > 0 {
-					data, used, done, err := m.Rest(in)
+					data, used, done, err := m.ReadBodyPart(in)
 					if err != nil {
 						t.Fatalf("%s from %d at %d: %v", name, cut, i, err)
 					}
@@ -236,10 +236,10 @@
 	}
 	var m Message
 	text := "HTTP/1.1 200 OK\r\n\r\nab"
-	if whole, err := m.Answer([]byte(text), false); whole || err != nil {
+	if whole, err := m.ParseResponse([]byte(text), false); whole || err != nil {
 		t.Errorf("one that ends with its connection: %t %v", whole, err)
 	}
-	if data, used, done, err := m.Rest([]byte("cd")); string(data) != "cd" || used != 2 || done || err != nil {
+	if data, used, done, err := m.ReadBodyPart([]byte("cd")); string(data) != "cd" || used != 2 || done || err != nil {
 		t.Errorf("%q %d %t %v", data, used, done, err)
 	}
 }
@@ -249,7 +249,7 @@
 		"http://a": "", "/http://a/b": "/http://a/b"} {
 		var m Message
 		text := "GET " + target + " HTTP/1.1\r\nHost: a\r\n\r\n"
-		whole, err := m.Command([]byte(text))
+		whole, err := m.ParseCommand([]byte(text))
 		if want == "" && err == nil || want != "" && (!whole || string(m.Target([]byte(text))) != want) {
 			t.Errorf("%s: %t %v", target, whole, err)
 		}
--- a/internal/jsonstream/jsonstream.go
+++ b/internal/jsonstream/jsonstream.go
@@ -10,29 +10,29 @@
 
 // What a stream can't go on after.
 var (
-	ErrTooLong = errors.New("an object is too long")
-	ErrStray   = errors.New("something other than an object")
-	ErrBroken  = errors.New("an object that breaks off")
+	ErrTooLong   = errors.New("an object is too long")
+	ErrNotObject = errors.New("something other than an object")
+	ErrTruncated = errors.New("an object that breaks off")
 )
 
 // Cutter cuts one stream. Make it with its bound, in bytes of an object; its other fields are its own.
-type Cutter struct {
-	Most    int
-	held    []byte // an object's beginning, from earlier calls
-	depth   int    // of brackets
-	text    bool   // inside a string
-	escaped bool   // after a backslash in it
-	empty   bool   // the line so far is empty: no object has such a line, so one that does broke off
+type Splitter struct {
+	MaxObjectBytes int
+	held           []byte // an object's beginning, from earlier calls
+	depth          int    // of brackets
+	text           bool   // inside a string
+	escaped        bool   // after a backslash in it
+	empty          bool   // the line so far is empty: no object has such a line, so one that does broke off
 }
 
 // Next gives the first whole object in data, or an empty one for the end of a line outside of any, and what follows it.
 // With nil all of the data is taken and more is needed. The object is good until the next call.
-func (c *Cutter) Next(data []byte) (object, rest []byte, err error) {
+func (c *Splitter) Next(data []byte) (object, rest []byte, err error) {
 	from := 0
 	for i := 0; i < len(data); i++ {
 		b := data[i]
 		if c.depth > 0 && b == '\n' && (c.text || c.empty) {
-			return nil, nil, ErrBroken
+			return nil, nil, ErrTruncated
 		}
 		c.empty = b == '\n' || c.empty && b == '\r'
 		switch {
@@ -49,7 +49,7 @@
 			}
 		case (b == '}' || b == ']') && c.depth > 0:
 			if c.depth--; c.depth == 0 {
-				if len(c.held)+i+1-from > c.Most {
+				if len(c.held)+i+1-from > c.MaxObjectBytes {
 					return nil, nil, ErrTooLong
 				}
 				object = data[from : i+1]
@@ -62,11 +62,11 @@
 		case b == '\n':
 			return data[i:i], data[i+1:], nil
 		case len(bytes.TrimSpace(data[i:i+1])) > 0:
-			return nil, nil, ErrStray
+			return nil, nil, ErrNotObject
 		}
 	}
 	if c.depth > 0 {
-		if c.held = append(c.held, data[from:]...); len(c.held) > c.Most {
+		if c.held = append(c.held, data[from:]...); len(c.held) > c.MaxObjectBytes {
 			return nil, nil, ErrTooLong
 		}
 	}
--- a/internal/jsonstream/jsonstream_test.go
+++ b/internal/jsonstream/jsonstream_test.go
@@ -10,7 +10,7 @@
 )
 
 // all cuts a stream that comes in pieces of a size.
-func all(c *Cutter, text string, size int) (objects []string, blanks int, err error) {
+func all(c *Splitter, text string, size int) (objects []string, blanks int, err error) {
 	for len(text) > 0 {
 		data := []byte(text[:min(size, len(text))])
 		text = text[len(data):]
@@ -39,7 +39,7 @@
 	json.Indent(&indented, []byte(one), "", "  ")
 	stream := "\n" + one + "\n\n" + indented.String() + "\n" + one + one + "\r\n"
 	for size := 1; size <= len(stream); size++ {
-		got, blanks, err := all(&Cutter{Most: 200}, stream, size)
+		got, blanks, err := all(&Splitter{MaxObjectBytes: 200}, stream, size)
 		if err != nil || len(got) != 4 || blanks != 5 {
 			t.Fatalf("in pieces of %d: %d objects, %d empty lines, %v", size, len(got), blanks, err)
 		}
@@ -52,11 +52,11 @@
 }
 
 func TestWhatIsNoObject(t *testing.T) {
-	for text, want := range map[string]error{"null\n": ErrStray, "{}x": ErrStray, "]": ErrStray, "[{}]": ErrStray,
-		"{\"a\":\n\n": ErrBroken, "{\"a\":1,\n\r\n{}\n": ErrBroken, "{\"a\":\"x\n": ErrBroken, "{\"a\":\n1}\n\n": nil,
+	for text, want := range map[string]error{"null\n": ErrNotObject, "{}x": ErrNotObject, "]": ErrNotObject, "[{}]": ErrNotObject,
+		"{\"a\":\n\n": ErrTruncated, "{\"a\":1,\n\r\n{}\n": ErrTruncated, "{\"a\":\"x\n": ErrTruncated, "{\"a\":\n1}\n\n": nil,
 		"{\"a\":\"" + strings.Repeat("x", 300): ErrTooLong, "{" + strings.Repeat(" ", 198) + "}": nil, "{" + strings.Repeat(" ", 199) + "}": ErrTooLong} {
 		for _, size := range []int{1, 7, 1000} {
-			if _, _, err := all(&Cutter{Most: 200}, text, size); !errors.Is(err, want) {
+			if _, _, err := all(&Splitter{MaxObjectBytes: 200}, text, size); !errors.Is(err, want) {
 				t.Errorf("%.20q in pieces of %d: %v", text, size, err)
 			}
 		}
@@ -69,12 +69,12 @@
 	f.Add("{\"\\", 1)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		size = max(1, size%100)
-		c := &Cutter{Most: 50}
+		c := &Splitter{MaxObjectBytes: 50}
 		got, _, err := all(c, text, size)
 		if len(c.held) > 50 && err == nil {
 			t.Fatalf("holds %d bytes", len(c.held))
 		}
-		whole, _, wholeErr := all(&Cutter{Most: 50}, text, len(text)+1)
+		whole, _, wholeErr := all(&Splitter{MaxObjectBytes: 50}, text, len(text)+1)
 		if fmt.Sprint(got) != fmt.Sprint(whole) && err == nil && wholeErr == nil {
 			t.Fatalf("%q and %q", got, whole)
 		}
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -72,7 +72,7 @@
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		return nil, tomlconfig.Placed(err)
+		return nil, tomlconfig.WithPosition(err)
 	}
 	axes, err := axesOf(tree, over)
 	if err != nil {
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -25,13 +25,13 @@
 }
 
 // Opened says that an opening was begun.
-func (w *Watch) Opened(now float64) { w.lineAt, w.deadAt = 0, now+opensIn }
+func (w *Watch) ConnectStarted(now float64) { w.lineAt, w.deadAt = 0, now+opensIn }
 
 // Head says that the answer's head has come.
-func (w *Watch) Head(now float64) { w.deadAt = now + silence }
+func (w *Watch) HeadReceived(now float64) { w.deadAt = now + silence }
 
 // Line says that a whole line has come, and tells whether it ends a loss.
-func (w *Watch) Line(now float64) (back bool) {
+func (w *Watch) LineReceived(now float64) (back bool) {
 	if w.lineAt == 0 {
 		w.lineAt = now
 	}
@@ -44,12 +44,12 @@
 func (w *Watch) DeadAt() float64 { return w.deadAt }
 
 // Dead tells whether nothing is to be hoped for any more.
-func (w *Watch) Dead(now float64) bool { return now > w.deadAt }
+func (w *Watch) IsDead(now float64) bool { return now > w.deadAt }
 
 // Ended says why an opening ended, and tells after what wait the next is due, and whether that is news: not again and again
 // while discovery is away. Chance is from 0 to 1. The wait grows until an opening has lasted: an answer that ends at once is
 // no reason to ask ten times a second.
-func (w *Watch) Ended(now float64, why string, chance float64) (wait float64, news bool) {
+func (w *Watch) ConnectionLost(now float64, why string, chance float64) (wait float64, news bool) {
 	if w.lineAt > 0 && now-w.lineAt >= heartbeat {
 		w.wait = 0
 	}
@@ -60,4 +60,4 @@
 }
 
 // Anew says that another discovery is asked from now on: how the one before fared says nothing of it.
-func (w *Watch) Anew() { w.wait = 0 }
+func (w *Watch) ResetBackoff() { w.wait = 0 }
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -24,44 +24,44 @@
 	var w Watch
 	now := 100.0
 	for i, want := range []float64{0.1, 0.2, 0.4, 0.8, 1.3, 1.3} {
-		w.Opened(now)
-		if w.Line(now + 0.01); w.Lost {
+		w.ConnectStarted(now)
+		if w.LineReceived(now + 0.01); w.Lost {
 			t.Error("still lost after a line")
 		}
-		if wait, news := w.Ended(now+0.1, "the answer ended", 1); wait != want || !news {
+		if wait, news := w.ConnectionLost(now+0.1, "the answer ended", 1); wait != want || !news {
 			t.Errorf("the %d. wait is %v, news %t", i+1, wait, news)
 		}
 		now += 2
 	}
-	w.Opened(now)
-	w.Line(now)
-	w.Line(now + heartbeat)
-	if wait, _ := w.Ended(now+heartbeat, "silent", 0); wait != againFirst/2 {
+	w.ConnectStarted(now)
+	w.LineReceived(now)
+	w.LineReceived(now + heartbeat)
+	if wait, _ := w.ConnectionLost(now+heartbeat, "silent", 0); wait != againFirst/2 {
 		t.Errorf("%v s after one that lasted", wait)
 	}
-	if _, news := w.Ended(now+3, "refused", 0); !news {
+	if _, news := w.ConnectionLost(now+3, "refused", 0); !news {
 		t.Error("another reason is news")
 	}
-	if _, news := w.Ended(now+4, "refused", 0); news {
+	if _, news := w.ConnectionLost(now+4, "refused", 0); news {
 		t.Error("the same again is none")
 	}
-	if back := w.Line(now + 5); !back || w.Lost || !w.Received {
+	if back := w.LineReceived(now + 5); !back || w.Lost || !w.Received {
 		t.Error("back")
 	}
 }
 
 func TestDead(t *testing.T) {
 	var w Watch
-	w.Opened(10)
-	if w.Dead(11.9) || !w.Dead(12.1) {
+	w.ConnectStarted(10)
+	if w.IsDead(11.9) || !w.IsDead(12.1) {
 		t.Error("an opening that hangs")
 	}
-	w.Head(11)
-	if w.Dead(13.9) || !w.Dead(14.1) {
+	w.HeadReceived(11)
+	if w.IsDead(13.9) || !w.IsDead(14.1) {
 		t.Error("a head and no line")
 	}
-	w.Line(13)
-	if w.Dead(15.9) || !w.Dead(16.1) {
+	w.LineReceived(13)
+	if w.IsDead(15.9) || !w.IsDead(16.1) {
 		t.Error("silence after a line")
 	}
 }
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -19,14 +19,14 @@
 )
 
 // ErrTooMuch ends a connection whose unread bytes pass what its owner allows.
-var ErrTooMuch = errors.New("more bytes than allowed")
+var ErrReadBufferFull = errors.New("more bytes than allowed")
 
 // Handler is told what happens on a connection.
 type Handler interface {
-	Up(c *Conn)              // a dialled connection is up
-	Data(c *Conn)            // there is more in In
-	Flushed(c *Conn)         // all that was to be written is with the kernel
-	Down(c *Conn, err error) // it has ended, io.EOF if the other side ended it well; Close is still due
+	OnConnect(c *Conn)               // a dialled connection is up
+	OnData(c *Conn)                  // there is more in In
+	OnFlushed(c *Conn)               // all that was to be written is with the kernel
+	OnDisconnect(c *Conn, err error) // it has ended, io.EOF if the other side ended it well; Close is still due
 }
 
 // Conn is one TCP connection.
@@ -93,14 +93,14 @@
 }
 
 // In is what has been read and not consumed; it stays in place until the next read or Consume.
-func (c *Conn) In() []byte { return c.buffer[c.from:c.to] }
+func (c *Conn) Unconsumed() []byte { return c.buffer[c.from:c.to] }
 
 // Age is for how many seconds the latest bytes have been with the kernel: a process that stood still reads late what came
 // in time. It costs a system call.
-func (c *Conn) Age() float64 { return Age(c.fd) }
+func (c *Conn) LastReceiveAge() float64 { return LastReceiveAge(c.fd) }
 
 // Age is the same of any TCP connection by its descriptor.
-func Age(fd int) float64 {
+func LastReceiveAge(fd int) float64 {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0
@@ -109,10 +109,10 @@
 }
 
 // Came is by when the latest bytes in In had come, by the loop's clock: where it was paused, when the first of them did.
-func (c *Conn) Came() float64 { return c.came }
+func (c *Conn) ReceivedAt() float64 { return c.came }
 
 // Look takes what has come on the connection before anything else has its turn.
-func (c *Conn) Look() {
+func (c *Conn) ReadNow() {
 	if c.fd >= 0 && !c.dialing {
 		c.event(unix.EPOLLIN)
 	}
@@ -136,7 +136,9 @@
 }
 
 // Full tells that nothing more can be read before something is consumed.
-func (c *Conn) Full() bool { return c.from == 0 && c.to == len(c.buffer) && c.to > 0 && c.next() == 0 }
+func (c *Conn) ReadBufferFull() bool {
+	return c.from == 0 && c.to == len(c.buffer) && c.to > 0 && c.next() == 0
+}
 
 // next is the size that the buffer may have instead of its own, 0 if none: its owner and all buffers have a bound.
 func (c *Conn) next() int {
@@ -144,7 +146,7 @@
 	if c.wide && c.buffer == nil {
 		size = bufferWide
 	}
-	all := c.loop.Most
+	all := c.loop.MaxBufferBytes
 	if c.accepted {
 		all /= 2 // what comes in must not keep out the answers to what has
 	}
@@ -158,18 +160,18 @@
 }
 
 // Drain throws away what is there and up to so many bytes of what comes; what is past that is left with the kernel.
-func (c *Conn) Drain(most int) {
+func (c *Conn) Discard(most int) {
 	c.drains = most
 	c.Consume(c.to - c.from)
 	c.Resume()
 }
 
 // Unsent tells whether some of what was to be written has not reached the kernel.
-func (c *Conn) Unsent() bool { return len(c.out) > 0 }
+func (c *Conn) HasUnsent() bool { return len(c.out) > 0 }
 
 // Undelivered tells whether some of what was to be written has not been acknowledged by the other side's machine: closed as it
 // is, the kernel would go on to deliver it. It costs a system call.
-func (c *Conn) Undelivered() bool {
+func (c *Conn) HasUnacknowledged() bool {
 	if c.fd < 0 || len(c.out) > 0 {
 		return len(c.out) > 0
 	}
@@ -178,23 +180,23 @@
 }
 
 // Backlog is how many bytes of what was to be written have not reached the kernel.
-func (c *Conn) Backlog() int { return len(c.out) }
+func (c *Conn) UnsentBytes() int { return len(c.out) }
 
 // SentAt is when the kernel last took something, by the loop's clock: where its own buffer is full, the other side took it.
-func (c *Conn) SentAt() float64 { return c.sentAt }
+func (c *Conn) LastSentAt() float64 { return c.sentAt }
 
 // Widen readies the connection for a long message that is read as it comes; Narrow ends that.
-func (c *Conn) Widen() { c.wide = true }
+func (c *Conn) UseLargeBuffer() { c.wide = true }
 
 // Narrow gives the wide buffer back once it is empty.
-func (c *Conn) Narrow() {
+func (c *Conn) ReleaseLargeBuffer() {
 	c.wide = false
 	c.Consume(0)
 }
 
 // Quiet tells whether the other side has neither sent anything nor ended: only then may an idle connection be used,
 // since what is written after its end counts as sent.
-func (c *Conn) Quiet() bool {
+func (c *Conn) IsIdle() bool {
 	var b [1]byte
 	_, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == unix.EAGAIN && !c.down
@@ -202,7 +204,7 @@
 
 // Gone tells whether the other side has ended the connection or reset it, behind what was read: the loop may not have come
 // to that yet. Where more has come before the end it does not show.
-func (c *Conn) Gone() bool {
+func (c *Conn) PeerClosed() bool {
 	if c.fd < 0 || c.down {
 		return true
 	}
@@ -223,19 +225,19 @@
 
 // Hold stops reading for a while: the other side's end is noticed once all before it has been read, a reset as well, since
 // what came before that may be all. Only of an accepted connection is a reset noticed at once: who sent is no more.
-func (c *Conn) Hold() { c.held = true; c.want() }
+func (c *Conn) PauseWithEOF() { c.held = true; c.want() }
 
 // Resume reads on.
 func (c *Conn) Resume() {
-	if c.paused && c.mask&unix.EPOLLIN == 0 && c.waits == 0 && c.fd >= 0 && !c.Quiet() {
-		c.waits = c.loop.turn - c.Age() // nothing told when it came
+	if c.paused && c.mask&unix.EPOLLIN == 0 && c.waits == 0 && c.fd >= 0 && !c.IsIdle() {
+		c.waits = c.loop.turn - c.LastReceiveAge() // nothing told when it came
 	}
 	c.paused, c.held = false, false
 	c.want()
 }
 
 // Abort has Close reset the connection, for a message that would else look whole.
-func (c *Conn) Abort() {
+func (c *Conn) ResetOnClose() {
 	if c.fd >= 0 {
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
@@ -289,7 +291,7 @@
 	c.down = true
 	c.loop.Post(func() {
 		if c.fd >= 0 {
-			c.handler.Down(c, err)
+			c.handler.OnDisconnect(c, err)
 		}
 	})
 }
@@ -298,12 +300,12 @@
 	if !c.down {
 		c.down = true
 		c.loop.change(c.fd, 0)
-		c.handler.Down(c, err)
+		c.handler.OnDisconnect(c, err)
 	}
 }
 
 // EndWriting tells the other side that nothing follows.
-func (c *Conn) EndWriting() {
+func (c *Conn) CloseWrite() {
 	if c.fd >= 0 {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
@@ -334,7 +336,7 @@
 		}
 		c.dialing = false
 		c.want()
-		c.handler.Up(c)
+		c.handler.OnConnect(c)
 		return
 	}
 	if mask&unix.EPOLLOUT != 0 && len(c.out) > 0 {
@@ -351,7 +353,7 @@
 		if len(c.out) == 0 {
 			c.out = nil
 			c.want()
-			c.handler.Flushed(c)
+			c.handler.OnFlushed(c)
 			if c.fd < 0 || c.down {
 				return
 			}
@@ -388,7 +390,7 @@
 		return
 	}
 	if !c.room() {
-		c.end(ErrTooMuch)
+		c.end(ErrReadBufferFull)
 		return
 	}
 	n, err := c.loop.read(c.fd, c.buffer[c.to:])
@@ -397,7 +399,7 @@
 		if c.came = c.loop.turn; c.waits > 0 {
 			c.came, c.waits = c.waits, 0
 		}
-		c.handler.Data(c)
+		c.handler.OnData(c)
 		return
 	}
 	c.Consume(0)
@@ -422,14 +424,14 @@
 		c.buffer = c.loop.spare[last]
 		c.loop.spare = c.loop.spare[:last]
 	case c.from > 0 && (held <= len(c.buffer)/2 || c.next() == 0):
-		copy(c.buffer, c.In())
+		copy(c.buffer, c.Unconsumed())
 	default:
 		size := c.next()
 		if size == 0 {
 			return false
 		}
 		bigger := make([]byte, size)
-		copy(bigger, c.In())
+		copy(bigger, c.Unconsumed())
 		c.loop.grown += size - max(bufferFirst, len(c.buffer))
 		c.buffer = bigger
 	}
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -12,7 +12,7 @@
 const datagramsTurn = 256 // messages taken in one turn, so that the others get theirs
 
 // Datagrams is a UDP socket.
-type Datagrams struct {
+type DatagramSocket struct {
 	loop *Loop
 	fd   int
 	in   []byte // one byte more than allowed
@@ -21,7 +21,7 @@
 
 // Datagrams opens the socket; take gets each message, of a longer one than so many bytes the first
 // and one more, in a buffer that is soon used again.
-func (l *Loop) Datagrams(at netip.AddrPort, most int, take func(netip.AddrPort, []byte)) (*Datagrams, error) {
+func (l *Loop) OpenDatagramSocket(at netip.AddrPort, most int, take func(netip.AddrPort, []byte)) (*DatagramSocket, error) {
 	domain := unix.AF_INET
 	if at.Addr().Is6() {
 		domain = unix.AF_INET6
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("socket: %w", err)
 	}
-	d := &Datagrams{loop: l, fd: fd, in: make([]byte, most+1), take: take}
+	d := &DatagramSocket{loop: l, fd: fd, in: make([]byte, most+1), take: take}
 	if err = l.bind(fd, sockaddr(at)); err == nil {
 		err = l.add(fd, d, unix.EPOLLIN)
 	}
@@ -41,7 +41,7 @@
 	return d, nil
 }
 
-func (d *Datagrams) event(uint32) {
+func (d *DatagramSocket) event(uint32) {
 	for range datagramsTurn {
 		if d.fd < 0 {
 			return // closed by what the last message led to
@@ -58,7 +58,7 @@
 }
 
 // Drop throws away what has come and was not taken.
-func (d *Datagrams) Drop() (dropped int) {
+func (d *DatagramSocket) DiscardPending() (dropped int) {
 	for d.fd >= 0 {
 		if _, _, err := unix.Recvfrom(d.fd, d.in, 0); err != nil && err != unix.EINTR && err != unix.ECONNREFUSED {
 			break
@@ -69,10 +69,12 @@
 }
 
 // Send has a message leave now or never.
-func (d *Datagrams) Send(to netip.AddrPort, text []byte) { unix.Sendto(d.fd, text, 0, sockaddr(to)) }
+func (d *DatagramSocket) Send(to netip.AddrPort, text []byte) {
+	unix.Sendto(d.fd, text, 0, sockaddr(to))
+}
 
 // Close gives the socket back.
-func (d *Datagrams) Close() {
+func (d *DatagramSocket) Close() {
 	if d.fd >= 0 {
 		d.loop.drop(d.fd)
 		d.fd = -1
--- a/internal/loop/faults_test.go
+++ b/internal/loop/faults_test.go
@@ -12,8 +12,8 @@
 		unix.EOPNOTSUPP, unix.ENETUNREACH, unix.EPERM, unix.ETIMEDOUT, unix.ECONNABORTED, unix.EINTR} {
 		taken, calls := 0, 0
 		l, s := server(t, ear{}, 100, func(*Conn) { taken++ })
-		l.faults = func(call Call) (int, error) {
-			if call != CallAccept {
+		l.faults = func(call Syscall) (int, error) {
+			if call != SyscallAccept {
 				return 0, nil
 			}
 			if calls++; calls <= 3 {
@@ -24,7 +24,7 @@
 		for range 3 {
 			dial(t, s)
 		}
-		closed := s.Close()
+		closed := s.DrainAndClose()
 		if taken != 3 || !closed {
 			t.Errorf("%v: %d of 3 taken, closed %t", pending, taken, closed)
 		}
@@ -39,8 +39,8 @@
 		t.Fatal(err)
 	}
 	calls, rung := 0, false
-	l.faults = func(call Call) (int, error) {
-		if call != CallWrite {
+	l.faults = func(call Syscall) (int, error) {
+		if call != SyscallWrite {
 			return 0, nil
 		}
 		if calls++; calls <= 3 {
@@ -49,7 +49,7 @@
 		return 0, nil
 	}
 	l.After(3, l.Stop)
-	l.Ring()
+	l.WakeUp()
 	began := l.Now()
 	l.Run(func() {
 		if !rung && l.looked > 0 && calls > 0 {
@@ -68,13 +68,13 @@
 	var l *Loop
 	heard := ""
 	l, s := server(t, ear{data: func(c *Conn) {
-		if heard += string(c.In()); heard == "onetwo" {
+		if heard += string(c.Unconsumed()); heard == "onetwo" {
 			c.Write([]byte("done"))
 		}
-		c.Consume(len(c.In()))
+		c.Consume(len(c.Unconsumed()))
 	}, down: func(*Conn, error) { l.Stop() }}, 100, nil)
-	l.faults = func(call Call) (int, error) {
-		if call == CallEpollControl {
+	l.faults = func(call Syscall) (int, error) {
+		if call == SyscallEpollControl {
 			return 0, unix.ENOSPC
 		}
 		return 0, nil
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -17,7 +17,7 @@
 
 // Listener accepts connections at one address.
 type Listener struct {
-	At      netip.AddrPort // the address that it got
+	Address netip.AddrPort // the address that it got
 	loop    *Loop
 	fd      int
 	most    int // bytes that a connection may hold
@@ -52,7 +52,7 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen at %s: %w", at, err)
 	}
-	s.At = address(fd)
+	s.Address = address(fd)
 	return s, nil
 }
 
@@ -111,7 +111,7 @@
 }
 
 // Waiting is for how many seconds the backlog has not been empty, as far as the loop has seen.
-func (s *Listener) Waiting() float64 {
+func (s *Listener) BacklogWait() float64 {
 	if s.since == 0 {
 		return 0
 	}
@@ -129,8 +129,8 @@
 }
 
 // Hold leaves what comes to others who have the socket; Take accepts it again.
-func (s *Listener) Hold() { s.hold(true, 0) }
-func (s *Listener) Take() { s.hold(false, unix.EPOLLIN) }
+func (s *Listener) Pause()  { s.hold(true, 0) }
+func (s *Listener) Resume() { s.hold(false, unix.EPOLLIN) }
 
 func (s *Listener) hold(held bool, mask uint32) {
 	if s.fd >= 0 {
@@ -144,20 +144,20 @@
 
 // Close takes what still waits in the backlog and closes the socket; it tells whether there was room for all of that,
 // and is to be called again where not.
-func (s *Listener) Close() bool {
+func (s *Listener) DrainAndClose() bool {
 	if s.fd < 0 {
 		return true
 	}
 	if !s.take(backlog) {
 		return false
 	}
-	s.Leave()
+	s.Release()
 	return true
 }
 
 // Leave gives the descriptor back and what still waits with it, to others if they have the socket too. The loop is told
 // first: as long as others have it, its events would go on.
-func (s *Listener) Leave() {
+func (s *Listener) Release() {
 	if s.fd >= 0 {
 		unix.EpollCtl(s.loop.epoll, unix.EPOLL_CTL_DEL, s.fd, nil)
 		s.loop.drop(s.fd)
--- a/internal/loop/local.go
+++ b/internal/loop/local.go
@@ -14,7 +14,7 @@
 const longestPath = 100 // bytes of a path that a socket's address surely holds: 107 by the system, 103 elsewhere
 
 // Adopt makes a listener of an inherited descriptor, which must listen at that address. It accepts nothing before Take.
-func (l *Loop) Adopt(fd int, at netip.AddrPort, most int, room func() bool, accept func(*Conn) Handler,
+func (l *Loop) ListenInherited(fd int, at netip.AddrPort, most int, room func() bool, accept func(*Conn) Handler,
 	starved func()) (*Listener, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
 		return nil, fmt.Errorf("descriptor %d does not listen", fd)
@@ -27,7 +27,7 @@
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
-	s := &Listener{loop: l, fd: fd, most: most, room: room, accept: accept, starved: starved, held: true, At: is}
+	s := &Listener{loop: l, fd: fd, most: most, room: room, accept: accept, starved: starved, held: true, Address: is}
 	if err := l.add(fd, s, 0); err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 }
 
 // ListenAt listens at a path, in the place of whatever socket is there; only the same user may connect.
-func (l *Loop) ListenAt(path string, most int, accept func(*Conn) Handler) (*Listener, error) {
+func (l *Loop) ListenUnix(path string, most int, accept func(*Conn) Handler) (*Listener, error) {
 	fd, err := l.socket(unix.AF_UNIX, unix.SOCK_STREAM)
 	if err != nil {
 		return nil, fmt.Errorf("socket: %w", err)
@@ -70,7 +70,7 @@
 }
 
 // DialAt connects to a path; Up follows, or the error says that nobody is there.
-func (l *Loop) DialAt(path string, h Handler, most int) (*Conn, error) {
+func (l *Loop) DialUnix(path string, h Handler, most int) (*Conn, error) {
 	fd, err := l.socket(unix.AF_UNIX, unix.SOCK_STREAM)
 	if err != nil {
 		return nil, err
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -37,27 +37,27 @@
 
 // Loop waits for descriptors, timers and posted work, and calls back.
 type Loop struct {
-	epoll, bell int
-	ringing     sync.Mutex // what other goroutines touch: the bell, which is gone after Close, and called
-	started     time.Time
-	base        float64 // Unix time in seconds at the start
-	turn        float64 // when this turn began
-	now         float64 // when what runs now was called, 0 while nothing is
-	places      []place
-	timers      timers
-	posted      []func()
-	called      []func() // from other goroutines, under ringing
-	running     []func() // those of the turn before, kept for its space
-	spare       [][]byte // read buffers at rest
-	Most        int      // bytes that read buffers beyond their first size and unsent bytes may hold; accepted connections get half
-	grown       int      // bytes that they do hold
-	sink        []byte   // where bytes go that nobody wants; the kernel writes none, so it takes no memory
-	stopped     bool
-	faults      Fault
-	behind      []behind         // descriptors of which the kernel does not know what is wanted
-	looked      float64          // when the turn before began
-	backlog     float64          // until when what is read may have come in a pause
-	Stood       func(by float64) // is told, before anything else, that the process stood still so long: what it knows is old
+	epoll, bell    int
+	ringing        sync.Mutex // what other goroutines touch: the bell, which is gone after Close, and called
+	started        time.Time
+	base           float64 // Unix time in seconds at the start
+	turn           float64 // when this turn began
+	now            float64 // when what runs now was called, 0 while nothing is
+	places         []place
+	timers         timers
+	posted         []func()
+	called         []func() // from other goroutines, under ringing
+	running        []func() // those of the turn before, kept for its space
+	spare          [][]byte // read buffers at rest
+	MaxBufferBytes int      // bytes that read buffers beyond their first size and unsent bytes may hold; accepted connections get half
+	grown          int      // bytes that they do hold
+	sink           []byte   // where bytes go that nobody wants; the kernel writes none, so it takes no memory
+	stopped        bool
+	faults         FaultFunc
+	behind         []behind         // descriptors of which the kernel does not know what is wanted
+	looked         float64          // when the turn before began
+	backlog        float64          // until when what is read may have come in a pause
+	OnStall        func(by float64) // is told, before anything else, that the process stood still so long: what it knows is old
 }
 
 // WallClock is what a new loop takes the time from. Tests replace it before they make a loop.
@@ -66,7 +66,7 @@
 // New makes a loop; its clock is the wall's at the start and monotonic from there, so that it compares with other
 // machines' times and never runs backwards.
 func New() (*Loop, error) {
-	l := &Loop{started: time.Now(), base: float64(WallClock().UnixNano()) / 1e9, Most: math.MaxInt, sink: make([]byte, sinkSize),
+	l := &Loop{started: time.Now(), base: float64(WallClock().UnixNano()) / 1e9, MaxBufferBytes: math.MaxInt, sink: make([]byte, sinkSize),
 		faults: Faults}
 	l.turn = l.base
 	if err := l.open(); err != nil {
@@ -77,13 +77,13 @@
 
 // open makes the loop's own descriptors.
 func (l *Loop) open() (err error) {
-	if _, err = l.fault(CallEpollCreate); err == nil {
+	if _, err = l.fault(SyscallEpollCreate); err == nil {
 		l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	}
 	if err != nil {
 		return fmt.Errorf("epoll: %w", err)
 	}
-	if _, err = l.fault(CallEventfd); err == nil {
+	if _, err = l.fault(SyscallEventfd); err == nil {
 		l.bell, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	}
 	if err != nil {
@@ -109,38 +109,38 @@
 func (l *Loop) clock() float64 { return l.base + time.Since(l.started).Seconds() }
 
 // Turn is when the turn began: what is handled now had arrived by then.
-func (l *Loop) Turn() float64 { return l.turn }
+func (l *Loop) IterationStart() float64 { return l.turn }
 
 // Slept tells that the loop last looked, or stood still, so long ago that what is read now may have come a while before.
-func (l *Loop) Slept() bool { return l.turn-l.looked > sleptFrom || l.turn < l.backlog }
+func (l *Loop) PollDelayed() bool { return l.turn-l.looked > sleptFrom || l.turn < l.backlog }
 
 // Late tells the same, also of a turn that has gone on for so long: others' ends may wait to be read since.
-func (l *Loop) Late() bool { return l.Slept() || l.clock()-l.turn > sleptFrom }
+func (l *Loop) Lagging() bool { return l.PollDelayed() || l.clock()-l.turn > sleptFrom }
 
 // Post has f run on the next turn; only for the loop's own goroutine.
 func (l *Loop) Post(f func()) { l.posted = append(l.posted, f) }
 
 // Held is how many bytes beyond first buffers connections hold.
-func (l *Loop) Held() int { return l.grown }
+func (l *Loop) BufferedBytes() int { return l.grown }
 
 // Ring ends a wait from another goroutine, such as the one that receives signals. Once the loop is closed it does nothing:
 // the bell's number may be another's by then, a connection's, and would get these bytes.
-func (l *Loop) Ring() {
+func (l *Loop) WakeUp() {
 	l.ringing.Lock()
 	defer l.ringing.Unlock()
 	for err := error(unix.EINTR); err == unix.EINTR && l.bell >= 0; {
-		if _, err = l.fault(CallWrite); err == nil {
+		if _, err = l.fault(SyscallWrite); err == nil {
 			_, err = unix.Write(l.bell, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 		}
 	}
 }
 
 // Call has f run on the loop's goroutine soon; it may be called from any. A loop that is closed runs it no more.
-func (l *Loop) Call(f func()) {
+func (l *Loop) PostFromAnyGoroutine(f func()) {
 	l.ringing.Lock()
 	l.called = append(l.called, f)
 	l.ringing.Unlock()
-	l.Ring()
+	l.WakeUp()
 }
 
 // runCalled runs what other goroutines have asked for.
@@ -216,8 +216,8 @@
 		}
 		l.looked, l.turn = began, l.clock()
 		l.now = l.turn
-		if by := max(l.turn-asked-float64(wait)/1000, asked-began); by > stoodFrom && l.Stood != nil {
-			l.Stood(by)
+		if by := max(l.turn-asked-float64(wait)/1000, asked-began); by > stoodFrom && l.OnStall != nil {
+			l.OnStall(by)
 			l.backlog = l.turn + backlogFor
 			rounds = afterStand
 		}
@@ -299,7 +299,7 @@
 }
 
 // Wake has f run with the token in so many seconds; it can't be called off, and nothing is made for it but its entry.
-func (l *Loop) Wake(seconds float64, f func(uint64), token uint64) {
+func (l *Loop) AfterToken(seconds float64, f func(uint64), token uint64) {
 	l.timers.push(due{l.Now() + max(0, seconds), &Timer{wake: f, token: token}})
 }
 
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -19,21 +19,21 @@
 	up   func(*Conn)
 }
 
-func (e ear) Flushed(*Conn) {}
+func (e ear) OnFlushed(*Conn) {}
 
-func (e ear) Up(c *Conn) {
+func (e ear) OnConnect(c *Conn) {
 	if e.up != nil {
 		e.up(c)
 	}
 }
 
-func (e ear) Data(c *Conn) {
+func (e ear) OnData(c *Conn) {
 	if e.data != nil {
 		e.data(c)
 	}
 }
 
-func (e ear) Down(c *Conn, err error) {
+func (e ear) OnDisconnect(c *Conn, err error) {
 	if e.down != nil {
 		e.down(c, err)
 	}
@@ -62,7 +62,7 @@
 
 func dial(t *testing.T, s *Listener) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", s.At.String())
+	c, err := net.Dial("tcp", s.Address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,8 +76,8 @@
 	t.Run("more than the kernel takes at once arrives whole, and the end is seen", func(t *testing.T) {
 		var l *Loop
 		l, s := server(t, ear{data: func(c *Conn) {
-			c.Write(c.In())
-			c.Consume(len(c.In()))
+			c.Write(c.Unconsumed())
+			c.Consume(len(c.Unconsumed()))
 		}, down: func(_ *Conn, err error) {
 			if err != io.EOF {
 				t.Errorf("ended with %v", err)
@@ -100,9 +100,9 @@
 	t.Run("a paused connection keeps its bytes in place and still sees the end", func(t *testing.T) {
 		var l *Loop
 		var held []byte
-		l, s := server(t, ear{data: func(c *Conn) { held = c.In(); c.Pause() }, down: func(c *Conn, _ error) {
-			if string(held) != "one" || string(c.In()) != "one" {
-				t.Errorf("holds %q, %q", held, c.In())
+		l, s := server(t, ear{data: func(c *Conn) { held = c.Unconsumed(); c.Pause() }, down: func(c *Conn, _ error) {
+			if string(held) != "one" || string(c.Unconsumed()) != "one" {
+				t.Errorf("holds %q, %q", held, c.Unconsumed())
 			}
 			l.Stop()
 		}}, 100, nil)
@@ -118,7 +118,7 @@
 	t.Run("more than its owner allows ends it", func(t *testing.T) {
 		var l *Loop
 		l, s := server(t, ear{down: func(_ *Conn, err error) {
-			if !errors.Is(err, ErrTooMuch) {
+			if !errors.Is(err, ErrReadBufferFull) {
 				t.Errorf("ended with %v", err)
 			}
 			l.Stop()
@@ -148,7 +148,7 @@
 
 func TestTurns(t *testing.T) {
 	t.Run("a timer comes on time while a connection never rests", func(t *testing.T) {
-		l, s := server(t, ear{data: func(c *Conn) { c.Write(c.In()); c.Consume(len(c.In())) }}, 1<<16, nil)
+		l, s := server(t, ear{data: func(c *Conn) { c.Write(c.Unconsumed()); c.Consume(len(c.Unconsumed())) }}, 1<<16, nil)
 		c := dial(t, s)
 		go io.Copy(c, c)
 		io.WriteString(c, "round and round")
@@ -219,8 +219,8 @@
 		for range 5 {
 			dial(t, s)
 		}
-		at := s.At.String()
-		s.Close()
+		at := s.Address.String()
+		s.DrainAndClose()
 		if taken != 5 {
 			t.Errorf("%d of 5 taken", taken)
 		}
@@ -273,7 +273,7 @@
 		if ends[0] != bell && ends[1] != bell {
 			continue
 		}
-		l.Ring()
+		l.WakeUp()
 		var got [8]byte
 		for _, end := range ends {
 			if n, _ := unix.Read(end, got[:]); n > 0 {
--- a/internal/loop/syscalls.go
+++ b/internal/loop/syscalls.go
@@ -5,31 +5,31 @@
 import "golang.org/x/sys/unix"
 
 // Call names a system call that a Fault may have fail.
-type Call string
+type Syscall string
 
 // The calls that go through the seam.
 const (
-	CallSocket       Call = "socket"
-	CallBind         Call = "bind"
-	CallListen       Call = "listen"
-	CallAccept       Call = "accept"
-	CallConnect      Call = "connect"
-	CallRead         Call = "read"
-	CallWrite        Call = "write"
-	CallEpollCreate  Call = "epoll_create"
-	CallEpollControl Call = "epoll_ctl"
-	CallEpollWait    Call = "epoll_wait"
-	CallEventfd      Call = "eventfd"
+	SyscallSocket       Syscall = "socket"
+	SyscallBind         Syscall = "bind"
+	SyscallListen       Syscall = "listen"
+	SyscallAccept       Syscall = "accept"
+	SyscallConnect      Syscall = "connect"
+	SyscallRead         Syscall = "read"
+	SyscallWrite        Syscall = "write"
+	SyscallEpollCreate  Syscall = "epoll_create"
+	SyscallEpollControl Syscall = "epoll_ctl"
+	SyscallEpollWait    Syscall = "epoll_wait"
+	SyscallEventfd      Syscall = "eventfd"
 )
 
 // Fault is asked before each call. An error is what the call fails with instead of being made; most, where above 0, is how
 // many bytes a read or write may move at once.
-type Fault func(call Call) (most int, err error)
+type FaultFunc func(call Syscall) (most int, err error)
 
 // Faults is the Fault of loops that are made from now on. It is nil but in tests, which set it before they start a loop.
-var Faults Fault
+var Faults FaultFunc
 
-func (l *Loop) fault(call Call) (most int, err error) {
+func (l *Loop) fault(call Syscall) (most int, err error) {
 	if l.faults == nil {
 		return 0, nil
 	}
@@ -37,28 +37,28 @@
 }
 
 func (l *Loop) socket(domain, kind int) (int, error) {
-	if _, err := l.fault(CallSocket); err != nil {
+	if _, err := l.fault(SyscallSocket); err != nil {
 		return -1, err
 	}
 	return unix.Socket(domain, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
 func (l *Loop) bind(fd int, at unix.Sockaddr) error {
-	if _, err := l.fault(CallBind); err != nil {
+	if _, err := l.fault(SyscallBind); err != nil {
 		return err
 	}
 	return unix.Bind(fd, at)
 }
 
 func (l *Loop) listen(fd int) error {
-	if _, err := l.fault(CallListen); err != nil {
+	if _, err := l.fault(SyscallListen); err != nil {
 		return err
 	}
 	return unix.Listen(fd, backlog)
 }
 
 func (l *Loop) acceptFrom(fd int) (int, error) {
-	if _, err := l.fault(CallAccept); err != nil {
+	if _, err := l.fault(SyscallAccept); err != nil {
 		return -1, err
 	}
 	accepted, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -66,14 +66,14 @@
 }
 
 func (l *Loop) connect(fd int, to unix.Sockaddr) error {
-	if _, err := l.fault(CallConnect); err != nil {
+	if _, err := l.fault(SyscallConnect); err != nil {
 		return err
 	}
 	return unix.Connect(fd, to)
 }
 
 func (l *Loop) read(fd int, into []byte) (int, error) {
-	most, err := l.fault(CallRead)
+	most, err := l.fault(SyscallRead)
 	if err != nil {
 		return -1, err
 	}
@@ -84,7 +84,7 @@
 }
 
 func (l *Loop) write(fd int, parts ...[]byte) (int, error) {
-	most, err := l.fault(CallWrite)
+	most, err := l.fault(SyscallWrite)
 	if err != nil {
 		return -1, err
 	}
@@ -110,14 +110,14 @@
 }
 
 func (l *Loop) epollControl(op, fd int, event *unix.EpollEvent) error {
-	if _, err := l.fault(CallEpollControl); err != nil {
+	if _, err := l.fault(SyscallEpollControl); err != nil {
 		return err
 	}
 	return unix.EpollCtl(l.epoll, op, fd, event)
 }
 
 func (l *Loop) epollWait(events []unix.EpollEvent, milliseconds int) (int, error) {
-	if _, err := l.fault(CallEpollWait); err != nil {
+	if _, err := l.fault(SyscallEpollWait); err != nil {
 		return -1, err
 	}
 	return unix.EpollWait(l.epoll, events, milliseconds)
--- a/internal/loop/timer_test.go
+++ b/internal/loop/timer_test.go
@@ -24,7 +24,7 @@
 				l.After(at, func() { came = append(came, at) })
 				want = append(want, at)
 			case 1:
-				l.Wake(at, func(token uint64) {
+				l.AfterToken(at, func(token uint64) {
 					if token != uint64(i) {
 						t.Errorf("token %d instead of %d", token, i)
 					}
--- a/internal/loop/transient.go
+++ b/internal/loop/transient.go
@@ -12,7 +12,7 @@
 	unix.EAGAIN, unix.EINTR, unix.ENETDOWN, unix.ENETUNREACH, unix.ENODEV}
 
 // Transient tells whether the call that an error came of may come through when it is made again a moment later.
-func Transient(err error) bool {
+func IsTransient(err error) bool {
 	for _, s := range shortage {
 		if errors.Is(err, s) {
 			return true
@@ -22,7 +22,7 @@
 }
 
 // Starved tells that the system lacks descriptors or memory for a socket, which says nothing of the other side.
-func Starved(err error) bool {
+func IsResourceExhausted(err error) bool {
 	return err == unix.EMFILE || err == unix.ENFILE || err == unix.ENOBUFS || err == unix.ENOMEM
 }
 
--- a/internal/membership/arrivals.go
+++ b/internal/membership/arrivals.go
@@ -31,7 +31,7 @@
 // step by step, never faster than answers come back, and rises twice as fast as soon as these are late. Where it is
 // wrong, each proxy counts itself as one of part times the siblings: all together take at most 1/part of what is
 // common, where 1/part is the factor by which arrivals rose, and only for as long as what they take is answered in time.
-type Arrivals struct {
+type ArrivalEstimator struct {
 	usual            float64 // requests a second
 	count            float64 // that came in this step
 	steps            int
@@ -48,26 +48,26 @@
 }
 
 // Came notes a request that arrives.
-func (a *Arrivals) Came(now float64) {
+func (a *ArrivalEstimator) RequestArrived(now float64) {
 	a.turn(now)
 	a.count++
 	a.recent = a.faded(now) + 1
 	a.recentAt = now
 }
 
-func (a *Arrivals) faded(now float64) float64 {
+func (a *ArrivalEstimator) faded(now float64) float64 {
 	return a.recent * math.Exp(-max(0, now-a.recentAt)/nowSpan)
 }
 
 // Recall takes the rate that was usual for the process before this one.
-func (a *Arrivals) Recall(now, rate float64) {
+func (a *ArrivalEstimator) RestoreUsualRate(now, rate float64) {
 	if a.steps == 0 {
 		a.usual, a.steps, a.next = rate, usualLeast, now+step
 	}
 }
 
 // Ended notes that a request has ended, and whether it was late by its user's measure.
-func (a *Arrivals) Ended(now float64, late bool) {
+func (a *ArrivalEstimator) RequestEnded(now float64, late bool) {
 	x := 0.0
 	if late {
 		x = 1
@@ -81,13 +81,13 @@
 }
 
 // inTime tells that no more is late than usually, but for chance.
-func (a *Arrivals) inTime() bool {
+func (a *ArrivalEstimator) inTime() bool {
 	usual := (a.usuallyLate + lateMore) * a.ended
 	return a.endedLate <= usual+math.Sqrt(usual)
 }
 
 // turn ends the steps that are over.
-func (a *Arrivals) turn(now float64) {
+func (a *ArrivalEstimator) turn(now float64) {
 	if a.next == 0 {
 		a.next = now + step
 	}
@@ -106,7 +106,7 @@
 }
 
 // Usual is how many requests a second come usually, 0 while that is not known.
-func (a *Arrivals) Usual() float64 {
+func (a *ArrivalEstimator) UsualRate() float64 {
 	if a.steps < usualLeast {
 		return 0
 	}
@@ -115,7 +115,7 @@
 
 // Part is the part of the peers that is believed to run, from above 0 to 1. response is how long an answer usually
 // takes, in seconds, 0 where it is not known.
-func (a *Arrivals) Part(now, response float64) float64 {
+func (a *ArrivalEstimator) AliveFraction(now, response float64) float64 {
 	a.turn(now)
 	if a.part == 0 {
 		a.part, a.partAt = 1, now
@@ -124,7 +124,7 @@
 	a.partAt = now
 	target := 1.0
 	a.jumped = false
-	if n := a.faded(now); a.Usual() > 0 && response > 0 {
+	if n := a.faded(now); a.UsualRate() > 0 && response > 0 {
 		if times := (n - roots*math.Sqrt(n)) / nowSpan / a.usual; times > surge {
 			a.jumped = true
 			target = 1 / times
--- a/internal/membership/arrivals_test.go
+++ b/internal/membership/arrivals_test.go
@@ -7,15 +7,15 @@
 )
 
 // come has commands arrive at a rate from one time to another and gives the part believed last.
-func (a *Arrivals) come(chance *rand.Rand, from, to, rate, response float64, inTime func(now float64) bool) (part float64) {
-	part = a.Part(from, response)
+func (a *ArrivalEstimator) come(chance *rand.Rand, from, to, rate, response float64, inTime func(now float64) bool) (part float64) {
+	part = a.AliveFraction(from, response)
 	for now := from; ; {
 		if now += chance.ExpFloat64() / rate; now > to {
 			return part
 		}
-		a.Came(now)
-		a.Ended(now, !inTime(now) || chance.Float64() < 0.15) // some are late on any day
-		part = a.Part(now, response)
+		a.RequestArrived(now)
+		a.RequestEnded(now, !inTime(now) || chance.Float64() < 0.15) // some are late on any day
+		part = a.AliveFraction(now, response)
 	}
 }
 
@@ -25,7 +25,7 @@
 func TestAJumpThatIsAnsweredInTimeMeansFewerPeers(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 1))
 	for _, rate := range []float64{2, 30, 500} {
-		var a Arrivals
+		var a ArrivalEstimator
 		if part := a.come(chance, 0, 30, rate, 0.05, always); part != 1 {
 			t.Errorf("at %.0f/s nothing changed, and %.2f are believed to live", rate, part)
 		}
@@ -40,7 +40,7 @@
 
 func TestAJumpThatIsNotAnsweredInTimeMeansNothing(t *testing.T) {
 	chance := rand.New(rand.NewPCG(2, 1))
-	var a Arrivals
+	var a ArrivalEstimator
 	a.come(chance, 0, 30, 100, 0.05, always)
 	if part := a.come(chance, 30, 35, 1000, 0.05, never); part != 1 {
 		t.Errorf("%.2f are believed to live while all is late", part)
@@ -48,7 +48,7 @@
 	if part := a.come(chance, 35, 37, 1000, 0.05, always); part > 0.3 {
 		t.Errorf("%.2f are believed to live though all is in time again", part)
 	}
-	before := a.Part(37, 0.05)
+	before := a.AliveFraction(37, 0.05)
 	if part := a.come(chance, 37, 37.5, 1000, 0.05, never); part < min(1, 4*before) {
 		t.Errorf("from %.2f to %.2f in half a second of late answers: given back slower than taken", before, part)
 	}
@@ -59,7 +59,7 @@
 func TestTheWorstOvershootIsTheJump(t *testing.T) {
 	for seed := range uint64(200) {
 		chance := rand.New(rand.NewPCG(seed, 3))
-		var a Arrivals
+		var a ArrivalEstimator
 		base := 5 + 300*chance.Float64()
 		a.come(chance, 0, 40, base, 0.05, always)
 		now, most := 40.0, 1.0
@@ -71,7 +71,7 @@
 			a.come(chance, now, now+span, base*times, 0.02+0.3*chance.Float64(), func(float64) bool { return !late })
 			now += span
 			// What is usual follows a slump, so a rise from there counts from there; by no more than a fifth in this time.
-			if part := a.Part(now, 0.05); part < 1/(1.6*most+1) {
+			if part := a.AliveFraction(now, 0.05); part < 1/(1.6*most+1) {
 				t.Fatalf("seed %d: part %.3f after a jump to %.1f times at most", seed, part, most)
 			}
 		}
@@ -80,7 +80,7 @@
 
 func TestASwingOfTheDayMeansNothing(t *testing.T) {
 	chance := rand.New(rand.NewPCG(4, 1))
-	var a Arrivals
+	var a ArrivalEstimator
 	for now := 0.0; now < 300; now += 0.5 {
 		if part := a.come(chance, now, now+0.5, 200*(1+0.4*math.Sin(now/15)), 0.05, always); part < 0.7 {
 			t.Fatalf("at %.0f s %.2f are believed to live in a swing of 0.4", now, part)
@@ -90,7 +90,7 @@
 
 func TestARateThatStaysBecomesUsual(t *testing.T) {
 	chance := rand.New(rand.NewPCG(5, 1))
-	var a Arrivals
+	var a ArrivalEstimator
 	a.come(chance, 0, 30, 100, 0.05, always)
 	if part := a.come(chance, 30, 230, 300, 0.05, always); part != 1 {
 		t.Errorf("after 200 s at three times the rate %.2f are believed to live", part)
@@ -100,10 +100,10 @@
 // A process that stood still for an hour must not take long to catch up, nor believe anything for it.
 func TestAPauseIsNoJump(t *testing.T) {
 	chance := rand.New(rand.NewPCG(6, 1))
-	var a Arrivals
+	var a ArrivalEstimator
 	a.come(chance, 0, 30, 100, 0.05, always)
-	a.Came(3630)
-	if part := a.Part(3630, 0.05); part != 1 {
+	a.RequestArrived(3630)
+	if part := a.AliveFraction(3630, 0.05); part != 1 {
 		t.Errorf("%.2f believed after a pause", part)
 	}
 	if a.steps > 30/int(1/step)+mostSteps+1000 {
@@ -112,13 +112,13 @@
 }
 
 func TestATrickleProvesNothing(t *testing.T) {
-	var a Arrivals
+	var a ArrivalEstimator
 	for now := 0.0; now < 60; now += 2 {
-		a.Came(now)
+		a.RequestArrived(now)
 	}
 	for _, now := range []float64{60, 60.01, 60.02, 60.03} { // four at once where one in 2 s is usual
-		a.Came(now)
-		if part := a.Part(now, 0.05); part < 0.5 {
+		a.RequestArrived(now)
+		if part := a.AliveFraction(now, 0.05); part < 0.5 {
 			t.Errorf("%.2f believed after %v", part, now)
 		}
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -17,7 +17,7 @@
 )
 
 // View is what one proxy knows of its peers. The zero value knows none; Resize must follow.
-type View struct {
+type PeerView struct {
 	peers []peer
 }
 
@@ -39,7 +39,7 @@
 }
 
 // Resize sets how many peers there are; what is known of those that stay is kept.
-func (v *View) Resize(n int) {
+func (v *PeerView) Resize(n int) {
 	for len(v.peers) < n {
 		v.peers = append(v.peers, peer{received: math.Inf(-1), incarnationReceived: math.Inf(-1)})
 	}
@@ -48,7 +48,7 @@
 
 // Received notes a message: incarnation is the sending peer's, 0 in the old form, which has none. It tells whether the
 // message counts, and whether it is the first of an incarnation, so that all that the former one sent is void.
-func (v *View) Received(now float64, from int, incarnation uint64) (counts, fresh bool) {
+func (v *PeerView) MessageReceived(now float64, from int, incarnation uint64) (counts, fresh bool) {
 	if from < 0 || from >= len(v.peers) {
 		return false, false
 	}
@@ -79,7 +79,7 @@
 }
 
 // Repeats tells whether a request of that number was received from a peer just now, and notes it.
-func (v *View) Repeats(now float64, from int, number byte) bool {
+func (v *PeerView) IsRepeatedRequest(now float64, from int, number byte) bool {
 	s := &v.peers[from]
 	for i, known := range s.requests {
 		if known == number && now < s.requestedAt[i]+repeatFor {
@@ -92,7 +92,7 @@
 }
 
 // Missed notes that a request sent at a time was given up now without an answer.
-func (v *View) Missed(now float64, at int, sent float64) {
+func (v *PeerView) RequestTimedOut(now float64, at int, sent float64) {
 	if at < 0 || at >= len(v.peers) {
 		return
 	}
@@ -113,19 +113,19 @@
 }
 
 // Alive tells whether a peer is believed to be there.
-func (v *View) Alive(now float64, at int) bool {
+func (v *PeerView) IsAlive(now float64, at int) bool {
 	return at >= 0 && at < len(v.peers) && now >= v.peers[at].pausedUntil
 }
 
 // Sending is called before a request is sent. A peer whose pause has ended is tried by one request at a time.
-func (v *View) Sending(now float64, at int) {
+func (v *PeerView) BeforeRequest(now float64, at int) {
 	if s := &v.peers[at]; s.pause > 0 {
 		s.pausedUntil = now + trialFor
 	}
 }
 
 // UsesOldForm tells whether messages to a peer are sent in the old form.
-func (v *View) UsesOldForm(now float64, at int) bool {
+func (v *PeerView) UsesOldFormat(now float64, at int) bool {
 	s := &v.peers[at]
 	return s.oldForm || now < s.oldFormUntil
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -5,44 +5,44 @@
 	"testing"
 )
 
-func view(n int) *View {
-	v := &View{}
+func view(n int) *PeerView {
+	v := &PeerView{}
 	v.Resize(n)
 	return v
 }
 
 func TestOneMissProvesNothingTwoInARowDo(t *testing.T) {
 	v := view(3)
-	v.Received(10, 1, 7)
-	v.Missed(10.1, 1, 10.06)
+	v.MessageReceived(10, 1, 7)
+	v.RequestTimedOut(10.1, 1, 10.06)
 	for range 50 { // requests that were out at the same time count once
-		v.Missed(10.12, 1, 10.07)
+		v.RequestTimedOut(10.12, 1, 10.07)
 	}
-	if !v.Alive(10.13, 1) {
+	if !v.IsAlive(10.13, 1) {
 		t.Error("given up for one miss, though fifty requests shared it")
 	}
-	v.Missed(10.2, 1, 10.15)
-	if v.Alive(10.21, 1) {
+	v.RequestTimedOut(10.2, 1, 10.15)
+	if v.IsAlive(10.21, 1) {
 		t.Error("two misses in a row, and it is still asked")
 	}
-	if !v.Alive(10.21, 2) {
+	if !v.IsAlive(10.21, 2) {
 		t.Error("another is given up for it")
 	}
-	v.Received(10.3, 1, 7)
-	if !v.Alive(10.3, 1) {
+	v.MessageReceived(10.3, 1, 7)
+	if !v.IsAlive(10.3, 1) {
 		t.Error("it spoke, and is not asked")
 	}
 }
 
 func TestOneThatIsGivenUpIsTriedByOneRequestAtATime(t *testing.T) {
 	v := view(2)
-	v.Received(0, 1, 7)
+	v.MessageReceived(0, 1, 7)
 	now, tries, last := 1.0, 0, 0.0
 	for ; now < 60; now += 0.01 {
-		if v.Alive(now, 1) {
-			v.Sending(now, 1)
+		if v.IsAlive(now, 1) {
+			v.BeforeRequest(now, 1)
 			tries, last = tries+1, now
-			v.Missed(now+0.04, 1, now)
+			v.RequestTimedOut(now+0.04, 1, now)
 		}
 	}
 	if tries > 25 {
@@ -57,7 +57,7 @@
 	v := view(2)
 	receives := func(now float64, incarnation uint64, counts, fresh bool) {
 		t.Helper()
-		if c, f := v.Received(now, 1, incarnation); c != counts || f != fresh {
+		if c, f := v.MessageReceived(now, 1, incarnation); c != counts || f != fresh {
 			t.Errorf("at %.1f s incarnation %d: counts %t, fresh %t", now, incarnation, c, f)
 		}
 	}
@@ -80,24 +80,24 @@
 
 func TestOldAndNewFormBesideOneAnother(t *testing.T) {
 	v := view(3)
-	if v.UsesOldForm(0, 1) {
+	if v.UsesOldFormat(0, 1) {
 		t.Error("a peer from which nothing was received is first sent the new form")
 	}
-	v.Missed(0.04, 1, 0)
-	if !v.UsesOldForm(0.05, 1) || !v.Alive(0.05, 1) {
+	v.RequestTimedOut(0.04, 1, 0)
+	if !v.UsesOldFormat(0.05, 1) || !v.IsAlive(0.05, 1) {
 		t.Error("one that does not answer in the new form is to be asked in the old one before it is given up")
 	}
-	if counts, fresh := v.Received(0.1, 1, 0); !counts || fresh {
+	if counts, fresh := v.MessageReceived(0.1, 1, 0); !counts || fresh {
 		t.Error("a message in the old form counts")
 	}
-	if !v.UsesOldForm(100, 1) {
+	if !v.UsesOldFormat(100, 1) {
 		t.Error("a peer that sends the old form is sent it")
 	}
-	if counts, fresh := v.Received(200, 1, 9); !counts || !fresh || v.UsesOldForm(200, 1) {
+	if counts, fresh := v.MessageReceived(200, 1, 9); !counts || !fresh || v.UsesOldFormat(200, 1) {
 		t.Error("a restarted peer sends the new form, and its former incarnation's messages are void")
 	}
-	v.Missed(201, 1, 200.9)
-	if v.UsesOldForm(201.1, 1) {
+	v.RequestTimedOut(201, 1, 200.9)
+	if v.UsesOldFormat(201.1, 1) {
 		t.Error("one miss of a peer that sends the new form is no reason for the old one")
 	}
 }
@@ -114,15 +114,15 @@
 			at := chance.IntN(5) - 1
 			switch chance.IntN(3) {
 			case 0:
-				if counts, fresh := v.Received(now, at, chance.Uint64N(4)); counts && !v.Alive(now, at) || fresh && !counts {
+				if counts, fresh := v.MessageReceived(now, at, chance.Uint64N(4)); counts && !v.IsAlive(now, at) || fresh && !counts {
 					t.Fatal("it has just spoken, and is not asked")
 				}
 			case 1:
-				v.Missed(now, at, now-0.1*chance.Float64())
+				v.RequestTimedOut(now, at, now-0.1*chance.Float64())
 			case 2:
-				if v.Alive(now, at) {
-					v.Sending(now, at)
-					v.UsesOldForm(now, at)
+				if v.IsAlive(now, at) {
+					v.BeforeRequest(now, at)
+					v.UsesOldFormat(now, at)
 				}
 			}
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -22,9 +22,9 @@
 
 // State says where a process keeps what it knows over its end.
 type State struct {
-	Folder string  `toml:"folder"` // empty: nowhere
-	Fleet  string  `toml:"fleet"`  // whose it is: what another fleet has left there is refused
-	Every  float64 `toml:"every"`  // between two writings, 0: 1
+	Folder       string  `toml:"folder"` // empty: nowhere
+	Fleet        string  `toml:"fleet"`  // whose it is: what another fleet has left there is refused
+	SaveInterval float64 `toml:"every"`  // between two writings, 0: 1
 }
 
 // Control says from which control replicas a proxy has its configuration, and where it stands among the others.
@@ -37,11 +37,11 @@
 }
 
 // On tells whether there is control.
-func (c Control) On() bool { return len(c.Replicas) > 0 }
+func (c Control) Enabled() bool { return len(c.Replicas) > 0 }
 
 // Check tells what is wrong with a proxy's place under control, if anything.
 func (c Control) Check(name string) error {
-	if !c.On() {
+	if !c.Enabled() {
 		return nil
 	}
 	if err := c.Identity(name).Check(); err != nil {
@@ -95,12 +95,12 @@
 		return nil, err
 	}
 	s := &f.State
-	if s.Every == 0 {
-		s.Every = 1
+	if s.SaveInterval == 0 {
+		s.SaveInterval = 1
 	}
 	switch {
-	case math.IsNaN(s.Every) || s.Every < everyLeast || s.Every > everyMost:
-		return nil, fmt.Errorf("state.every = %v is not between %v and %v", s.Every, everyLeast, everyMost)
+	case math.IsNaN(s.SaveInterval) || s.SaveInterval < everyLeast || s.SaveInterval > everyMost:
+		return nil, fmt.Errorf("state.every = %v is not between %v and %v", s.SaveInterval, everyLeast, everyMost)
 	case s.Folder != "" && s.Fleet == "":
 		return nil, errors.New("state.fleet is missing: a folder belongs to one fleet")
 	case s.Folder == "" && s.Fleet != "":
@@ -118,7 +118,7 @@
 	switch {
 	case c.Equal(Control{}):
 		return nil
-	case !c.On():
+	case !c.Enabled():
 		return errors.New("control.replicas is missing")
 	case c.Fleet == "":
 		return errors.New("control.fleet is missing: a proxy follows one fleet's configuration")
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -7,7 +7,7 @@
 
 func TestWhatIsSaid(t *testing.T) {
 	f, err := Parse([]byte("[state]\nfolder = \"/tmp/x\"\nfleet = \"shop\"\n"))
-	if err != nil || f.State.Folder != "/tmp/x" || f.State.Every != 1 {
+	if err != nil || f.State.Folder != "/tmp/x" || f.State.SaveInterval != 1 {
 		t.Errorf("%+v %v", f, err)
 	}
 	f, err = Parse([]byte("[control]\nreplicas = [\"127.0.0.1:1\", \"[::1]:2\"]\nfleet = \"shop\"\nzone = \"eu-1\"\n"))
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -17,12 +17,12 @@
 func (idleHost) Cancel(uint64, int)              {}
 func (idleHost) Decline(uint64, float64)         {}
 func (idleHost) Terminate(uint64)                {}
-func (idleHost) WakeAfter(float64, uint64)       {}
-func (idleHost) Watch()                          {}
-func (idleHost) Send(int, []byte)                {}
+func (idleHost) StartTimer(float64, uint64)      {}
+func (idleHost) WatchBackends()                  {}
+func (idleHost) SendToPeer(int, []byte)          {}
 
 // Check tells what is wrong with a configuration, if anything.
-func Check(l *Launch) error {
+func Check(l *Config) error {
 	p, _, err := prepare(l)
 	if err != nil {
 		return err
@@ -30,7 +30,7 @@
 	if _, err := netip.ParseAddrPort(l.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if _, err := inherited(l.Socket); err != nil {
+	if _, err := parseSocketFD(l.Socket); err != nil {
 		return err
 	}
 	_, _, err = settings.NewBalancer(idleHost{}, p.seed, 0, l.Settings)
--- a/internal/proxy/clauses_test.go
+++ b/internal/proxy/clauses_test.go
@@ -20,7 +20,7 @@
 
 // timed is a request with a time limit of its own.
 func timed(verb string, seconds float64) string {
-	return strings.Replace(text(verb), "Req-Deadline: 2.5", fmt.Sprintf("Req-Deadline: %.3f", seconds), 1)
+	return strings.Replace(requestText(verb), "Req-Deadline: 2.5", fmt.Sprintf("Req-Deadline: %.3f", seconds), 1)
 }
 
 // The time that an attempt tells its backend is at most what the client has left, also for a request that waited behind
@@ -30,26 +30,26 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			told := make(chan float64, 9)
-			b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+			b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 				left, _ := strconv.ParseFloat(r.Header.Get("Req-Deadline"), 64)
 				told <- left
 				time.Sleep(800 * time.Millisecond)
-				ok(b, c, r)
+				echo(b, c, r)
 			})
-			r := run(t, launch(t, 200, listing(1, true, ready("s-a", b)), nil))
+			r := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-a", b)), nil))
 			time.Sleep(600 * time.Millisecond)
-			c := r.caller(t)
+			c := r.dial(t)
 			wrote := time.Now()
-			io.WriteString(c, text("pay", "Content-Length: 0\r\n"))
+			io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
 			time.Sleep(apart)
 			second := timed("pay", 1.5)
 			io.WriteString(c, strings.Replace(second, "\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n", 1))
 			left := 1.5 - 0.8 + apart.Seconds()
-			if status, _, _ := c.read(); status != 200 {
+			if status, _, _ := c.readAnswer(); status != 200 {
 				t.Fatalf("the first: %d", status)
 			}
 			<-told
-			status, _, _ := c.read()
+			status, _, _ := c.readAnswer()
 			select {
 			case got := <-told:
 				if got > left+0.15 {
@@ -65,18 +65,18 @@
 	}
 	t.Run("and none is forwarded whose time is up", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+		b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 			time.Sleep(600 * time.Millisecond)
-			ok(b, c, r)
+			echo(b, c, r)
 		})
-		r := run(t, launch(t, 200, listing(1, true, ready("s-a", b)), nil))
+		r := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-a", b)), nil))
 		time.Sleep(600 * time.Millisecond)
-		c := r.caller(t)
-		io.WriteString(c, text("look"))
+		c := r.dial(t)
+		io.WriteString(c, requestText("look"))
 		time.Sleep(50 * time.Millisecond)
 		io.WriteString(c, timed("look", 0.3))
-		c.read()
-		if status, _, _ := c.read(); status != 503 || b.commands.Load() != 1 {
+		c.readAnswer()
+		if status, _, _ := c.readAnswer(); status != 503 || b.commands.Load() != 1 {
 			t.Errorf("%d, %d ran", status, b.commands.Load())
 		}
 	})
@@ -84,8 +84,8 @@
 
 // A client that stops in the middle of a request and stays has its error, or its close, within 3 s, however much it has sent.
 func TestAClientThatStopsInTheMiddleHearsWithin3s(t *testing.T) {
-	b := newToy(t, ok)
-	r := run(t, launch(t, 200, listing(1, true, ready("s-a", b)), nil))
+	b := newFakeBackend(t, echo)
+	r := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-a", b)), nil))
 	time.Sleep(600 * time.Millisecond)
 	for name, sent := range map[string]struct{ length, part int }{
 		"in the head": {-1, 0}, "in a short body": {1000, 10}, "in a body of 200 KB": {200 << 10, 190 << 10},
@@ -94,20 +94,20 @@
 		for _, used := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, used %t", name, used), func(t *testing.T) {
 				t.Parallel()
-				c := r.caller(t)
+				c := r.dial(t)
 				if used {
-					if status, _, _ := c.ask(text("look")); status != 200 {
+					if status, _, _ := c.roundTrip(requestText("look")); status != 200 {
 						t.Fatalf("%d", status)
 					}
 				}
 				if sent.length < 0 {
 					io.WriteString(c, "POST /pay/x HTTP/1.1\r\nReq-")
 				} else {
-					io.WriteString(c, text("pay", fmt.Sprintf("Content-Length: %d\r\n", sent.length)))
+					io.WriteString(c, requestText("pay", fmt.Sprintf("Content-Length: %d\r\n", sent.length)))
 					c.Write(make([]byte, sent.part))
 				}
 				stopped := time.Now()
-				status, _, _ := c.read()
+				status, _, _ := c.readAnswer()
 				if took := time.Since(stopped).Seconds(); took > 3 || status == 200 {
 					t.Errorf("%d after %.2f s", status, took)
 				}
@@ -149,15 +149,15 @@
 					whole.Add(1)
 				}
 			}()
-			l := config(listing(1, true, ready("s-a", listener)), nil, strings.Replace(settingsText, `"cancel": true`, fmt.Sprintf(`"cancel": %t`, cancel), 1))
+			l := testConfig(endpointList(1, true, readyEndpoint("s-a", listener)), nil, strings.Replace(settingsText, `"cancel": true`, fmt.Sprintf(`"cancel": %t`, cancel), 1))
 			p, err := New(l)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := run(t, p)
+			r := runProxy(t, p)
 			time.Sleep(600 * time.Millisecond)
-			c := r.caller(t)
-			io.WriteString(c, text("pay", fmt.Sprintf("Content-Length: %d\r\n", size)))
+			c := r.dial(t)
+			io.WriteString(c, requestText("pay", fmt.Sprintf("Content-Length: %d\r\n", size)))
 			go c.Write(make([]byte, size))
 			time.Sleep(400 * time.Millisecond)
 			c.Close()
@@ -172,8 +172,8 @@
 
 // A new configuration is turned to also where the system lacks descriptors when it is checked: 4 s after SIGHUP it counts.
 func TestAConfigurationIsCheckedWithoutDescriptors(t *testing.T) {
-	l := config("", nil, settingsText)
-	loop.Faults = func(loop.Call) (int, error) { return 0, unix.ENFILE }
+	l := testConfig("", nil, settingsText)
+	loop.Faults = func(loop.Syscall) (int, error) { return 0, unix.ENFILE }
 	defer func() { loop.Faults = nil }()
 	if err := Check(l); err != nil {
 		t.Error(err)
@@ -184,8 +184,8 @@
 // or its new connection is shut unread.
 func TestIdleClientsKeepNobodyInTheBacklog(t *testing.T) {
 	const idle, limit = 700, 500 * time.Millisecond
-	b := newToy(t, ok)
-	r := run(t, launch(t, 80, listing(1, true, ready("s-a", b)), nil))
+	b := newFakeBackend(t, echo)
+	r := runProxy(t, newTestProxy(t, 80, endpointList(1, true, readyEndpoint("s-a", b)), nil))
 	time.Sleep(600 * time.Millisecond)
 	over := make(chan bool)
 	var all sync.WaitGroup
@@ -194,7 +194,7 @@
 	for range idle {
 		all.Go(func() {
 			for {
-				if conn, err := net.Dial("tcp", r.At().String()); err == nil {
+				if conn, err := net.Dial("tcp", r.Addr().String()); err == nil {
 					go func() { <-over; conn.Close() }()
 					conn.Read(make([]byte, 1))
 					conn.Close()
@@ -211,8 +211,8 @@
 	served, shut := 0, 0
 	for range 30 {
 		began := time.Now()
-		c := r.caller(t)
-		status, _, _ := c.ask(text("look"))
+		c := r.dial(t)
+		status, _, _ := c.roundTrip(requestText("look"))
 		if took := time.Since(began); took > limit {
 			t.Errorf("%d after %v", status, took)
 		}
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -125,41 +125,41 @@
 type history struct {
 	identity revision.Identity
 	number   revision.Number
-	held     map[revision.Scope]revision.Held
+	held     map[revision.Scope]revision.ScopeDocument
 }
 
 func newHistory() *history {
-	return &history{identity: revision.Identity{Fleet: "shop", Proxy: "n0", Zone: "eu-1"}, held: map[revision.Scope]revision.Held{}}
+	return &history{identity: revision.Identity{Fleet: "shop", Proxy: "n0", Zone: "eu-1"}, held: map[revision.Scope]revision.ScopeDocument{}}
 }
 
 // change is the next revision: a new document of a scope. It gives the update that brings it.
 func (h *history) change(t *testing.T, scope revision.Scope, text string) revision.Update {
 	t.Helper()
-	document, err := revision.Canonical([]byte(text))
+	document, err := revision.Canonicalize([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	before, ok := h.held[scope]
 	if !ok {
-		before.Document = revision.Empty
+		before.Document = revision.EmptyDocument
 	}
 	patch, err := revision.Diff(before.Document, document)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.number++
-	h.held[scope] = revision.Held{Scope: scope, Number: h.number, Document: document}
+	h.held[scope] = revision.ScopeDocument{Scope: scope, Number: h.number, Document: document}
 	return revision.Update{Revision: h.number, Checksum: h.checksum(t),
 		Scopes: []revision.Change{{Scope: scope, Number: h.number, From: before.Number, Patch: patch}}}
 }
 
 func (h *history) checksum(t *testing.T) string {
 	t.Helper()
-	var held []revision.Held
+	var held []revision.ScopeDocument
 	for _, one := range h.held {
 		held = append(held, one)
 	}
-	effective, err := revision.Effective(h.identity, held)
+	effective, err := revision.EffectiveDocument(h.identity, held)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 // whole is the update that brings all that there is.
 func (h *history) whole(t *testing.T) revision.Update {
 	t.Helper()
-	u := revision.Update{Revision: h.number, Whole: true, Checksum: h.checksum(t)}
+	u := revision.Update{Revision: h.number, Full: true, Checksum: h.checksum(t)}
 	for _, one := range h.held {
 		u.Scopes = append(u.Scopes, revision.Change{Scope: one.Scope, Number: one.Number, Document: one.Document})
 	}
@@ -182,62 +182,62 @@
 }
 
 // underControl is a configuration whose operators name these replicas.
-func underControl(known, folder string, replicas ...*replica) *Launch {
-	l := config(known, nil, settingsText)
+func underControl(known, folder string, replicas ...*replica) *Config {
+	l := testConfig(known, nil, settingsText)
 	l.Control = operator.Control{Fleet: "shop", Zone: "eu-1"}
 	for _, r := range replicas {
 		l.Control.Replicas = append(l.Control.Replicas, r.address())
 	}
 	if folder != "" {
-		l.State = operator.State{Folder: folder, Fleet: "shop", Every: 1}
+		l.State = operator.State{Folder: folder, Fleet: "shop", SaveInterval: 1}
 	}
 	return l
 }
 
-func (r *running) controlStatus() (s configwatch.Status) {
-	r.do(func() { s = *r.control.Status() })
+func (r *testProxy) controlStatus() (s configwatch.Status) {
+	r.onLoop(func() { s = *r.control.Status() })
 	return s
 }
 
 func TestAChangeComesIntoForceWithRequestsOpen(t *testing.T) {
 	t.Parallel()
 	answer := make(chan bool)
-	b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+	b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/pay") {
 			<-answer
 		}
-		ok(b, c, r)
+		echo(b, c, r)
 	})
 	r, h := newReplica(t), newHistory()
-	p := begin(t, underControl(listing(1, true, ready("s-1", b)), t.TempDir(), r))
+	p := startProxy(t, underControl(endpointList(1, true, readyEndpoint("s-1", b)), t.TempDir(), r))
 	hello := awaited(t, r.hellos)
-	if hello.Protocol != revision.Protocol || hello.Identity != h.identity || hello.Revision != 0 || len(hello.Held) > 0 {
+	if hello.Protocol != revision.Protocol || hello.Identity != h.identity || hello.Revision != 0 || len(hello.Documents) > 0 {
 		t.Errorf("%+v", hello)
 	}
-	open := p.caller(t)
-	io.WriteString(open, text("pay"))
+	open := p.dial(t)
+	io.WriteString(open, requestText("pay"))
 	p.await(t, "the request is out", func() bool { return b.commands.Load() == 1 })
-	r.send(h.change(t, revision.Fleet, `{"settings": {"limits": {"max_relays": 2}, "tick_ms": 7}}`))
+	r.send(h.change(t, revision.FleetScope, `{"settings": {"limits": {"max_relays": 2}, "tick_ms": 7}}`))
 	if report := wantsReport(t, r, 1, revision.InForce); report.Checksum != h.checksum(t) {
 		t.Errorf("%+v", report)
 	}
 	zone := revision.Scope{Kind: revision.ZoneKind, Name: "eu-1"}
 	r.send(h.change(t, zone, `{"settings": {"realms": [{"name": "mill", "allowance_per_s": 5}]}}`))
 	wantsReport(t, r, 2, revision.InForce)
-	p.do(func() {
-		if len(p.names.Tenants) != 1 || p.names.Tenants[0] != "mill" {
-			t.Errorf("customers are %v", p.names.Tenants)
+	p.onLoop(func() {
+		if len(p.names.Customers) != 1 || p.names.Customers[0] != "mill" {
+			t.Errorf("customers are %v", p.names.Customers)
 		}
 	})
 	close(answer)
-	if status, body, _ := open.read(); status != 200 {
+	if status, body, _ := open.readAnswer(); status != 200 {
 		t.Errorf("the open request had %d %s", status, body)
 	}
-	if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+	if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 		t.Errorf("%d after the change", status)
 	}
 	if s := p.controlStatus(); s.Revision != 2 || s.Checksum != h.checksum(t) || !s.Connected || s.Replica != r.address() ||
-		s.Updates.InForce != 2 || s.Refused != nil {
+		s.Updates.InForce != 2 || s.LastRefused != nil {
 		t.Errorf("%+v", s)
 	}
 }
@@ -245,11 +245,11 @@
 func TestWhatIsRefusedChangesNothing(t *testing.T) {
 	t.Parallel()
 	r, h := newReplica(t), newHistory()
-	p := begin(t, underControl("", t.TempDir(), r))
+	p := startProxy(t, underControl("", t.TempDir(), r))
 	awaited(t, r.hellos)
-	r.send(h.change(t, revision.Fleet, `{"settings": {"tick_ms": 7}}`))
+	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 7}}`))
 	wantsReport(t, r, 1, revision.InForce)
-	good := h.held[revision.Fleet]
+	good := h.held[revision.FleetScope]
 	for text, reason := range map[string]string{
 		`{"settings": {"tick_ms": -1}}`:     "settings: tick_ms is below 0",
 		`{"settings": {"azs": []}, "x": 1}`: "x: it needs a start",
@@ -257,17 +257,17 @@
 		`{"peers": 3}`:                      "cannot unmarshal",
 		`{"discovery": "nowhere"}`:          "discovery: ",
 	} {
-		r.send(h.change(t, revision.Fleet, text))
+		r.send(h.change(t, revision.FleetScope, text))
 		report := wantsReport(t, r, h.number, revision.Refused)
 		if !strings.Contains(report.Reason, reason) || strings.Contains(report.Reason, "\n") {
 			t.Errorf("%s: refused as %q", text, report.Reason)
 		}
-		if s := p.controlStatus(); s.Revision != 1 || s.Refused == nil || s.Refused.Revision != h.number {
+		if s := p.controlStatus(); s.Revision != 1 || s.LastRefused == nil || s.LastRefused.Revision != h.number {
 			t.Errorf("%+v", s)
 		}
-		h.held[revision.Fleet] = good // what the proxy holds
+		h.held[revision.FleetScope] = good // what the proxy holds
 	}
-	r.send(h.change(t, revision.Fleet, `{"settings": {"tick_ms": 8}}`))
+	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 8}}`))
 	wantsReport(t, r, h.number, revision.InForce)
 }
 
@@ -280,13 +280,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &running{Proxy: first, ended: make(chan error, 1), todo: make(chan func(), 1)}
-	go func() { p.ended <- p.Run(p.asked.Load) }()
+	p := &testProxy{Proxy: first, runResult: make(chan error, 1), loopCalls: make(chan func(), 1)}
+	go func() { p.runResult <- p.Run(p.shutdownRequested.Load) }()
 	awaited(t, r.hellos)
-	r.send(h.change(t, revision.Fleet, `{"settings": {"realms": [{"name": "mill", "allowance_per_s": 5}]}}`))
+	r.send(h.change(t, revision.FleetScope, `{"settings": {"realms": [{"name": "mill", "allowance_per_s": 5}]}}`))
 	wantsReport(t, r, 1, revision.InForce)
-	p.end()
-	if err := <-p.ended; err != nil {
+	p.requestShutdown()
+	if err := <-p.runResult; err != nil {
 		t.Fatal(err)
 	}
 	address := r.address()
@@ -295,33 +295,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if names := again.names.Tenants; len(names) != 1 || names[0] != "mill" {
+	if names := again.names.Customers; len(names) != 1 || names[0] != "mill" {
 		t.Errorf("starts with customers %v", names)
 	}
-	q := run(t, again)
+	q := runProxy(t, again)
 	q.await(t, "the loss", func() bool { return !q.control.Status().Connected })
 	r = startReplica(t, address)
 	defer r.stop()
-	if hello := awaited(t, r.hellos); hello.Revision != 1 || len(hello.Held) != 1 || hello.Held[0].Document != nil ||
+	if hello := awaited(t, r.hellos); hello.Revision != 1 || len(hello.Documents) != 1 || hello.Documents[0].Document != nil ||
 		hello.Checksum != h.checksum(t) {
 		t.Errorf("%+v", hello)
 	}
-	r.send(h.change(t, revision.Fleet, `{"settings": {"tick_ms": 9}}`))
+	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 9}}`))
 	wantsReport(t, r, 2, revision.InForce)
 }
 
 func TestAnotherReplicaIsAskedWhereOneIsGoneOrAnotherFleets(t *testing.T) {
 	t.Parallel()
 	first, second, h := newReplica(t), newReplica(t), newHistory()
-	p := begin(t, underControl("", "", first, second))
+	p := startProxy(t, underControl("", "", first, second))
 	awaited(t, first.hellos)
-	first.send(h.change(t, revision.Fleet, `{"settings": {"tick_ms": 7}}`))
+	first.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 7}}`))
 	wantsReport(t, first, 1, revision.InForce)
 	first.stop()
 	if hello := awaited(t, second.hellos); hello.Revision != 1 {
 		t.Errorf("%+v", hello)
 	}
-	second.send(h.change(t, revision.Fleet, `{"settings": {"tick_ms": 8}}`))
+	second.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 8}}`))
 	wantsReport(t, second, 2, revision.InForce)
 	if s := p.controlStatus(); s.Replica != second.address() || s.Revision != 2 {
 		t.Errorf("%+v", s)
@@ -329,8 +329,8 @@
 
 	foreign := underControl("", "", second)
 	foreign.Control.Fleet = "mill"
-	q := begin(t, foreign)
-	q.await(t, "the refusal", func() bool { return q.control.Status().Lost == "status 409: fleet mill is not shop" })
+	q := startProxy(t, foreign)
+	q.await(t, "the refusal", func() bool { return q.control.Status().LastError == "status 409: fleet mill is not shop" })
 	if status := q.controlStatus(); status.Revision != 0 || status.Connected {
 		t.Errorf("%+v", status)
 	}
@@ -340,18 +340,18 @@
 	t.Parallel()
 	r, h := newReplica(t), newHistory()
 	l := underControl("", "", r)
-	p := begin(t, l)
+	p := startProxy(t, l)
 	awaited(t, r.hellos)
-	r.send(h.change(t, revision.Fleet, `{"settings": {"realms": [{"name": "mill", "allowance_per_s": 5}]}}`))
+	r.send(h.change(t, revision.FleetScope, `{"settings": {"realms": [{"name": "mill", "allowance_per_s": 5}]}}`))
 	wantsReport(t, r, 1, revision.InForce)
-	other := newToy(t, ok)
+	other := newFakeBackend(t, echo)
 	changed := *l
 	changed.Discovery = other.Addr().String()
 	p.Reload(&changed)
-	p.await(t, "the new address", func() bool { return p.watch.at == netip.MustParseAddrPort(changed.Discovery) })
-	p.do(func() {
-		if len(p.names.Tenants) != 1 || p.names.Tenants[0] != "mill" {
-			t.Errorf("customers are %v", p.names.Tenants)
+	p.await(t, "the new address", func() bool { return p.watch.addr == netip.MustParseAddrPort(changed.Discovery) })
+	p.onLoop(func() {
+		if len(p.names.Customers) != 1 || p.names.Customers[0] != "mill" {
+			t.Errorf("customers are %v", p.names.Customers)
 		}
 	})
 }
@@ -361,39 +361,39 @@
 func TestANewVersionGoesOnFromWhatIsSaved(t *testing.T) {
 	t.Parallel()
 	r, h := newReplica(t), newHistory()
-	l := inherits(t, listing(1, true, ready("s-1", newToy(t, ok))))
+	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
 	named := underControl("", t.TempDir(), r)
 	l.Control, l.State = named.Control, named.State
 	fd, _ := strconv.Atoi(l.Socket)
-	one := begin(t, l)
+	one := startProxy(t, l)
 	awaited(t, r.hellos)
-	r.send(h.change(t, revision.Fleet, `{"settings": {"tick_ms": 6}}`))
+	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 6}}`))
 	wantsReport(t, r, 1, revision.InForce)
-	held := one.caller(t) // keeps the old one there
-	held.ask(text("look"))
+	held := one.dial(t) // keeps the old one there
+	held.roundTrip(requestText("look"))
 
-	later, err := New(next(t, l, fd))
+	later, err := New(nextVersionConfig(t, l, fd))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.send(h.change(t, revision.Fleet, `{"settings": {"tick_ms": 7}}`))
+	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 7}}`))
 	wantsReport(t, r, 2, revision.InForce)
-	two := runHeld(t, later, func() {
-		if later.takesClients() && later.control.Status().Revision < 2 {
+	two := runProxyWithHook(t, later, func() {
+		if later.acceptsClients() && later.control.Status().Revision < 2 {
 			t.Error("it takes clients with an older configuration than the old version")
 		}
 	})
 	if hello := awaited(t, r.hellos); hello.Revision != 2 {
 		t.Errorf("the new version says %+v", hello)
 	}
-	r.send(h.change(t, revision.Fleet, `{"settings": {"tick_ms": 8}}`))
+	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 8}}`))
 	wantsReport(t, r, 3, revision.InForce)
 	if s := one.controlStatus(); s.Revision != 2 || s.Connected {
 		t.Errorf("the old version: %+v", s)
 	}
-	two.await(t, "it serves", func() bool { return two.takesClients() })
+	two.await(t, "it serves", func() bool { return two.acceptsClients() })
 
-	two.do(func() { two.handover.predecessor.conn.Close() })
+	two.onLoop(func() { two.handover.predecessor.conn.Close() })
 	if hello := awaited(t, r.hellos); hello.Revision != 2 && hello.Revision != 3 {
 		t.Errorf("the old version says %+v", hello)
 	}
@@ -403,9 +403,9 @@
 // What a replica sends that is no update changes nothing, and the next opening of the watch goes on as if nothing had been.
 func TestAReplicaThatSendsAnything(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
+	b := newFakeBackend(t, echo)
 	r, h := newReplica(t), newHistory()
-	p := begin(t, underControl(listing(1, true, ready("s-1", b)), t.TempDir(), r))
+	p := startProxy(t, underControl(endpointList(1, true, readyEndpoint("s-1", b)), t.TempDir(), r))
 	awaited(t, r.hellos)
 	for _, junk := range []string{
 		"}\n", "noise\n", `{"revision":1,"scopes":[}` + "\n", `{"revision":1,` + "\n\n", `{"revision":"x"}` + "\n", "{}\n", "[]\n",
@@ -418,7 +418,7 @@
 		if hello.Revision != h.number {
 			t.Errorf("after %.40q: %+v", junk, hello)
 		}
-		if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Errorf("after %.40q: %d", junk, status)
 		}
 		for len(r.reports) > 0 {
@@ -426,7 +426,7 @@
 				t.Errorf("after %.40q: %+v", junk, report)
 			}
 		}
-		r.send(h.change(t, revision.Fleet, fmt.Sprintf(`{"settings": {"tick_ms": %d}}`, 5+h.number)))
+		r.send(h.change(t, revision.FleetScope, fmt.Sprintf(`{"settings": {"tick_ms": %d}}`, 5+h.number)))
 		for awaited(t, r.reports).Verdict != revision.InForce { // what was reported of the junk as its watch ended
 		}
 	}
@@ -441,7 +441,7 @@
 	const many = 30
 	r, h := newReplica(t), newHistory()
 	l := underControl("", t.TempDir(), r)
-	p := begin(t, l)
+	p := startProxy(t, l)
 	awaited(t, r.hellos)
 	last := *l
 	go func() {
@@ -452,30 +452,30 @@
 		}
 	}()
 	for i := range many {
-		r.send(h.change(t, revision.Fleet, fmt.Sprintf(`{"settings": {"limits": {"max_open": %d}}}`, 100+i)))
+		r.send(h.change(t, revision.FleetScope, fmt.Sprintf(`{"settings": {"limits": {"max_open": %d}}}`, 100+i)))
 	}
 	for i := range many {
 		wantsReport(t, r, revision.Number(1+i), revision.InForce)
 	}
 	last.Discovery = fmt.Sprintf("127.0.0.1:%d", many)
 	p.await(t, "both", func() bool {
-		return p.watch.at.String() == last.Discovery && p.links.Open == 100+many-1 && p.control.Status().Revision == many
+		return p.watch.addr.String() == last.Discovery && p.network.MaxOpenRequests == 100+many-1 && p.control.Status().Revision == many
 	})
 }
 
 func TestWithoutControlNothingIsThere(t *testing.T) {
 	t.Parallel()
-	p := run(t, launch(t, 200, "", nil))
-	p.do(func() {
-		if p.control.Client != nil || p.own() != ownDescriptors || strings.Contains(p.status(), "control") {
-			t.Errorf("%d descriptors, %s", p.own(), p.status())
+	p := runProxy(t, newTestProxy(t, 200, "", nil))
+	p.onLoop(func() {
+		if p.control.Client != nil || p.reservedDescriptors() != baseDescriptors || strings.Contains(p.status(), "control") {
+			t.Errorf("%d descriptors, %s", p.reservedDescriptors(), p.status())
 		}
 	})
 	controlled := underControl("", "", newReplica(t))
-	q := begin(t, controlled)
-	q.do(func() {
-		if q.own() != ownDescriptors+controlDescriptors {
-			t.Errorf("%d descriptors", q.own())
+	q := startProxy(t, controlled)
+	q.onLoop(func() {
+		if q.reservedDescriptors() != baseDescriptors+controlDescriptors {
+			t.Errorf("%d descriptors", q.reservedDescriptors())
 		}
 	})
 }
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -21,7 +21,7 @@
 // holds the loop until the other is done, so that the verdict is the same on a busy machine.
 
 // until waits in a held turn for what others do meanwhile.
-func until(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -32,9 +32,9 @@
 }
 
 // dialling is the connection to a backend that is not up yet, if there is one.
-func (p *Proxy) dialling(name string) *link {
-	for l := range p.backends.links {
-		if l.to.name == name && !l.up && l.relay != nil {
+func (p *Proxy) dialling(name string) *backendConn {
+	for l := range p.backends.conns {
+		if l.backend.name == name && !l.connected && l.relay != nil {
 			return l
 		}
 	}
@@ -45,33 +45,33 @@
 // then, it would be a second run that no backend knows for a repeat.
 func TestWindowPassesWhileDialling(t *testing.T) {
 	t.Parallel()
-	first, second := newToy(t, fall), newToy(t, ok)
+	first, second := newFakeBackend(t, resetConn), newFakeBackend(t, echo)
 	const window = 1.0
-	l := config(listing(1, true, ready("s-1", first)), nil, strings.Replace(settingsText, `"key_scope": "cell", "window_ms": 5000`,
+	l := testConfig(endpointList(1, true, readyEndpoint("s-1", first)), nil, strings.Replace(settingsText, `"key_scope": "cell", "window_ms": 5000`,
 		`"key_scope": "cell", "window_ms": 1000`, 1))
 	p, err := New(l)
 	if err != nil {
 		t.Fatal(err)
 	}
-	both := decode(t, listing(2, true, ready("s-1", first), ready("s-2", second)))
+	both := parseUpdate(t, endpointList(2, true, readyEndpoint("s-1", first), readyEndpoint("s-2", second)))
 	var held atomic.Bool
 	told := false
-	r := runHeld(t, p, func() {
+	r := runProxyWithHook(t, p, func() {
 		if !told && len(p.commands) > 0 { // it went to the one that fails: the other is listed only now
 			told = true
 			p.applyEndpoints(both)
 		}
 		if l := p.dialling("s-2"); l != nil && !held.Load() {
 			held.Store(true)
-			until(t, "the window's end", func() bool { return float64(time.Now().UnixMicro())/1e6 > l.relay.cmd.relays[0].sent+window })
+			waitUntil(t, "the window's end", func() bool { return float64(time.Now().UnixMicro())/1e6 > l.relay.cmd.relays[0].sentAt+window })
 		}
 	})
-	status, _, _ := r.caller(t).ask(text("order", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n"))
-	r.end()
-	if err := <-r.ended; err != nil {
+	status, _, _ := r.dial(t).roundTrip(requestText("order", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n"))
+	r.requestShutdown()
+	if err := <-r.runResult; err != nil {
 		t.Error(err)
 	}
-	r.ended <- nil
+	r.runResult <- nil
 	if !held.Load() || status != 502 || first.commands.Load() != 1 || second.commands.Load() != 0 {
 		t.Errorf("held %t, status %d, ran %d and %d times", held.Load(), status, first.commands.Load(), second.commands.Load())
 	}
@@ -80,9 +80,9 @@
 // ---- The watch.
 
 // on is a stand-in for discovery that does with each watch what its story says; the head, too, is the story's.
-func on(t *testing.T, story func(n int, c net.Conn, r *http.Request)) (net.Listener, chan string) {
+func newWatchServer(t *testing.T, story func(n int, c net.Conn, r *http.Request)) (net.Listener, chan string) {
 	asked := make(chan string, 100)
-	return newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+	return newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 		asked <- r.RequestURI
 		story(int(b.commands.Load()), c, r)
 	}), asked
@@ -90,7 +90,7 @@
 
 const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func wants(t *testing.T, asked chan string, uri string) {
+func wantWatchRequest(t *testing.T, asked chan string, uri string) {
 	t.Helper()
 	select {
 	case got := <-asked:
@@ -104,33 +104,33 @@
 
 func TestOnlyWholeLinesKeepAWatch(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
+	b := newFakeBackend(t, echo)
 	step := make(chan string)
-	d, asked := on(t, func(n int, c net.Conn, _ *http.Request) {
+	d, asked := newWatchServer(t, func(n int, c net.Conn, _ *http.Request) {
 		io.WriteString(c, chunkedHead)
 		for text := range step {
-			chunk(c, text)
+			writeChunk(c, text)
 		}
 		c.Read(make([]byte, 1))
 	})
-	p := run(t, launch(t, 200, listing(3, true, ready("s-b", b)), d))
-	wants(t, asked, "/api/targets?follow=1&since=3")
+	p := runProxy(t, newTestProxy(t, 200, endpointList(3, true, readyEndpoint("s-b", b)), d))
+	wantWatchRequest(t, asked, "/api/targets?follow=1&since=3")
 	dead := func() (at, now float64) {
-		p.do(func() { at, now = p.watch.DeadAt(), p.loop.Now() })
+		p.onLoop(func() { at, now = p.watch.DeadAt(), p.loop.Now() })
 		return at, now
 	}
 	says := func(text string) {
 		held := 0
-		p.do(func() { held = p.watch.BodyBytes() })
+		p.onLoop(func() { held = p.watch.BodyBytesReceived() })
 		step <- text
-		p.await(t, "the text", func() bool { return p.watch.BodyBytes() > held })
+		p.await(t, "the text", func() bool { return p.watch.BodyBytesReceived() > held })
 	}
 	says("\n")
 	whole, now := dead()
 	if whole > now+3 {
 		t.Errorf("dead in %v s", whole-now)
 	}
-	parts := strings.SplitAfter(listing(4, false, ready("s-c", b)), ",")
+	parts := strings.SplitAfter(endpointList(4, false, readyEndpoint("s-c", b)), ",")
 	for i, part := range parts {
 		says(part)
 		if at, _ := dead(); (at != whole) != (i == len(parts)-1) {
@@ -143,54 +143,54 @@
 // An opening of the watch that hangs, or that is up and brings no head, is given up in time for another.
 func TestWatchThatDoesNotOpen(t *testing.T) {
 	t.Parallel()
-	d, asked := on(t, func(n int, c net.Conn, _ *http.Request) {
+	d, asked := newWatchServer(t, func(n int, c net.Conn, _ *http.Request) {
 		if n > 1 {
 			io.WriteString(c, chunkedHead)
 		}
 		c.Read(make([]byte, 1))
 	})
-	p := run(t, launch(t, 200, "", d))
-	wants(t, asked, "/api/targets?follow=1")
-	p.do(func() {
+	p := runProxy(t, newTestProxy(t, 200, "", d))
+	wantWatchRequest(t, asked, "/api/targets?follow=1")
+	p.onLoop(func() {
 		if left := p.watch.DeadAt() - p.loop.Now(); left > 2 {
 			t.Errorf("%v s for a head", left)
 		}
-		if sweepEvery > 0.25 { // what internal/liveness counts with
-			t.Errorf("looked at every %v s", sweepEvery)
+		if sweepIntervalSeconds > 0.25 { // what internal/liveness counts with
+			t.Errorf("looked at every %v s", sweepIntervalSeconds)
 		}
 	})
-	wants(t, asked, "/api/targets?follow=1")
+	wantWatchRequest(t, asked, "/api/targets?follow=1")
 }
 
 // A part must never stand for the whole: the list would be the one backend that changed.
 func TestChangesBeforeAnyList(t *testing.T) {
 	t.Parallel()
-	a, b := newToy(t, ok), newToy(t, ok)
-	gone := line{"name": "s-a", "status": "gone"}
-	draining := ready("s-b", b)
+	a, b := newFakeBackend(t, echo), newFakeBackend(t, echo)
+	gone := jsonObject{"name": "s-a", "status": "gone"}
+	draining := readyEndpoint("s-b", b)
 	draining["status"] = "draining"
-	first, askedFirst := on(t, func(n int, c net.Conn, _ *http.Request) {
+	first, askedFirst := newWatchServer(t, func(n int, c net.Conn, _ *http.Request) {
 		io.WriteString(c, chunkedHead)
-		chunk(c, listing(7, true, ready("s-a", a), ready("s-b", b))+"\n")
+		writeChunk(c, endpointList(7, true, readyEndpoint("s-a", a), readyEndpoint("s-b", b))+"\n")
 		c.Read(make([]byte, 1))
 	})
-	second, askedSecond := on(t, func(n int, c net.Conn, _ *http.Request) {
+	second, askedSecond := newWatchServer(t, func(n int, c net.Conn, _ *http.Request) {
 		io.WriteString(c, chunkedHead)
 		if n == 1 {
-			chunk(c, listing(2, false, gone)+"\n") // changes, though the whole list was asked for
+			writeChunk(c, endpointList(2, false, gone)+"\n") // changes, though the whole list was asked for
 		} else {
-			chunk(c, listing(3, true, draining)+"\n")
+			writeChunk(c, endpointList(3, true, draining)+"\n")
 		}
 		c.Read(make([]byte, 1))
 	})
-	p := run(t, launch(t, 200, "", first))
-	wants(t, askedFirst, "/api/targets?follow=1")
+	p := runProxy(t, newTestProxy(t, 200, "", first))
+	wantWatchRequest(t, askedFirst, "/api/targets?follow=1")
 	p.await(t, "the list", func() bool { return p.watch.hasList })
-	p.Reload(config("", second, settingsText))
-	wants(t, askedSecond, "/api/targets?follow=1")
-	wants(t, askedSecond, "/api/targets?follow=1") // and not from version 2 on
+	p.Reload(testConfig("", second, settingsText))
+	wantWatchRequest(t, askedSecond, "/api/targets?follow=1")
+	wantWatchRequest(t, askedSecond, "/api/targets?follow=1") // and not from version 2 on
 	p.await(t, "the whole", func() bool { return p.watch.hasList })
-	p.do(func() {
+	p.onLoop(func() {
 		if p.backends.byName["s-a"] != nil || p.backends.byName["s-b"].state != balance.Draining || p.watch.index != 3 {
 			t.Errorf("%v at %d", p.backends.byName, p.watch.index)
 		}
@@ -199,8 +199,8 @@
 
 // An answer with an end is a list, not a watch: it is taken and asked for again, and not ten times a second.
 func TestWatchThatEndsAtOnce(t *testing.T) {
-	b := newToy(t, ok)
-	list := listing(7, true, ready("s-b", b)) + "\n"
+	b := newFakeBackend(t, echo)
+	list := endpointList(7, true, readyEndpoint("s-b", b)) + "\n"
 	for name, answer := range map[string]string{
 		"of a stated length":       fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list),
 		"of no bytes":              "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -208,8 +208,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d, asked := on(t, func(n int, c net.Conn, _ *http.Request) { io.WriteString(c, answer) })
-			p := run(t, launch(t, 200, "", d))
+			d, asked := newWatchServer(t, func(n int, c net.Conn, _ *http.Request) { io.WriteString(c, answer) })
+			p := runProxy(t, newTestProxy(t, 200, "", d))
 			began := time.Time{}
 			for i := range 5 {
 				<-asked
@@ -228,43 +228,43 @@
 // A new configuration crosses what the old discovery still had to say, its loss, and the timer that would open it again.
 func TestReloadCrossesTheOldWatch(t *testing.T) {
 	t.Parallel()
-	a, b := newToy(t, ok), newToy(t, ok)
+	a, b := newFakeBackend(t, echo), newFakeBackend(t, echo)
 	for name, last := range map[string]func(c net.Conn){
-		"its last line": func(c net.Conn) { chunk(c, listing(9, true, ready("s-a", a))+"\n") },
+		"its last line": func(c net.Conn) { writeChunk(c, endpointList(9, true, readyEndpoint("s-a", a))+"\n") },
 		"its end":       func(c net.Conn) { c.Close() },
-		"its reset":     func(c net.Conn) { fall(nil, c, nil) },
+		"its reset":     func(c net.Conn) { resetConn(nil, c, nil) },
 		"its reopening": func(c net.Conn) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			now, done := make(chan bool), make(chan bool)
-			first, askedFirst := on(t, func(n int, c net.Conn, _ *http.Request) {
+			first, askedFirst := newWatchServer(t, func(n int, c net.Conn, _ *http.Request) {
 				io.WriteString(c, chunkedHead)
-				chunk(c, listing(7, true, ready("s-a", a))+"\n")
+				writeChunk(c, endpointList(7, true, readyEndpoint("s-a", a))+"\n")
 				<-now
 				last(c)
 				close(done)
 				c.Read(make([]byte, 1))
 			})
-			second, askedSecond := on(t, func(n int, c net.Conn, _ *http.Request) {
+			second, askedSecond := newWatchServer(t, func(n int, c net.Conn, _ *http.Request) {
 				io.WriteString(c, chunkedHead)
-				chunk(c, listing(1, true, ready("s-b", b))+"\n")
+				writeChunk(c, endpointList(1, true, readyEndpoint("s-b", b))+"\n")
 				c.Read(make([]byte, 1))
 			})
-			p := run(t, launch(t, 200, "", first))
-			wants(t, askedFirst, "/api/targets?follow=1")
+			p := runProxy(t, newTestProxy(t, 200, "", first))
+			wantWatchRequest(t, askedFirst, "/api/targets?follow=1")
 			p.await(t, "the list", func() bool { return p.watch.hasList })
 			// Both in one turn: the old one's last is with the kernel when the configuration is turned to.
-			p.do(func() {
+			p.onLoop(func() {
 				now <- true
 				if <-done; name == "its reopening" {
-					p.watch.Lose(io.EOF)
+					p.watch.Reconnect(io.EOF)
 				}
 				p.watchDiscovery(netip.MustParseAddrPort(second.Addr().String()))
 			})
-			wants(t, askedSecond, "/api/targets?follow=1")
+			wantWatchRequest(t, askedSecond, "/api/targets?follow=1")
 			p.await(t, "the new list", func() bool { return p.watch.index == 1 })
-			p.do(func() {
+			p.onLoop(func() {
 				if p.backends.byName["s-a"] != nil || p.backends.byName["s-b"] == nil || p.watch.Lost {
 					t.Errorf("%v, lost %t", p.backends.byName, p.watch.Lost)
 				}
@@ -284,20 +284,20 @@
 type trap struct {
 	set      atomic.Bool
 	got, cue chan bool
-	of       [2]*toy
+	of       [2]*fakeBackend
 }
 
 func newTrap(t *testing.T) *trap {
 	x := &trap{got: make(chan bool, 9), cue: make(chan bool)}
 	for i := range x.of {
-		x.of[i] = newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+		x.of[i] = newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 			if !x.set.Load() {
-				ok(b, c, r)
+				echo(b, c, r)
 				return
 			}
 			x.got <- true
 			if <-x.cue {
-				fall(b, c, r)
+				resetConn(b, c, r)
 			}
 		})
 	}
@@ -305,17 +305,17 @@
 }
 
 // warmed is a proxy with a connection at rest to each of the two.
-func (x *trap) warmed(t *testing.T) *running {
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", x.of[0]), ready("s-2", x.of[1])), nil))
-	c := p.caller(t)
-	until(t, "connections at rest", func() (both bool) {
-		if status, _, _ := c.ask(text("look")); status != 200 {
+func (x *trap) warmed(t *testing.T) *testProxy {
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", x.of[0]), readyEndpoint("s-2", x.of[1])), nil))
+	c := p.dial(t)
+	waitUntil(t, "connections at rest", func() (both bool) {
+		if status, _, _ := c.roundTrip(requestText("look")); status != 200 {
 			t.Errorf("answered %d", status)
 		}
-		p.do(func() {
+		p.onLoop(func() {
 			both = true
 			for _, b := range p.backends.byName {
-				both = both && len(b.idle) > 0 && p.loop.Now()-b.idle[0].since > aired
+				both = both && len(b.idle) > 0 && p.loop.Now()-b.idle[0].idleSince > reuseDelaySeconds
 			}
 		})
 		return both
@@ -331,23 +331,23 @@
 	t.Parallel()
 	x := newTrap(t)
 	p := x.warmed(t)
-	c, before := p.caller(t), x.commands()
-	io.WriteString(c, text("look"))
+	c, before := p.dial(t), x.commands()
+	io.WriteString(c, requestText("look"))
 	<-x.got
-	p.do(func() {
+	p.onLoop(func() {
 		var cmd *command
 		for _, cmd = range p.commands {
 		}
-		from, l := cmd.from.conn, cmd.relays[0].link.conn
+		from, l := cmd.client.conn, cmd.relays[0].conn.conn
 		x.cue <- true
-		until(t, "the reset", l.Gone)
+		waitUntil(t, "the reset", l.PeerClosed)
 		c.Close()
-		until(t, "the client's end", from.Gone)
+		waitUntil(t, "the client's end", from.PeerClosed)
 		time.Sleep(lateLoop)
 	})
-	p.await(t, "the departure", func() bool { return p.departed == 1 && len(p.commands) == 0 })
+	p.await(t, "the departure", func() bool { return p.departedCount == 1 && len(p.commands) == 0 })
 	close(x.cue)
-	p.settled(t, x.of[:]...)
+	p.awaitBackendsRead(t, x.of[:]...)
 	if ran := x.commands() - before; ran != 1 {
 		t.Errorf("ran %d times", ran)
 	}
@@ -356,23 +356,23 @@
 // A connection to a backend comes up in the turn in which the client's end waits to be read: nothing is written on it.
 func TestClientLeavesAsItsConnectionComesUp(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
-	p := launch(t, 200, listing(1, true, ready("s-1", b)), nil)
-	var c atomic.Pointer[caller]
+	b := newFakeBackend(t, echo)
+	p := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)
+	var c atomic.Pointer[testClient]
 	var held atomic.Bool
-	r := runHeld(t, p, func() {
+	r := runProxyWithHook(t, p, func() {
 		if l := p.dialling("s-1"); l != nil && !held.Load() {
 			held.Store(true)
-			from := l.relay.cmd.from.conn
+			from := l.relay.cmd.client.conn
 			c.Load().Close()
-			until(t, "the client's end", from.Gone)
+			waitUntil(t, "the client's end", from.PeerClosed)
 			time.Sleep(lateLoop)
 		}
 	})
-	c.Store(r.caller(t))
-	io.WriteString(c.Load(), text("look"))
-	r.await(t, "the departure", func() bool { return p.departed == 1 && len(p.commands) == 0 })
-	r.settled(t, b)
+	c.Store(r.dial(t))
+	io.WriteString(c.Load(), requestText("look"))
+	r.await(t, "the departure", func() bool { return p.departedCount == 1 && len(p.commands) == 0 })
+	r.awaitBackendsRead(t, b)
 	if !held.Load() || b.commands.Load() != 0 {
 		t.Errorf("held %t, ran %d times", held.Load(), b.commands.Load())
 	}
@@ -384,15 +384,15 @@
 	x := newTrap(t)
 	p := x.warmed(t)
 	before := x.commands()
-	p.do(func() {
-		c := p.caller(t)
-		io.WriteString(c, text("look"))
+	p.onLoop(func() {
+		c := p.dial(t)
+		io.WriteString(c, requestText("look"))
 		c.Close()
 		time.Sleep(stoodLong)
 	})
-	p.await(t, "the departure", func() bool { return p.departed == 1 && len(p.commands) == 0 })
+	p.await(t, "the departure", func() bool { return p.departedCount == 1 && len(p.commands) == 0 })
 	close(x.cue)
-	p.settled(t, x.of[:]...)
+	p.awaitBackendsRead(t, x.of[:]...)
 	if ran := x.commands() - before; ran != 0 {
 		t.Errorf("ran %d times", ran)
 	}
@@ -406,8 +406,8 @@
 
 // ---- An attempt and the list.
 
-func moves(name string, to net.Listener) line {
-	l := ready(name, to)
+func moves(name string, to net.Listener) jsonObject {
+	l := readyEndpoint(name, to)
 	l["since_ms"] = 5 // long ago, and yet another process
 	return l
 }
@@ -416,17 +416,17 @@
 // answers there may be anybody.
 func TestBackendReplacedWhileDialling(t *testing.T) {
 	t.Parallel()
-	left, now := newToy(t, ok), newToy(t, ok)
-	p := launch(t, 200, listing(1, true, ready("s-1", left)), nil)
-	moved := decode(t, listing(2, false, moves("s-1", now)))
+	left, now := newFakeBackend(t, echo), newFakeBackend(t, echo)
+	p := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", left)), nil)
+	moved := parseUpdate(t, endpointList(2, false, moves("s-1", now)))
 	var held atomic.Bool
-	r := runHeld(t, p, func() {
+	r := runProxyWithHook(t, p, func() {
 		if l := p.dialling("s-1"); l != nil && !held.Load() {
 			held.Store(true)
 			p.applyEndpoints(moved)
 		}
 	})
-	status, _, _ := r.caller(t).ask(text("pay", "Content-Length: 0\r\n"))
+	status, _, _ := r.dial(t).roundTrip(requestText("pay", "Content-Length: 0\r\n"))
 	if !held.Load() || status != 503 || left.commands.Load()+now.commands.Load() != 0 { // there is no other: declined, harmlessly
 		t.Errorf("held %t, status %d, the first ran %d, the second %d", held.Load(), status, left.commands.Load(), now.commands.Load())
 	}
@@ -436,19 +436,19 @@
 func TestBackendReplacedWhileItWorks(t *testing.T) {
 	t.Parallel()
 	finish := make(chan bool)
-	left, now := newToy(t, func(b *toy, c net.Conn, r *http.Request) { <-finish; ok(b, c, r) }), newToy(t, ok)
-	r := run(t, launch(t, 200, listing(1, true, ready("s-1", left)), nil))
-	c := r.caller(t)
-	io.WriteString(c, text("pay", "Content-Length: 0\r\n"))
-	until(t, "the command", func() bool { return left.commands.Load() == 1 })
-	moved := decode(t, listing(2, false, moves("s-1", now)))
-	r.do(func() { r.applyEndpoints(moved) })
+	left, now := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) { <-finish; echo(b, c, r) }), newFakeBackend(t, echo)
+	r := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", left)), nil))
+	c := r.dial(t)
+	io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
+	waitUntil(t, "the command", func() bool { return left.commands.Load() == 1 })
+	moved := parseUpdate(t, endpointList(2, false, moves("s-1", now)))
+	r.onLoop(func() { r.applyEndpoints(moved) })
 	close(finish)
-	if status, _, _ := c.read(); status != 200 {
+	if status, _, _ := c.readAnswer(); status != 200 {
 		t.Errorf("the first answered %d", status)
 	}
-	time.Sleep(2 * aired * 1e9)
-	if status, _, _ := c.ask(text("pay", "Content-Length: 0\r\n")); status != 200 || left.commands.Load() != 1 || now.commands.Load() != 1 {
+	time.Sleep(2 * reuseDelaySeconds * 1e9)
+	if status, _, _ := c.roundTrip(requestText("pay", "Content-Length: 0\r\n")); status != 200 || left.commands.Load() != 1 || now.commands.Load() != 1 {
 		t.Errorf("status %d, the first ran %d, the second %d", status, left.commands.Load(), now.commands.Load())
 	}
 }
@@ -459,13 +459,13 @@
 // its time limit, and must see that it is not whole.
 func TestAnswerThatNeverEnds(t *testing.T) {
 	t.Parallel()
-	if endlessFrom >= 0.5 {
-		t.Errorf("cut %v s past the limit, where half a second is lost", endlessFrom)
+	if endlessCutoffSeconds >= 0.5 {
+		t.Errorf("cut %v s past the limit, where half a second is lost", endlessCutoffSeconds)
 	}
 	for name, head := range map[string]string{"in chunks": chunkedHead, "to the end": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newToy(t, func(_ *toy, c net.Conn, _ *http.Request) {
+			b := newFakeBackend(t, func(_ *fakeBackend, c net.Conn, _ *http.Request) {
 				piece := "drip"
 				if head == chunkedHead {
 					piece = "4\r\ndrip\r\n"
@@ -474,9 +474,9 @@
 					time.Sleep(20 * time.Millisecond)
 				}
 			})
-			c := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil)).caller(t)
+			c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
 			began := time.Now()
-			status, text, _ := c.ask(strings.Replace(text("look"), "2.5", "0.8", 1))
+			status, text, _ := c.roundTrip(strings.Replace(requestText("look"), "2.5", "0.8", 1))
 			if took := time.Since(began).Seconds(); status != 0 || took < 0.7 || took > 4 {
 				t.Errorf("status %d, %q after %.2f s", status, text, took)
 			}
@@ -488,8 +488,8 @@
 // cut while its backend gives it.
 func TestLongAnswerThatBeginsJustInTime(t *testing.T) {
 	t.Parallel()
-	body, begin := filling(120<<10), make(chan bool)
-	b := newToy(t, func(_ *toy, c net.Conn, _ *http.Request) {
+	body, begin := numberedBody(120<<10), make(chan bool)
+	b := newFakeBackend(t, func(_ *fakeBackend, c net.Conn, _ *http.Request) {
 		<-begin
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		for at := 0; at < len(body); at += 4 << 10 {
@@ -498,9 +498,9 @@
 		}
 		c.Close()
 	})
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-	c := p.caller(t)
-	io.WriteString(c, strings.Replace(text("pay", "Content-Length: 0\r\n"), "2.5", "1.0", 1))
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+	c := p.dial(t)
+	io.WriteString(c, strings.Replace(requestText("pay", "Content-Length: 0\r\n"), "2.5", "1.0", 1))
 	p.await(t, "its time is nearly up", func() bool {
 		for _, cmd := range p.commands {
 			return cmd.expires-p.loop.Now() < 0.2 // and 0.25 s is when such an answer goes on as it comes
@@ -508,7 +508,7 @@
 		return false
 	})
 	close(begin)
-	if status, got, _ := c.read(); status != 200 || got != string(body) {
+	if status, got, _ := c.readAnswer(); status != 200 || got != string(body) {
 		t.Errorf("status %d, %d bytes", status, len(got))
 	}
 }
@@ -519,26 +519,26 @@
 // from then on, and only its first line says that the known list is old.
 func TestNothingGoesByTheKnownListBeforeDiscoverySpoke(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
+	b := newFakeBackend(t, echo)
 	say := make(chan bool)
-	draining := ready("s-1", b)
+	draining := readyEndpoint("s-1", b)
 	draining["status"] = "draining"
-	d, asked := on(t, func(n int, c net.Conn, _ *http.Request) {
+	d, asked := newWatchServer(t, func(n int, c net.Conn, _ *http.Request) {
 		io.WriteString(c, chunkedHead)
 		<-say
-		chunk(c, listing(7, true, draining)+"\n")
+		writeChunk(c, endpointList(7, true, draining)+"\n")
 		c.Read(make([]byte, 1))
 	})
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), d))
-	wants(t, asked, "/api/targets?follow=1&since=1")
-	p.do(func() { p.freshBy += 60 }) // however slow the machine is
-	c := p.caller(t)
-	if status, text, h := c.ask(text("look")); status != 503 || h.Get("Connection") == "close" {
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), d))
+	wantWatchRequest(t, asked, "/api/targets?follow=1&since=1")
+	p.onLoop(func() { p.discoveryDeadline += 60 }) // however slow the machine is
+	c := p.dial(t)
+	if status, text, h := c.roundTrip(requestText("look")); status != 503 || h.Get("Connection") == "close" {
 		t.Errorf("%d %s %v before the list", status, text, h)
 	}
 	close(say)
 	p.await(t, "the list is there", func() bool { return p.watch.Received })
-	if status, _, _ := c.ask(text("look")); status != 503 || b.commands.Load() != 0 {
+	if status, _, _ := c.roundTrip(requestText("look")); status != 503 || b.commands.Load() != 0 {
 		t.Errorf("%d with nobody but one that drains, which ran %d", status, b.commands.Load())
 	}
 }
@@ -546,12 +546,12 @@
 // Discovery that is silent or not there at a start is not waited for: the known list will do.
 func TestAStartWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
-	silent, _ := on(t, func(_ int, c net.Conn, _ *http.Request) { c.Read(make([]byte, 1)) })
+	b := newFakeBackend(t, echo)
+	silent, _ := newWatchServer(t, func(_ int, c net.Conn, _ *http.Request) { c.Read(make([]byte, 1)) })
 	for name, d := range map[string]net.Listener{"silent": silent, "not there": nil} {
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), d))
-		p.await(t, "it may serve", func() bool { return p.loop.Now() > p.freshBy || p.watch.Lost })
-		if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), d))
+		p.await(t, "it may serve", func() bool { return p.loop.Now() > p.discoveryDeadline || p.watch.Lost })
+		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Errorf("%s: %d", name, status)
 		}
 	}
@@ -561,28 +561,28 @@
 // once discovery is back, and who has something to say is served.
 func TestIdleClientsFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
+	b := newFakeBackend(t, echo)
 	place, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	place.Close() // nobody listens there for now
-	p := run(t, launch(t, 60, "", place))
+	p := runProxy(t, newTestProxy(t, 60, "", place))
 	for range 150 {
-		p.caller(t)
+		p.dial(t)
 	}
-	p.await(t, "the clients' descriptors are full", func() bool { return p.clients.count == p.clients.most })
-	newToyAt(t, place.Addr().String(), func(_ *toy, c net.Conn, _ *http.Request) {
+	p.await(t, "the clients' descriptors are full", func() bool { return p.clients.count == p.clients.limit })
+	newFakeBackendAt(t, place.Addr().String(), func(_ *fakeBackend, c net.Conn, _ *http.Request) {
 		io.WriteString(c, chunkedHead)
-		chunk(c, listing(7, true, ready("s-1", b))+"\n")
+		writeChunk(c, endpointList(7, true, readyEndpoint("s-1", b))+"\n")
 		c.Read(make([]byte, 1))
 	})
 	p.await(t, "it is ready", p.ready)
-	if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+	if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 		t.Errorf("answered %d", status)
 	}
-	p.do(func() {
-		if open := p.clients.count + len(p.backends.links) + ownDescriptors; open > 60 {
+	p.onLoop(func() {
+		if open := p.clients.count + len(p.backends.conns) + baseDescriptors; open > 60 {
 			t.Errorf("%d descriptors", open)
 		}
 	})
@@ -592,20 +592,20 @@
 // answer may go with it.
 func TestALastAnswerIsNotReset(t *testing.T) {
 	t.Parallel()
-	p := run(t, launch(t, 200, "", nil))
-	c := p.caller(t)
+	p := runProxy(t, newTestProxy(t, 200, "", nil))
+	c := p.dial(t)
 	io.WriteString(c, "NOISE\r\n")
-	p.await(t, "the answer is given", func() bool { return p.clients.in[closing].Len() == 1 })
-	p.do(func() {
-		x := p.clients.in[closing].Front().Value.(*client)
+	p.await(t, "the answer is given", func() bool { return p.clients.byState[stateClosing].Len() == 1 })
+	p.onLoop(func() {
+		x := p.clients.byState[stateClosing].Front().Value.(*clientConn)
 		x.since -= 1
 		io.WriteString(c, "more of it")
-		until(t, "the noise", func() bool { return !x.conn.Quiet() })
-		if p.makeWay() {
+		waitUntil(t, "the noise", func() bool { return !x.conn.IsIdle() })
+		if p.evictClient() {
 			t.Error("it was closed over what is unread")
 		}
 	})
-	if status, _, _ := c.read(); status != 400 {
+	if status, _, _ := c.readAnswer(); status != 400 {
 		t.Errorf("answered %d", status)
 	}
 }
@@ -615,9 +615,9 @@
 // A list of any bytes, cut or changed at any byte, ends the watch or is read; what was known stays unless a whole list says
 // otherwise.
 func TestListsOfAnyBytes(t *testing.T) {
-	b := newToy(t, ok)
-	p := launch(t, 200, listing(1, true, ready("s-1", b)), nil)
-	good := listing(7, false, ready("s-2", b), line{"name": "s-3", "status": "gone"}) + "\n"
+	b := newFakeBackend(t, echo)
+	p := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)
+	good := endpointList(7, false, readyEndpoint("s-2", b), jsonObject{"name": "s-3", "status": "gone"}) + "\n"
 	for _, junk := range []string{"", "\x00", "}", "]", "\"", "\n", "{", "9", "\xff\xfe", ",", "null", "[[[["} {
 		for i := range len(good) {
 			w := &p.watch
@@ -633,7 +633,7 @@
 				}
 				text = text[n:]
 			}
-			if x := p.backends.byName["s-1"]; x == nil || x.state != balance.Ready || p.backends.usable < 1 {
+			if x := p.backends.byName["s-1"]; x == nil || x.state != balance.Ready || p.backends.readyCount < 1 {
 				t.Fatalf("%q at %d: what was known is gone", junk, i)
 			}
 		}
@@ -653,7 +653,7 @@
 		for key, value := range at {
 			delete(at, key)
 			text, _ := json.Marshal(whole)
-			if err := Check(config("", nil, string(text))); err == nil {
+			if err := Check(testConfig("", nil, string(text))); err == nil {
 				taken++
 			} else if refused++; !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("without %s.%s: %v", path, key, err)
@@ -684,31 +684,31 @@
 func TestResetWhileTheClientDoesNotRead(t *testing.T) {
 	t.Parallel()
 	cut := make(chan bool)
-	b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+	b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
-		block := filling(1 << 20)
+		block := numberedBody(1 << 20)
 		c.SetWriteDeadline(time.Now().Add(time.Second)) // until nobody takes any more
 		for _, err := c.Write(block); err == nil; _, err = c.Write(block) {
 		}
 		<-cut
-		fall(b, c, r)
+		resetConn(b, c, r)
 	})
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
 	for name, old := range map[string]string{"HTTP/1.1": "HTTP/1.1", "HTTP/1.0": "HTTP/1.0"} {
-		c := p.caller(t)
-		io.WriteString(c, strings.Replace(text("pay", "Content-Length: 0\r\n"), "HTTP/1.1", old, 1))
-		var l *link
+		c := p.dial(t)
+		io.WriteString(c, strings.Replace(requestText("pay", "Content-Length: 0\r\n"), "HTTP/1.1", old, 1))
+		var l *backendConn
 		p.await(t, "the answer waits for its client", func() bool {
-			for x := range p.backends.links {
-				if x.waits {
+			for x := range p.backends.conns {
+				if x.readPaused {
 					l = x
 				}
 			}
 			return l != nil
 		})
 		cut <- true
-		p.await(t, "the reset", func() bool { return l.conn.Gone() || !l.conn.Quiet() })
-		if status, got, _ := c.read(); status == 200 {
+		p.await(t, "the reset", func() bool { return l.conn.PeerClosed() || !l.conn.IsIdle() })
+		if status, got, _ := c.readAnswer(); status == 200 {
 			t.Errorf("%s: %d bytes passed for whole", name, len(got))
 		}
 	}
@@ -723,32 +723,32 @@
 	t.Parallel()
 	held, end := make(chan bool, 1), make(chan bool)
 	var whole atomic.Int64
-	b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+	b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 		io.WriteString(c, chunkedHead)
 		for piece, full := strings.Repeat("x", 16<<10), false; !full; {
-			chunk(c, piece)
+			writeChunk(c, piece)
 			whole.Add(16 << 10)
 			select {
 			case full = <-held:
 			case <-time.After(time.Millisecond):
 			}
 		}
-		chunk(c, "the last")
+		writeChunk(c, "the last")
 		io.WriteString(c, "0\r\n\r\n")
 		raw, _ := c.(*net.TCPConn).SyscallConn()
-		until(t, "all is with the proxy's kernel", func() (sent bool) {
+		waitUntil(t, "all is with the proxy's kernel", func() (sent bool) {
 			raw.Control(func(fd uintptr) { n, err := unix.IoctlGetInt(int(fd), unix.TIOCOUTQ); sent = err == nil && n == 0 })
 			return sent
 		})
-		fall(b, c, r)
+		resetConn(b, c, r)
 		end <- true
 	})
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-	c := p.caller(t)
-	io.WriteString(c, text("pay", "Content-Length: 0\r\n"))
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+	c := p.dial(t)
+	io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
 	p.await(t, "the answer waits for its client", func() bool {
-		for l := range p.backends.links {
-			if l.waits {
+		for l := range p.backends.conns {
+			if l.readPaused {
 				return true
 			}
 		}
@@ -756,7 +756,7 @@
 	})
 	held <- true
 	<-end
-	if status, got, _ := c.read(); status != 200 || int64(len(got)) != whole.Load()+int64(len("the last")) {
+	if status, got, _ := c.readAnswer(); status != 200 || int64(len(got)) != whole.Load()+int64(len("the last")) {
 		t.Errorf("%d, %d bytes of %d", status, len(got), whole.Load())
 	}
 }
@@ -765,17 +765,17 @@
 // never sent on, and its client is told by the end, not by a reset.
 func TestSecondCommandBehindAnAnswerThatSaysClose(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-	c := p.caller(t)
-	p.do(func() {
-		p.drain = drain{on: true, since: p.loop.Now() - drainNotice}
-		io.WriteString(c, text("pay", "Content-Length: 0\r\n")+text("pay", "Content-Length: 0\r\n"))
+	b := newFakeBackend(t, echo)
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+	c := p.dial(t)
+	p.onLoop(func() {
+		p.drain = drain{active: true, startedAt: p.loop.Now() - drainNoticeSeconds}
+		io.WriteString(c, requestText("pay", "Content-Length: 0\r\n")+requestText("pay", "Content-Length: 0\r\n"))
 	})
-	if status, _, h := c.read(); status != 200 || h.Get("Connection") != "close" {
+	if status, _, h := c.readAnswer(); status != 200 || h.Get("Connection") != "close" {
 		t.Errorf("the first: %d %v", status, h)
 	}
-	if status, why, _ := c.read(); status != 0 || !strings.Contains(why, "EOF") || b.commands.Load() != 1 {
+	if status, why, _ := c.readAnswer(); status != 0 || !strings.Contains(why, "EOF") || b.commands.Load() != 1 {
 		t.Errorf("the second: %d %s; %d were sent on", status, why, b.commands.Load())
 	}
 }
@@ -784,23 +784,23 @@
 // sent on, and its client, which has had no byte, sends it again.
 func TestARequestCrossesTheCloseOfItsConnection(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-	c := p.caller(t)
-	if status, _, _ := c.ask(text("look")); status != 200 {
+	b := newFakeBackend(t, echo)
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+	c := p.dial(t)
+	if status, _, _ := c.roundTrip(requestText("look")); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
-	p.await(t, "it rests", func() bool { return p.clients.in[rested].Len() == 1 })
-	p.do(func() {
-		x := p.clients.in[rested].Front().Value.(*client)
+	p.await(t, "it rests", func() bool { return p.clients.byState[stateIdle].Len() == 1 })
+	p.onLoop(func() {
+		x := p.clients.byState[stateIdle].Front().Value.(*clientConn)
 		if !x.idle() {
 			t.Error("it does not rest")
 		}
-		io.WriteString(c, text("pay", "Content-Length: 0\r\n"))
-		until(t, "the request", func() bool { return !x.conn.Quiet() })
+		io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
+		waitUntil(t, "the request", func() bool { return !x.conn.IsIdle() })
 		x.close()
 	})
-	if status, why, _ := c.read(); status != 0 || b.commands.Load() != 1 {
+	if status, why, _ := c.readAnswer(); status != 0 || b.commands.Load() != 1 {
 		t.Errorf("%d %s, %d were sent on", status, why, b.commands.Load())
 	}
 }
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -55,17 +55,17 @@
 
 // handover is where this process stands between the one before and the one after.
 type handover struct {
-	path        string              // of the Unix socket; empty where there is no inherited listener
-	listener    *loop.Listener      // where the next version comes
-	predecessor *otherProcess       // the process whose place this one takes, while it lives
-	successor   *otherProcess       // the one that takes this one's place, while it lives
-	met         bool                // nothing is handed over any more
-	serving     bool                // clients are accepted, or were
-	succeeded   bool                // the one after serves
-	since       float64             // when that began
-	asked       int                 // calls sent to the other
-	waits       map[int]func(error) // for what it has done of these
-	setMemory   func(bytes int64)
+	path            string              // of the Unix socket; empty where there is no inherited listener
+	listener        *loop.Listener      // where the next version comes
+	predecessor     *otherProcess       // the process whose place this one takes, while it lives
+	successor       *otherProcess       // the one that takes this one's place, while it lives
+	done            bool                // nothing is handed over any more
+	serving         bool                // clients are accepted, or were
+	successorServes bool                // the one after serves
+	since           float64             // when that began
+	asked           int                 // calls sent to the other
+	waits           map[int]func(error) // for what it has done of these
+	setMemory       func(bytes int64)
 }
 
 // otherProcess is the predecessor or the successor.
@@ -76,7 +76,7 @@
 }
 
 // inherited decodes what names the descriptor of the listener, -1 if nothing does.
-func inherited(text string) (int, error) {
+func parseSocketFD(text string) (int, error) {
 	if text == "" {
 		return -1, nil
 	}
@@ -88,15 +88,15 @@
 }
 
 // OnMemory has f called with how much memory the process may use, now and when that changes; before Run.
-func (p *Proxy) OnMemory(f func(bytes int64)) {
+func (p *Proxy) OnMemoryLimit(f func(bytes int64)) {
 	p.handover.setMemory = f
-	p.useMemory(1)
+	p.limitMemory(1)
 }
 
 // useMemory has the process keep to a part of the memory that the configuration allows.
-func (p *Proxy) useMemory(part float64) {
-	if bytes := part * float64(p.launch.Limits.MemoryMB) * (1 << 20); bytes > 0 {
-		p.loop.Most = int(bufferPart * bytes)
+func (p *Proxy) limitMemory(part float64) {
+	if bytes := part * float64(p.startConfig.Limits.MemoryMB) * (1 << 20); bytes > 0 {
+		p.loop.MaxBufferBytes = int(readBufferShare * bytes)
 		if p.handover.setMemory != nil {
 			p.handover.setMemory(int64(bytes))
 		}
@@ -104,10 +104,10 @@
 }
 
 // meetPredecessor looks for a running process. Without one, or where it has nothing to say, this one serves at once.
-func (p *Proxy) meetPredecessor() {
+func (p *Proxy) beginHandover() {
 	h := &p.handover
 	if h.path == "" {
-		h.met, h.serving = true, true
+		h.done, h.serving = true, true
 		p.control.Open()
 		return
 	}
@@ -118,9 +118,9 @@
 func (p *Proxy) dialPredecessor(until float64) {
 	h := &p.handover
 	m := &otherProcess{p: p}
-	conn, err := p.loop.DialAt(h.path, m, handoverMessageMost)
-	if loop.Transient(err) && p.loop.Now() < until {
-		p.loop.After(soon, func() { p.dialPredecessor(until) })
+	conn, err := p.loop.DialUnix(h.path, m, handoverMessageMost)
+	if loop.IsTransient(err) && p.loop.Now() < until {
+		p.loop.After(pollIntervalSeconds, func() { p.dialPredecessor(until) })
 		return
 	}
 	if err != nil {
@@ -130,9 +130,9 @@
 		return
 	}
 	m.conn, h.predecessor = conn, m
-	p.useMemory(pairMemory)
+	p.limitMemory(pairMemory)
 	p.loop.After(meetWithin, func() {
-		if h.predecessor == m && !h.met {
+		if h.predecessor == m && !h.done {
 			log.Printf("msg=handover_silent")
 			m.lost(errors.New("no handover in time"))
 		}
@@ -142,10 +142,10 @@
 // handed ends the wait for a handover.
 func (p *Proxy) handed() {
 	h := &p.handover
-	if h.met {
+	if h.done {
 		return
 	}
-	h.met = true
+	h.done = true
 	began := p.loop.Now()
 	if h.predecessor != nil {
 		p.serveSoon(began)
@@ -154,8 +154,8 @@
 
 // serveSoon accepts as soon as what comes can be relayed, or by the time that somebody must.
 func (p *Proxy) serveSoon(began float64) {
-	if now := p.loop.Now(); p.handover.predecessor != nil && !(p.listed() && p.control.Settled()) && now < began+serveWithin {
-		p.loop.After(soon, func() { p.serveSoon(began) })
+	if now := p.loop.Now(); p.handover.predecessor != nil && !(p.canRelay() && p.control.Idle()) && now < began+serveWithin {
+		p.loop.After(pollIntervalSeconds, func() { p.serveSoon(began) })
 		return
 	}
 	p.serve()
@@ -168,11 +168,11 @@
 		return
 	}
 	h.serving = true
-	p.listener.Take()
+	p.listener.Resume()
 	p.control.Open()
 	p.expectNext()
 	if h.predecessor != nil {
-		p.useSockets(p.launch.Limits.Sockets / 2)
+		p.useSockets(p.startConfig.Limits.Sockets / 2)
 		h.predecessor.send(handoverMessage{Kind: "serving"})
 	}
 	log.Printf("msg=accepting successor=%t ready=%t", h.predecessor != nil, p.ready())
@@ -181,7 +181,7 @@
 
 // rejoinPeers takes the address for messages once the process before has let it go.
 func (p *Proxy) rejoinPeers() {
-	if len(p.peers.at) > 0 && p.peers.sock == nil && !p.handover.succeeded && p.joinPeers(p.peers) != nil {
+	if len(p.peers.addrs) > 0 && p.peers.socket == nil && !p.handover.successorServes && p.applyPeers(p.peers) != nil {
 		p.loop.After(lookEvery, p.rejoinPeers)
 	}
 }
@@ -189,24 +189,26 @@
 // expectNext has the next version come here, as soon as the system has what that needs.
 func (p *Proxy) expectNext() {
 	h := &p.handover
-	if h.succeeded || h.listener != nil {
+	if h.successorServes || h.listener != nil {
 		return
 	}
 	var err error
-	h.listener, err = p.loop.ListenAt(h.path, handoverMessageMost, func(conn *loop.Conn) loop.Handler {
+	h.listener, err = p.loop.ListenUnix(h.path, handoverMessageMost, func(conn *loop.Conn) loop.Handler {
 		return &otherProcess{p: p, conn: conn, up: true}
 	})
 	if err != nil {
 		h.listener = nil
 		log.Printf("msg=no_handover error=%q", err) // the proxy serves all the same
 	}
-	if loop.Transient(err) {
-		p.loop.After(soon, p.expectNext)
+	if loop.IsTransient(err) {
+		p.loop.After(pollIntervalSeconds, p.expectNext)
 	}
 }
 
 // useSockets has the process keep to so many descriptors.
-func (p *Proxy) useSockets(n int) { p.share(max(n, p.own()+ownDescriptors)) }
+func (p *Proxy) useSockets(n int) {
+	p.divideDescriptors(max(n, p.reservedDescriptors()+baseDescriptors))
+}
 
 func (m *otherProcess) send(w handoverMessage) {
 	w.Version = handoverVersion
@@ -214,14 +216,14 @@
 	m.conn.Write(append(text, '\n'))
 }
 
-func (m *otherProcess) Up(*loop.Conn) {
+func (m *otherProcess) OnConnect(*loop.Conn) {
 	m.up = true
 	m.send(handoverMessage{Kind: "hello"})
 }
 
-func (m *otherProcess) Flushed(*loop.Conn) {}
+func (m *otherProcess) OnFlushed(*loop.Conn) {}
 
-func (m *otherProcess) Down(_ *loop.Conn, err error) { m.lost(err) }
+func (m *otherProcess) OnDisconnect(_ *loop.Conn, err error) { m.lost(err) }
 
 // lost says that the other process is gone, or is to count as that: all that was shared falls to this one.
 func (m *otherProcess) lost(err error) {
@@ -236,10 +238,10 @@
 	case h.successor:
 		h.successor = nil
 		p.control.Resume()
-		log.Printf("msg=successor_gone error=%q served=%t", err, h.succeeded)
-		if h.succeeded && !p.end.on {
-			h.succeeded = false
-			p.listener.Take()
+		log.Printf("msg=successor_gone error=%q served=%t", err, h.successorServes)
+		if h.successorServes && !p.shutdown.active {
+			h.successorServes = false
+			p.listener.Resume()
 			p.expectNext()
 			p.rejoinPeers()
 		}
@@ -251,22 +253,22 @@
 		h.answered(n, nil)
 	}
 	if h.predecessor == nil && h.successor == nil {
-		p.useMemory(1)
-		p.useSockets(p.launch.Limits.Sockets)
+		p.limitMemory(1)
+		p.useSockets(p.startConfig.Limits.Sockets)
 	}
 }
 
-func (m *otherProcess) Data(c *loop.Conn) {
+func (m *otherProcess) OnData(c *loop.Conn) {
 	for {
-		end := bytes.IndexByte(c.In(), '\n')
+		end := bytes.IndexByte(c.Unconsumed(), '\n')
 		if end < 0 {
-			if c.Full() {
+			if c.ReadBufferFull() {
 				m.lost(errors.New("a line without end"))
 			}
 			return
 		}
 		var w handoverMessage
-		err := json.Unmarshal(c.In()[:end], &w)
+		err := json.Unmarshal(c.Unconsumed()[:end], &w)
 		if err == nil && w.Version != handoverVersion {
 			err = fmt.Errorf("version %d is unknown", w.Version)
 		}
@@ -295,21 +297,21 @@
 		}
 		h.successor = m
 		p.control.Pause() // what is saved by now is what the other starts with
-		p.useMemory(pairMemory)
+		p.limitMemory(pairMemory)
 		m.send(p.handoverState())
 		p.loop.After(takeOverWithin, func() {
-			if h.successor == m && !h.succeeded {
+			if h.successor == m && !h.successorServes {
 				m.lost(errors.New("it does not serve"))
 			}
 		})
 	case "state":
-		p.control.Reread() // the predecessor may have saved a newer configuration since this process started
+		p.control.ReloadSaved() // the predecessor may have saved a newer configuration since this process started
 		p.takeOver(w, 0)
-		log.Printf("msg=handed_over backends=%d left_out=%d drained=%t", p.backends.usable, len(p.maintenance.Out), w.Drained)
+		log.Printf("msg=handed_over backends=%d left_out=%d drained=%t", p.backends.readyCount, len(p.maintenance.Cordoned), w.Drained)
 	case "serving":
 		p.giveWay(m)
 	case "holds":
-		p.useSockets(p.launch.Limits.Sockets - w.Sockets)
+		p.useSockets(p.startConfig.Limits.Sockets - w.Sockets)
 	case "call":
 		log.Printf("msg=ops call=%s id=%q told=true", w.Call, w.ID)
 		p.operate(w.Call, w.ID)
@@ -338,12 +340,12 @@
 	l := &endpointUpdate{Index: p.watch.index, Snapshot: true}
 	for _, t := range p.backends.byName {
 		if t.listed.State != balance.Gone {
-			l.Endpoints = append(l.Endpoints, endpoint{Name: t.name, Address: t.at.String(), Zone: p.names.Zones[t.listed.Zone],
-				Group: t.listed.Cell, Status: names[t.listed.State], Weight: t.listed.Size, SinceMs: t.since})
+			l.Endpoints = append(l.Endpoints, endpoint{Name: t.name, Address: t.addr.String(), Zone: p.names.Zones[t.listed.Zone],
+				Group: t.listed.Cell, Status: names[t.listed.State], Weight: t.listed.Capacity, SinceMs: t.sinceMs})
 		}
 	}
 	slices.SortFunc(l.Endpoints, func(a, b endpoint) int { return strings.Compare(a.Name, b.Name) })
-	return handoverMessage{Kind: "state", Discovery: p.watch.at.String(), List: l, Maintenance: &p.maintenance, Ages: p.ages(), Drained: p.drain.on}
+	return handoverMessage{Kind: "state", Discovery: p.watch.addr.String(), List: l, Maintenance: &p.maintenance, Ages: p.ages(), Drained: p.drain.active}
 }
 
 // takeOver goes on from the predecessor's state, as it was so many seconds ago. The list's index counts only with the
@@ -355,14 +357,14 @@
 	p.takeAges(w.Ages, w.List, elapsed)
 	if w.List != nil && !w.OldList && !p.watch.Received {
 		p.applyEndpoints(w.List)
-		p.watch.hasList = w.Discovery == p.watch.at.String()
+		p.watch.hasList = w.Discovery == p.watch.addr.String()
 	} else {
 		for _, name := range slices.Sorted(maps.Keys(p.backends.byName)) {
 			p.refreshBackend(name)
 		}
 	}
 	if w.Drained {
-		p.quiesce()
+		p.startDrain()
 	}
 	p.handed()
 }
@@ -370,18 +372,18 @@
 // giveWay leaves new connections to the process after. What is open here is finished.
 func (p *Proxy) giveWay(m *otherProcess) {
 	h := &p.handover
-	if h.successor != m || h.succeeded {
+	if h.successor != m || h.successorServes {
 		return
 	}
-	h.succeeded, h.since = true, p.loop.Now()
-	p.listener.Hold()
+	h.successorServes, h.since = true, p.loop.Now()
+	p.listener.Pause()
 	if h.listener != nil {
-		h.listener.Leave()
+		h.listener.Release()
 		h.listener = nil
 	}
-	if p.peers.sock != nil {
-		p.peers.sock.Close()
-		p.peers.sock = nil
+	if p.peers.socket != nil {
+		p.peers.socket.Close()
+		p.peers.socket = nil
 	}
 	log.Printf("msg=succeeded open=%d clients=%d", len(p.commands), p.clients.count)
 	p.giveWayOn(m)
@@ -390,13 +392,13 @@
 // giveWayOn closes what rests and leaves once nothing is open.
 func (p *Proxy) giveWayOn(m *otherProcess) {
 	h := &p.handover
-	if h.successor != m || p.end.leaving {
+	if h.successor != m || p.shutdown.closingConns {
 		return
 	}
 	t := p.loop.Now() - h.since
-	p.shed(t, shedFrom, shedTo)
-	p.backends.most = min(p.backends.most, max(p.clients.count, len(p.backends.links), 1))
-	m.send(handoverMessage{Kind: "holds", Sockets: p.own() + p.clients.count + p.backends.most})
+	p.closeIdleGradually(t, shedFrom, shedTo)
+	p.backends.maxConns = min(p.backends.maxConns, max(p.clients.count, len(p.backends.conns), 1))
+	m.send(handoverMessage{Kind: "holds", Sockets: p.reservedDescriptors() + p.clients.count + p.backends.maxConns})
 	if t > stayLeast && p.clients.count == 0 && len(p.commands) == 0 {
 		log.Printf("msg=left")
 		p.loop.Stop()
@@ -406,7 +408,7 @@
 }
 
 // others are the processes that must do what operators say as well.
-func (p *Proxy) others() (all []*otherProcess) {
+func (p *Proxy) otherProcesses() (all []*otherProcess) {
 	for _, m := range []*otherProcess{p.handover.predecessor, p.handover.successor} {
 		if m != nil && m.up {
 			all = append(all, m)
@@ -428,7 +430,7 @@
 			then(failed)
 		}
 	}
-	for _, m := range p.others() {
+	for _, m := range p.otherProcesses() {
 		left++
 		p.tellOther(m, what, id, done)
 	}
@@ -457,4 +459,6 @@
 }
 
 // meetAt is the path of the Unix socket for the proxy that listens at this address.
-func meetAt(listen string) string { return filepath.Join(os.TempDir(), "sandpass-"+listen+".sock") }
+func handoverSocketPath(listen string) string {
+	return filepath.Join(os.TempDir(), "sandpass-"+listen+".sock")
+}
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -17,26 +17,26 @@
 )
 
 // inherits is a configuration for a proxy that has a listener of the platform's; the platform keeps its own.
-func inherits(t *testing.T, known string) *Launch {
+func inheritingConfig(t *testing.T, known string) *Config {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close(); os.Remove(meetAt(l.Addr().String())) })
+	t.Cleanup(func() { l.Close(); os.Remove(handoverSocketPath(l.Addr().String())) })
 	raw, _ := l.(*net.TCPListener).SyscallConn()
 	own := -1
 	raw.Control(func(fd uintptr) { own, err = unix.Dup(int(fd)) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := config(known, nil, settingsText)
+	c := testConfig(known, nil, settingsText)
 	c.Listen, c.Ops, c.Socket = l.Addr().String(), "127.0.0.1:0", strconv.Itoa(own)
 	return c
 }
 
 // next is the configuration of a version beside this one.
-func next(t *testing.T, l *Launch, fd int) *Launch {
+func nextVersionConfig(t *testing.T, l *Config, fd int) *Config {
 	t.Helper()
 	own, err := unix.Dup(fd)
 	if err != nil {
@@ -47,25 +47,25 @@
 	return &n
 }
 
-func begin(t *testing.T, l *Launch) *running {
+func startProxy(t *testing.T, l *Config) *testProxy {
 	t.Helper()
 	p, err := New(l)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run(t, p)
+	return runProxy(t, p)
 }
 
 // A stranger at the socket is named and passed over; what only the process before may say is not taken from another.
 func TestStrangers(t *testing.T) {
 	t.Parallel()
-	l := inherits(t, listing(1, true, ready("s-1", newToy(t, ok))))
-	p := begin(t, l)
-	p.want(t, 200, "GET", "/admin/health")
+	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
+	p := startProxy(t, l)
+	p.wantAdminStatus(t, 200, "GET", "/admin/health")
 	for _, says := range []string{"noise\n", `{"v":99,"say":"hello"}` + "\n", strings.Repeat("x", 5<<20),
 		`{"v":1,"say":"call","call":"quiesce"}` + "\n", `{"v":1,"say":"serving"}` + "\n",
 		`{"v":1,"say":"hello"}` + "\n" + `{"v":1,"say":"state","drained":true,"maintenance":{"out":{"s-1":true}}}` + "\n"} {
-		c, err := net.Dial("unix", meetAt(l.Listen))
+		c, err := net.Dial("unix", handoverSocketPath(l.Listen))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,11 +77,11 @@
 		c.Close()
 	}
 	time.Sleep(100 * time.Millisecond)
-	if status, _, h := p.caller(t).ask(text("look")); status != 200 || h.Get("Connection") != "" {
+	if status, _, h := p.dial(t).roundTrip(requestText("look")); status != 200 || h.Get("Connection") != "" {
 		t.Errorf("%d %v after the strangers", status, h)
 	}
-	p.do(func() {
-		if p.drain.on || len(p.maintenance.Out) > 0 || p.handover.successor != nil || p.loop.Most != int(bufferPart*192*(1<<20)) {
+	p.onLoop(func() {
+		if p.drain.active || len(p.maintenance.Cordoned) > 0 || p.handover.successor != nil || p.loop.MaxBufferBytes != int(readBufferShare*192*(1<<20)) {
 			t.Error("strangers changed something")
 		}
 	})
@@ -90,17 +90,17 @@
 // While two live each keeps to a part of the limits; the survivor takes the whole back, whichever that is.
 func TestShares(t *testing.T) {
 	t.Parallel()
-	l := inherits(t, listing(1, true, ready("s-1", newToy(t, ok))))
-	one := begin(t, l)
-	one.want(t, 200, "GET", "/admin/health")
+	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
+	one := startProxy(t, l)
+	one.wantAdminStatus(t, 200, "GET", "/admin/health")
 	fd, _ := strconv.Atoi(l.Socket)
-	held := one.caller(t) // keeps the old one there
-	held.ask(text("look"))
-	two := begin(t, next(t, l, fd))
+	held := one.dial(t) // keeps the old one there
+	held.roundTrip(requestText("look"))
+	two := startProxy(t, nextVersionConfig(t, l, fd))
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 		var serves, gaveWay bool
-		two.do(func() { serves = two.takesClients() })
-		one.do(func() { gaveWay = one.handover.succeeded })
+		two.onLoop(func() { serves = two.acceptsClients() })
+		one.onLoop(func() { gaveWay = one.handover.successorServes })
 		if serves && gaveWay {
 			break
 		}
@@ -109,31 +109,33 @@
 		}
 	}
 	time.Sleep(2 * lookEvery * 1e9)
-	whole := int(bufferPart * 192 * (1 << 20))
+	whole := int(readBufferShare * 192 * (1 << 20))
 	var most, sockets int
-	one.do(func() { most, sockets = one.loop.Most, one.own()+one.clients.count+one.backends.most })
-	two.do(func() {
-		most += two.loop.Most
-		sockets += two.own() + two.clients.most + two.backends.most
+	one.onLoop(func() {
+		most, sockets = one.loop.MaxBufferBytes, one.reservedDescriptors()+one.clients.count+one.backends.maxConns
+	})
+	two.onLoop(func() {
+		most += two.loop.MaxBufferBytes
+		sockets += two.reservedDescriptors() + two.clients.limit + two.backends.maxConns
 	})
 	if most > whole || sockets > 200 {
 		t.Errorf("together %d bytes of %d, %d descriptors of 200", most, whole, sockets)
 	}
 	// A call at either holds in both before its yes.
-	one.want(t, 200, "POST", "/admin/cordon/s-1")
-	two.do(func() {
-		if !two.maintenance.Out["s-1"] {
+	one.wantAdminStatus(t, 200, "POST", "/admin/cordon/s-1")
+	two.onLoop(func() {
+		if !two.maintenance.Cordoned["s-1"] {
 			t.Error("a call at the old one does not hold in the new one")
 		}
 	})
-	if err := <-one.ended; err != nil { // it leaves by itself
+	if err := <-one.runResult; err != nil { // it leaves by itself
 		t.Error(err)
 	}
-	one.ended <- nil
+	one.runResult <- nil
 	time.Sleep(50 * time.Millisecond)
-	two.do(func() {
-		if two.loop.Most != whole || two.own()+two.clients.most+two.backends.most != 200 {
-			t.Errorf("the survivor has %d bytes, %d and %d descriptors", two.loop.Most, two.clients.most, two.backends.most)
+	two.onLoop(func() {
+		if two.loop.MaxBufferBytes != whole || two.reservedDescriptors()+two.clients.limit+two.backends.maxConns != 200 {
+			t.Errorf("the survivor has %d bytes, %d and %d descriptors", two.loop.MaxBufferBytes, two.clients.limit, two.backends.maxConns)
 		}
 	})
 }
@@ -141,32 +143,32 @@
 // A plain planned end on an inherited socket answers what waits there and leaves the socket to others.
 func TestPlainEnd(t *testing.T) {
 	t.Parallel()
-	l := inherits(t, listing(1, true, ready("s-1", newToy(t, ok))))
+	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
 	fd, _ := strconv.Atoi(l.Socket)
-	later := next(t, l, fd)
-	p := begin(t, l)
-	p.want(t, 200, "GET", "/admin/health")
-	p.end()
+	later := nextVersionConfig(t, l, fd)
+	p := startProxy(t, l)
+	p.wantAdminStatus(t, 200, "GET", "/admin/health")
+	p.requestShutdown()
 	for began := time.Now(); time.Since(began) < 400*time.Millisecond; time.Sleep(20 * time.Millisecond) {
-		if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Errorf("%d while connections still come", status)
 		}
 	}
-	if err := <-p.ended; err != nil {
+	if err := <-p.runResult; err != nil {
 		t.Error(err)
 	}
-	p.ended <- nil
+	p.runResult <- nil
 	c, err := net.Dial("tcp", l.Listen)
 	if err != nil {
 		t.Fatalf("the platform's socket is shut: %v", err)
 	}
 	defer c.Close()
-	after := begin(t, later)
+	after := startProxy(t, later)
 	c.SetDeadline(time.Now().Add(2 * time.Second))
-	if status, _, _ := (&caller{c, bufio.NewReader(c)}).ask(text("look")); status != 200 {
+	if status, _, _ := (&testClient{c, bufio.NewReader(c)}).roundTrip(requestText("look")); status != 200 {
 		t.Errorf("%d from the next process, for a connection that waited for it", status)
 	}
-	after.want(t, 200, "GET", "/admin/health")
+	after.wantAdminStatus(t, 200, "GET", "/admin/health")
 }
 
 // A folder that is too deep for a socket's address is reached all the same.
@@ -176,13 +178,13 @@
 		t.Fatal(err)
 	}
 	t.Setenv("TMPDIR", deep)
-	l := inherits(t, listing(1, true, ready("s-1", newToy(t, ok))))
-	one := begin(t, l)
-	one.want(t, 200, "GET", "/admin/health")
+	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
+	one := startProxy(t, l)
+	one.wantAdminStatus(t, 200, "GET", "/admin/health")
 	fd, _ := strconv.Atoi(l.Socket)
-	two := begin(t, next(t, l, fd))
-	two.want(t, 200, "POST", "/admin/resume") // waits for the handover
-	two.do(func() {
+	two := startProxy(t, nextVersionConfig(t, l, fd))
+	two.wantAdminStatus(t, 200, "POST", "/admin/resume") // waits for the handover
+	two.onLoop(func() {
 		if two.handover.predecessor == nil {
 			t.Error("they did not meet")
 		}
@@ -192,22 +194,22 @@
 // With clients at their most, hundreds of silent ones and large answers moving, each call has its answer within a second.
 func TestDoorUnderLoad(t *testing.T) {
 	t.Parallel()
-	body := filling(32 << 20)
-	b := newToy(t, answerBy("length", body, 200_000, nil))
-	p := inService(t, listing(1, true, ready("s-1", b)), nil)
+	body := numberedBody(32 << 20)
+	b := newFakeBackend(t, respondFramed("length", body, 200_000, nil))
+	p := runWithAdmin(t, endpointList(1, true, readyEndpoint("s-1", b)), nil)
 	for range 12 {
-		c := p.caller(t)
-		io.WriteString(c, text("look"))
+		c := p.dial(t)
+		io.WriteString(c, requestText("look"))
 		go io.Copy(io.Discard, c)
 	}
 	for range 300 {
-		if c, err := net.Dial("tcp", p.At().String()); err == nil {
+		if c, err := net.Dial("tcp", p.Addr().String()); err == nil {
 			t.Cleanup(func() { c.Close() })
 		}
 	}
 	for i := range 20 {
-		p.dialDoor(t) // silent
-		p.want(t, 200, "POST", []string{"/admin/cordon/s-1", "/admin/uncordon/s-1"}[i%2])
+		p.dialAdmin(t) // silent
+		p.wantAdminStatus(t, 200, "POST", []string{"/admin/cordon/s-1", "/admin/uncordon/s-1"}[i%2])
 	}
 }
 
@@ -215,24 +217,24 @@
 // to another name: what was known holds until something newer is said whole.
 func TestListTrouble(t *testing.T) {
 	t.Parallel()
-	a, b := newToy(t, ok), newToy(t, ok)
+	a, b := newFakeBackend(t, echo), newFakeBackend(t, echo)
 	asked := make(chan string, 9)
-	gone := line{"name": "s-a", "status": "gone"}
-	d := discovery(t, func(n int, c net.Conn, r *http.Request) {
+	gone := jsonObject{"name": "s-a", "status": "gone"}
+	d := fakeDiscovery(t, func(n int, c net.Conn, r *http.Request) {
 		asked <- r.RequestURI
 		switch n {
 		case 1:
-			chunk(c, listing(7, true, ready("s-a", a), ready("s-b", b))+"\n"+listing(8, false, gone)[:30])
+			writeChunk(c, endpointList(7, true, readyEndpoint("s-a", a), readyEndpoint("s-b", b))+"\n"+endpointList(8, false, gone)[:30])
 			c.Close()
 		case 2: // a head and no more
 		case 3:
-			chunk(c, listing(9, false, gone, ready("s-c", a))+"\n"+listing(6, false, ready("s-a", a))+"\n")
+			writeChunk(c, endpointList(9, false, gone, readyEndpoint("s-c", a))+"\n"+endpointList(6, false, readyEndpoint("s-a", a))+"\n")
 		}
 		c.Read(make([]byte, 1))
 	})
-	p := run(t, launch(t, 200, "", d))
+	p := runProxy(t, newTestProxy(t, 200, "", d))
 	listed := func() (names string) {
-		p.do(func() {
+		p.onLoop(func() {
 			for _, name := range []string{"s-a", "s-b", "s-c"} {
 				if x := p.backends.byName[name]; x != nil && x.state == balance.Ready {
 					names += name + " "
@@ -242,7 +244,7 @@
 		return names
 	}
 	for i, want := range []string{"/api/targets?follow=1", "/api/targets?follow=1&since=7", "/api/targets?follow=1&since=7"} {
-		wants(t, asked, want)
+		wantWatchRequest(t, asked, want)
 		if got := listed(); i == 1 && got != "s-a s-b " {
 			t.Errorf("after half a line %q is listed", got)
 		}
@@ -251,7 +253,7 @@
 	if got := listed(); got != "s-b s-c " {
 		t.Errorf("after older news %q is listed", got)
 	}
-	if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+	if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 		t.Errorf("%d", status)
 	}
 }
--- a/internal/proxy/helper_test.go
+++ b/internal/proxy/helper_test.go
@@ -29,27 +29,27 @@
    "time_limit_ms": 3000, "utility": 5, "overdue_utility": 0.5, "stream": false}]}`
 
 // toy is a backend that does with each command what its story says; it counts connections and commands.
-type toy struct {
+type fakeBackend struct {
 	net.Listener
 	conns, commands atomic.Int32
-	open            atomic.Int32 // connections whose end it has not read yet
-	ended           chan bool    // a connection was ended by the proxy while a command was out
+	openConns       atomic.Int32 // connections whose end it has not read yet
+	connEnded       chan bool    // a connection was ended by the proxy while a command was out
 	mu              sync.Mutex
-	last            *http.Request
+	lastRequest     *http.Request
 }
 
-func newToy(t *testing.T, do func(b *toy, c net.Conn, r *http.Request)) *toy {
+func newFakeBackend(t *testing.T, do func(b *fakeBackend, c net.Conn, r *http.Request)) *fakeBackend {
 	t.Helper()
-	return newToyAt(t, "127.0.0.1:0", do)
+	return newFakeBackendAt(t, "127.0.0.1:0", do)
 }
 
-func newToyAt(t *testing.T, at string, do func(b *toy, c net.Conn, r *http.Request)) *toy {
+func newFakeBackendAt(t *testing.T, at string, do func(b *fakeBackend, c net.Conn, r *http.Request)) *fakeBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &toy{Listener: l, ended: make(chan bool, 100)}
+	b := &fakeBackend{Listener: l, connEnded: make(chan bool, 100)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -57,10 +57,10 @@
 			if err != nil {
 				return
 			}
-			b.open.Add(1)
+			b.openConns.Add(1)
 			b.conns.Add(1)
 			go func() {
-				defer b.open.Add(-1)
+				defer b.openConns.Add(-1)
 				defer c.Close()
 				in := bufio.NewReader(c)
 				for {
@@ -75,7 +75,7 @@
 					r.Body = io.NopCloser(strings.NewReader(string(body)))
 					b.commands.Add(1)
 					b.mu.Lock()
-					b.last = r
+					b.lastRequest = r
 					b.mu.Unlock()
 					do(b, c, r)
 				}
@@ -85,65 +85,65 @@
 	return b
 }
 
-func say(text string) func(*toy, net.Conn, *http.Request) {
-	return func(_ *toy, c net.Conn, _ *http.Request) { io.WriteString(c, text) }
+func respondWith(text string) func(*fakeBackend, net.Conn, *http.Request) {
+	return func(_ *fakeBackend, c net.Conn, _ *http.Request) { io.WriteString(c, text) }
 }
 
-func ok(_ *toy, c net.Conn, r *http.Request) {
+func echo(_ *fakeBackend, c net.Conn, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Of: %s\r\n\r\necho:%s", len(body)+5, r.URL.Path, body)
 }
 
 // hang answers nothing and tells when its connection ends.
-func hang(b *toy, c net.Conn, _ *http.Request) {
+func hang(b *fakeBackend, c net.Conn, _ *http.Request) {
 	c.Read(make([]byte, 1))
-	b.ended <- true
+	b.connEnded <- true
 }
 
 // fall breaks the connection without an answer.
-func fall(_ *toy, c net.Conn, _ *http.Request) {
+func resetConn(_ *fakeBackend, c net.Conn, _ *http.Request) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-type line map[string]any
+type jsonObject map[string]any
 
-func ready(name string, b net.Listener) line {
-	return line{"name": name, "address": b.Addr().String(), "zone": "a", "group": 1, "status": "ready", "weight": 1,
+func readyEndpoint(name string, b net.Listener) jsonObject {
+	return jsonObject{"name": name, "address": b.Addr().String(), "zone": "a", "group": 1, "status": "ready", "weight": 1,
 		"since_ms": 0}
 }
 
-func listing(index int, snapshot bool, lines ...line) string {
-	text, _ := json.Marshal(line{"index": index, "snapshot": snapshot, "endpoints": lines})
+func endpointList(index int, snapshot bool, lines ...jsonObject) string {
+	text, _ := json.Marshal(jsonObject{"index": index, "snapshot": snapshot, "endpoints": lines})
 	return string(text)
 }
 
 // running is a proxy under test.
-type running struct {
+type testProxy struct {
 	*Proxy
-	asked atomic.Bool
-	ended chan error
-	todo  chan func()
+	shutdownRequested atomic.Bool
+	runResult         chan error
+	loopCalls         chan func()
 }
 
 // config is a configuration; discovery may be nil.
-func config(known string, discovery net.Listener, settings string) *Launch {
+func testConfig(known string, discovery net.Listener, settings string) *Config {
 	at := "127.0.0.1:1" // nobody listens there
 	if discovery != nil {
 		at = discovery.Addr().String()
 	}
-	l := &Launch{Name: "n0", Listen: "127.0.0.1:0", Discovery: at, Seed: "8c1f", Settings: json.RawMessage(settings)}
+	l := &Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: at, Seed: "8c1f", Settings: json.RawMessage(settings)}
 	if known != "" {
-		l.Known = json.RawMessage(known)
+		l.KnownEndpoints = json.RawMessage(known)
 	}
 	l.Limits.Sockets, l.Limits.MemoryMB = 200, 192
 	return l
 }
 
 // launch makes a proxy that knows the list given.
-func launch(t *testing.T, sockets int, known string, discovery net.Listener) *Proxy {
+func newTestProxy(t *testing.T, sockets int, known string, discovery net.Listener) *Proxy {
 	t.Helper()
-	l := config(known, discovery, settingsText)
+	l := testConfig(known, discovery, settingsText)
 	l.Limits.Sockets = sockets
 	p, err := New(l)
 	if err != nil {
@@ -152,84 +152,84 @@
 	return p
 }
 
-func run(t *testing.T, p *Proxy) *running {
+func runProxy(t *testing.T, p *Proxy) *testProxy {
 	t.Helper()
-	return runHeld(t, p, func() {})
+	return runProxyWithHook(t, p, func() {})
 }
 
 // runHeld runs it with a hook of the test's, which is called first in every turn, on the loop, and may hold it.
-func runHeld(t *testing.T, p *Proxy, hold func()) *running {
+func runProxyWithHook(t *testing.T, p *Proxy, hold func()) *testProxy {
 	t.Helper()
-	r := &running{Proxy: p, ended: make(chan error, 1), todo: make(chan func(), 1)}
+	r := &testProxy{Proxy: p, runResult: make(chan error, 1), loopCalls: make(chan func(), 1)}
 	go func() {
-		r.ended <- p.Run(func() bool {
+		r.runResult <- p.Run(func() bool {
 			select {
-			case f := <-r.todo:
+			case f := <-r.loopCalls:
 				f()
 			default:
 			}
 			hold()
-			return r.asked.Load()
+			return r.shutdownRequested.Load()
 		})
 	}()
-	t.Cleanup(func() { r.end(); <-r.ended })
+	t.Cleanup(func() { r.requestShutdown(); <-r.runResult })
 	return r
 }
 
 // end asks the proxy to end, as SIGTERM does.
-func (r *running) end() { r.asked.Store(true); r.Ring() }
+func (r *testProxy) requestShutdown() { r.shutdownRequested.Store(true); r.WakeUp() }
 
 // do has f run on the proxy's own loop.
-func (r *running) do(f func()) {
+func (r *testProxy) onLoop(f func()) {
 	done := make(chan bool)
 	select {
-	case r.todo <- func() { f(); close(done) }:
-	case err := <-r.ended:
-		r.ended <- err
+	case r.loopCalls <- func() { f(); close(done) }:
+	case err := <-r.runResult:
+		r.runResult <- err
 		return
 	}
-	r.Ring()
+	r.WakeUp()
 	select {
 	case <-done:
-	case err := <-r.ended: // it ended meanwhile: nobody will do it
-		r.ended <- err
+	case err := <-r.runResult: // it ended meanwhile: nobody will do it
+		r.runResult <- err
 	}
 }
 
 // settled closes what rests and waits until the backends have read all that was ever sent to them: only then do their counts
 // say what did not run.
-func (r *running) settled(t *testing.T, all ...*toy) {
+func (r *testProxy) awaitBackendsRead(t *testing.T, all ...*fakeBackend) {
 	t.Helper()
 	for _, b := range all {
 		r.await(t, "all was read", func() bool {
 			for _, x := range r.backends.byName {
-				x.dropIdle()
+				x.closeIdle()
 			}
-			return b.conns.Load() > 0 && b.open.Load() == 0
+			return b.conns.Load() > 0 && b.openConns.Load() == 0
 		})
 	}
 }
 
 // caller is a client's connection.
-type caller struct {
+type testClient struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (r *running) caller(t *testing.T) *caller {
+func (r *testProxy) dial(t *testing.T) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", r.At().String())
+	c, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(8 * time.Second))
-	return &caller{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
 var ids atomic.Int64
 
-func text(verb string, fields ...string) string {
+func requestText(verb string, fields ...string) string {
 	method := "POST"
 	if verb == "look" {
 		method = "GET"
@@ -239,7 +239,7 @@
 }
 
 // read is the next answer; 0 means that the connection ended instead.
-func (c *caller) read() (status int, body string, header http.Header) {
+func (c *testClient) readAnswer() (status int, body string, header http.Header) {
 	rsp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0, err.Error(), nil
@@ -254,12 +254,12 @@
 	return rsp.StatusCode, string(b), rsp.Header
 }
 
-func (c *caller) ask(what string) (int, string, http.Header) {
+func (c *testClient) roundTrip(what string) (int, string, http.Header) {
 	io.WriteString(c, what)
-	return c.read()
+	return c.readAnswer()
 }
 
-func decode(t *testing.T, text string) *endpointUpdate {
+func parseUpdate(t *testing.T, text string) *endpointUpdate {
 	t.Helper()
 	var l endpointUpdate
 	if err := json.Unmarshal([]byte(text), &l); err != nil {
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -14,7 +14,7 @@
 	"sandpass/internal/configwatch"
 	"sandpass/internal/loop"
 	"sandpass/internal/recovery"
-	"sandpass/internal/warm"
+	"sandpass/internal/snapshot"
 )
 
 const (
@@ -27,9 +27,9 @@
 var errSlowDisk = errors.New("the folder that lasts takes too long")
 
 // snapshot is what goes into the next one, and how the start goes.
-type snapshot struct {
-	keeper   *warm.Keeper // nil: none is written
-	recovery *recovery.Recovery
+type snapshotState struct {
+	keeper   *snapshot.Writer // nil: none is written
+	recovery *recovery.Tracker
 	served   float64 // usual part of ended commands that are answered
 	late     float64 // usual part of answers that are late
 	answered int     // since the last look
@@ -39,13 +39,13 @@
 // restoreSnapshot takes the snapshot of the process before this one, each part as far as it still counts, once the Balancer is
 // there. Where the configuration names a newer list, that one counts.
 func (p *Proxy) restoreSnapshot(known *endpointUpdate) error {
-	m, l, now := &p.snapshot, p.launch, p.loop.Now()
+	m, l, now := &p.snapshot, p.startConfig, p.loop.Now()
 	m.recovery = recovery.New(0, 0)
 	if l.State.Folder == "" {
 		return nil
 	}
-	s, err := warm.Load(l.State.Folder, l.State.Fleet, l.Name)
-	var foreign *warm.Foreign
+	s, err := snapshot.Load(l.State.Folder, l.State.Fleet, l.Name)
+	var foreign *snapshot.FleetMismatchError
 	if errors.As(err, &foreign) {
 		return err
 	}
@@ -55,7 +55,7 @@
 	if s == nil {
 		return nil
 	}
-	age := now - s.Saved
+	age := now - s.SavedUnix
 	if seconds, known := boottime.Now().Since(s.SavedAt); known {
 		age = seconds
 	}
@@ -68,53 +68,53 @@
 	var list endpointUpdate
 	var out maintenance
 	var young ages
-	if len(s.List) > 0 && age < listMostAge && json.Unmarshal(s.List, &list) == nil {
+	if len(s.Endpoints) > 0 && age < listMostAge && json.Unmarshal(s.Endpoints, &list) == nil {
 		w.List, w.OldList = &list, known != nil && known.Index > list.Index
 	}
 	if len(s.Maintenance) > 0 && json.Unmarshal(s.Maintenance, &out) == nil {
 		w.Maintenance = &out
 	}
-	if len(s.Ages) > 0 && json.Unmarshal(s.Ages, &young) == nil {
+	if len(s.StartAges) > 0 && json.Unmarshal(s.StartAges, &young) == nil {
 		w.Ages = &young
 	}
 	p.takeOver(&w, elapsedSince(s.SavedAt))
-	learned := balance.Memory{Incarnation: s.Incarnation, Usual: s.Usual, Ease: s.Ease, Level: s.Level, Rate: s.Rate, Any: s.Any,
+	learned := balance.Snapshot{Incarnation: s.Incarnation, TypicalLatency: s.TypicalLatency, BaselineInFlight: s.BaselineInFlight, InFlightPerBackend: s.InFlightPerBackend, ArrivalRate: s.ArrivalRate, AllLatencies: s.AllLatencies,
 		Weights: map[balance.BackendID]float64{}}
 	for _, v := range p.names.Verbs {
-		learned.Verbs = append(learned.Verbs, s.Verbs[v.Name])
+		learned.VerbLatencies = append(learned.VerbLatencies, s.VerbLatencies[v.Name])
 	}
-	for name, weight := range s.Weights {
+	for name, weight := range s.BackendWeights {
 		if t := p.backends.byName[name]; t != nil {
 			learned.Weights[t.id] = weight
 		}
 	}
-	p.balancer.Recall(now, learned, age)
-	m.served, m.late = s.Served, s.Late
-	m.recovery = recovery.New(s.Served, s.Late)
-	log.Printf("msg=state_taken age=%.1f backends=%d cordons=%d drained=%t", age, p.backends.usable, len(p.maintenance.Out), s.Drained)
+	p.balancer.Restore(now, learned, age)
+	m.served, m.late = s.AnsweredFraction, s.LateFraction
+	m.recovery = recovery.New(s.AnsweredFraction, s.LateFraction)
+	log.Printf("msg=state_taken age=%.1f backends=%d cordons=%d drained=%t", age, p.backends.readyCount, len(p.maintenance.Cordoned), s.Drained)
 	return nil
 }
 
 // keepSnapshots begins to write snapshots, where operators name a folder.
-func (p *Proxy) keepSnapshots() {
-	l := p.launch
+func (p *Proxy) startSnapshots() {
+	l := p.startConfig
 	if l.State.Folder == "" {
 		return
 	}
-	p.snapshot.keeper = warm.NewKeeper(l.State.Folder, l.Name, func(err error) {
+	p.snapshot.keeper = snapshot.NewWriter(l.State.Folder, l.Name, func(err error) {
 		if err != nil {
 			log.Printf("msg=state_not_kept error=%q", err)
 		} else {
 			log.Printf("msg=state_kept_again")
 		}
 	})
-	p.every(l.State.Every, func() { p.saveSnapshot(nil) })
+	p.runEvery(l.State.SaveInterval, func() { p.saveSnapshot(nil) })
 }
 
 // ownsFile tells whether this process writes the snapshots: the one before it does until it has handed over, and the one
 // after it from when that serves.
 func (p *Proxy) ownsFile() bool {
-	return p.snapshot.keeper != nil && p.handover.met && !p.handover.succeeded
+	return p.snapshot.keeper != nil && p.handover.done && !p.handover.successorServes
 }
 
 // promise calls back once what operators said is on the disk that lasts, where there is one, or with the error why that is not
@@ -133,7 +133,7 @@
 		}
 	}
 	late = p.loop.After(within, func() { once(errSlowDisk) })
-	p.saveSnapshot(func(err error) { p.loop.Call(func() { once(err) }) })
+	p.saveSnapshot(func(err error) { p.loop.PostFromAnyGoroutine(func() { once(err) }) })
 }
 
 // saveSnapshot hands over what is known now; it is encoded and written elsewhere, from copies. saved may be nil; it is called
@@ -143,25 +143,25 @@
 	if !p.ownsFile() {
 		return
 	}
-	b, w := p.balancer.Remember(), p.handoverState()
-	s := &warm.State{Fleet: p.launch.State.Fleet, Name: p.launch.Name, Saved: p.loop.Now(), SavedAt: boottime.Now(), Incarnation: b.Incarnation, Discovery: w.Discovery,
-		Drained: w.Drained, Usual: b.Usual, Ease: b.Ease, Level: b.Level, Rate: b.Rate, Any: b.Any, Served: m.served, Late: m.late,
-		Verbs: map[string][]byte{}, Weights: map[string]float64{}}
+	b, w := p.balancer.Snapshot(), p.handoverState()
+	s := &snapshot.State{Fleet: p.startConfig.State.Fleet, Name: p.startConfig.Name, SavedUnix: p.loop.Now(), SavedAt: boottime.Now(), Incarnation: b.Incarnation, Discovery: w.Discovery,
+		Drained: w.Drained, TypicalLatency: b.TypicalLatency, BaselineInFlight: b.BaselineInFlight, InFlightPerBackend: b.InFlightPerBackend, ArrivalRate: b.ArrivalRate, AllLatencies: b.AllLatencies, AnsweredFraction: m.served, LateFraction: m.late,
+		VerbLatencies: map[string][]byte{}, BackendWeights: map[string]float64{}}
 	for i, v := range p.names.Verbs {
-		s.Verbs[v.Name] = b.Verbs[i]
+		s.VerbLatencies[v.Name] = b.VerbLatencies[i]
 	}
 	for _, t := range p.backends.byName { // a map into a map
 		if weight, ok := b.Weights[t.id]; ok {
-			s.Weights[t.name] = weight
+			s.BackendWeights[t.name] = weight
 		}
 	}
 	list, young := w.List, w.Ages
-	out := maintenance{maps.Clone(p.maintenance.Out), maps.Clone(p.maintenance.Back)}
-	m.keeper.Put(func() (*warm.State, error) {
+	out := maintenance{maps.Clone(p.maintenance.Cordoned), maps.Clone(p.maintenance.Uncordoned)}
+	m.keeper.Put(func() (*snapshot.State, error) {
 		var errs [3]error
-		s.List, errs[0] = json.Marshal(list)
+		s.Endpoints, errs[0] = json.Marshal(list)
 		s.Maintenance, errs[1] = json.Marshal(out)
-		s.Ages, errs[2] = json.Marshal(young)
+		s.StartAges, errs[2] = json.Marshal(young)
 		return s, errors.Join(errs[:]...)
 	}, saved)
 }
@@ -175,7 +175,7 @@
 }
 
 // count counts a command that has had its final answer.
-func (m *snapshot) count(answered bool) {
+func (m *snapshotState) countEnded(answered bool) {
 	m.ended++
 	if answered {
 		m.answered++
@@ -183,12 +183,12 @@
 }
 
 // followRecovery looks at how the start goes, and what is usual once it is over.
-func (p *Proxy) followRecovery() {
+func (p *Proxy) trackRecovery() {
 	m := &p.snapshot
-	late, living := p.balancer.Standing()
-	serving := p.listed() && p.takesClients()
-	if m.recovery.Look(p.loop.Now(), serving, m.answered, m.ended, late) {
-		took, out := m.recovery.Took()
+	late, living := p.balancer.Stats()
+	serving := p.canRelay() && p.acceptsClients()
+	if m.recovery.Observe(p.loop.Now(), serving, m.answered, m.ended, late) {
+		took, out := m.recovery.TimeToFull()
 		log.Printf("msg=full seconds=%.2f out_of_time=%t late=%.2f living=%.1f", took, out, late, living)
 	}
 	if m.ended > 0 && m.recovery.Phase() == recovery.Full {
@@ -204,8 +204,8 @@
 
 // status is what the admin endpoint shows of all that, one line of JSON.
 func (p *Proxy) status() string {
-	late, living := p.balancer.Standing()
-	took, out := p.snapshot.recovery.Took()
+	late, living := p.balancer.Stats()
+	took, out := p.snapshot.recovery.TimeToFull()
 	text, _ := json.Marshal(struct { // has no value that can't be encoded
 		Phase    string              `json:"phase"`
 		ToFull   float64             `json:"time_to_full_s"`
@@ -218,7 +218,7 @@
 		Open     int                 `json:"open"`
 		Kept     bool                `json:"state_kept"`
 		Control  *configwatch.Status `json:"control,omitempty"`
-	}{p.snapshot.recovery.Phase().String(), took, out, living, p.links.PeerCount, late, p.snapshot.served, p.backends.usable,
+	}{p.snapshot.recovery.Phase().String(), took, out, living, p.network.PeerCount, late, p.snapshot.served, p.backends.readyCount,
 		len(p.commands), p.snapshot.keeper != nil, p.control.Status()})
 	return string(text)
 }
