--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -9,46 +9,46 @@
 	"time"
 
 	"sandpass/internal/recovery"
-	"sandpass/internal/warm"
+	"sandpass/internal/snapshot"
 )
 
 // keeping is a configuration whose proxy keeps what it knows in a folder.
-func keeping(dir, known string) *Launch {
-	l := config(known, nil, settingsText)
-	l.State.Folder, l.State.Fleet, l.State.Every = dir, "shop", 0.1
+func keeping(dir, known string) *Config {
+	l := testConfig(known, nil, settingsText)
+	l.State.Folder, l.State.Fleet, l.State.SaveInterval = dir, "shop", 0.1
 	return l
 }
 
-func startKeeping(t *testing.T, l *Launch) *running {
+func startKeeping(t *testing.T, l *Config) *testProxy {
 	t.Helper()
 	p, err := New(l)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run(t, p)
+	return runProxy(t, p)
 }
 
 // What operators said, the list and what was learned hold over a kill: the next process has them though discovery is
 // silent and its configuration names nobody.
 func TestWhatIsKnownOutlivesTheProcess(t *testing.T) {
 	t.Parallel()
-	a, b := newToy(t, ok), newToy(t, ok)
+	a, b := newFakeBackend(t, echo), newFakeBackend(t, echo)
 	dir := t.TempDir()
-	r := startKeeping(t, keeping(dir, listing(7, true, ready("s-a", a), ready("s-b", b))))
+	r := startKeeping(t, keeping(dir, endpointList(7, true, readyEndpoint("s-a", a), readyEndpoint("s-b", b))))
 	time.Sleep(600 * time.Millisecond)
-	c := r.caller(t)
+	c := r.dial(t)
 	for range 60 {
-		if status, body, _ := c.ask(text("look")); status != 200 {
+		if status, body, _ := c.roundTrip(requestText("look")); status != 200 {
 			t.Fatalf("%d %s", status, body)
 		}
 	}
-	r.do(func() { r.cordon("s-a"); r.saveSnapshot(nil) })
+	r.onLoop(func() { r.cordon("s-a"); r.saveSnapshot(nil) })
 	usual := 0.0
-	r.do(func() { usual = r.balancer.Remember().Usual })
+	r.onLoop(func() { usual = r.balancer.Snapshot().TypicalLatency })
 	at := filepath.Join(dir, "n0.state")
-	var kept *warm.State
+	var kept *snapshot.State
 	for range 400 { // until it is written
-		if kept, _ = warm.Load(dir, "shop", "n0"); kept != nil && strings.Contains(string(kept.Maintenance), "s-a") {
+		if kept, _ = snapshot.Load(dir, "shop", "n0"); kept != nil && strings.Contains(string(kept.Maintenance), "s-a") {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -60,22 +60,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.end()
-	<-r.ended
-	r.ended <- nil
+	r.requestShutdown()
+	<-r.runResult
+	r.runResult <- nil
 	os.WriteFile(at, file, 0o600)
 
 	before := a.commands.Load()
 	s := startKeeping(t, keeping(dir, ""))
-	s.do(func() {
-		if m := s.balancer.Remember(); usual == 0 || m.Usual < 0.5*usual || m.Incarnation <= kept.Incarnation || len(m.Any) == 0 {
-			t.Errorf("usual %.4f, %.4f before; life %d, %d before; %d bytes of latencies", m.Usual, usual, m.Incarnation, kept.Incarnation, len(m.Any))
+	s.onLoop(func() {
+		if m := s.balancer.Snapshot(); usual == 0 || m.TypicalLatency < 0.5*usual || m.Incarnation <= kept.Incarnation || len(m.AllLatencies) == 0 {
+			t.Errorf("usual %.4f, %.4f before; life %d, %d before; %d bytes of latencies", m.TypicalLatency, usual, m.Incarnation, kept.Incarnation, len(m.AllLatencies))
 		}
 	})
 	time.Sleep(600 * time.Millisecond)
-	d := s.caller(t)
+	d := s.dial(t)
 	for range 20 {
-		if status, body, _ := d.ask(text("look")); status != 200 {
+		if status, body, _ := d.roundTrip(requestText("look")); status != 200 {
 			t.Fatalf("%d %s", status, body)
 		}
 	}
@@ -84,16 +84,16 @@
 	}
 	var phase recovery.Phase
 	for range 1200 { // some seconds: it is of full use once two of them went as usual
-		if s.do(func() { phase = s.snapshot.recovery.Phase() }); phase == recovery.Full {
+		if s.onLoop(func() { phase = s.snapshot.recovery.Phase() }); phase == recovery.Full {
 			break
 		}
-		d.ask(text("look"))
+		d.roundTrip(requestText("look"))
 		time.Sleep(5 * time.Millisecond)
 	}
 	if phase != recovery.Full {
 		t.Errorf("%v", phase)
 	}
-	s.do(func() {
+	s.onLoop(func() {
 		if text := s.status(); !strings.Contains(text, `"phase":"full"`) || !strings.Contains(text, `"state_kept":true`) {
 			t.Error(text)
 		}
@@ -102,8 +102,8 @@
 
 func TestAStateThatIsNoGoodCostsNoStart(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
-	good, err := warm.Encode(&warm.State{Fleet: "shop", Name: "n0", Saved: 1, Incarnation: 5, Usual: 0.1, Drained: true, Weights: map[string]float64{"s-b": 1e9}})
+	b := newFakeBackend(t, echo)
+	good, err := snapshot.Encode(&snapshot.State{Fleet: "shop", Name: "n0", SavedUnix: 1, Incarnation: 5, TypicalLatency: 0.1, Drained: true, BackendWeights: map[string]float64{"s-b": 1e9}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,9 +111,9 @@
 		"a newer form": []byte(strings.Replace(string(good), "state 1", "state 9", 1))} {
 		dir := t.TempDir()
 		os.WriteFile(filepath.Join(dir, "n0.state"), bytes, 0o600)
-		r := startKeeping(t, keeping(dir, listing(1, true, ready("s-b", b))))
+		r := startKeeping(t, keeping(dir, endpointList(1, true, readyEndpoint("s-b", b))))
 		time.Sleep(550 * time.Millisecond)
-		if status, body, _ := r.caller(t).ask(text("look")); status != 200 {
+		if status, body, _ := r.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Errorf("%s: %d %s", name, status, body)
 		}
 	}
@@ -121,15 +121,15 @@
 	os.WriteFile(filepath.Join(dir, "n0.state"), good, 0o600)
 	l := keeping(dir, "")
 	l.State.Fleet = "mill"
-	var foreign *warm.Foreign
+	var foreign *snapshot.FleetMismatchError
 	if _, err := New(l); !errors.As(err, &foreign) {
 		t.Errorf("the folder of another fleet: %v", err)
 	}
-	l = keeping(dir, listing(1, true, ready("s-b", b))) // of 1970: what was learned is too old, what operators said is not
+	l = keeping(dir, endpointList(1, true, readyEndpoint("s-b", b))) // of 1970: what was learned is too old, what operators said is not
 	r := startKeeping(t, l)
-	r.do(func() {
-		if m := r.balancer.Remember(); m.Usual != 0 || m.Incarnation <= 5 || !r.drain.on {
-			t.Errorf("usual %v, life %d, drained %t", m.Usual, m.Incarnation, r.drain.on)
+	r.onLoop(func() {
+		if m := r.balancer.Snapshot(); m.TypicalLatency != 0 || m.Incarnation <= 5 || !r.drain.active {
+			t.Errorf("usual %v, life %d, drained %t", m.TypicalLatency, m.Incarnation, r.drain.active)
 		}
 	})
 }
@@ -139,14 +139,14 @@
 func TestNothingIsWrittenBeforeTheHandover(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	p := made(t, keeping(dir, ""))
-	p.keepSnapshots()
+	p := newUnstartedProxy(t, keeping(dir, ""))
+	p.startSnapshots()
 	p.saveLastSnapshot()
 	if files, err := os.ReadDir(dir); err != nil || len(files) > 0 {
 		t.Errorf("%v, %v", files, err)
 	}
-	p.handover.met = true
-	p.keepSnapshots()
+	p.handover.done = true
+	p.startSnapshots()
 	p.saveLastSnapshot()
 	if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
 		t.Errorf("%v, %v", files, err)
--- a/internal/proxy/ops.go
+++ b/internal/proxy/ops.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	doorDescriptors = 16      // kept for the door: its listener, its connections and some that are being accepted
-	doorMost        = 12      // connections at the door
-	doorSilent      = 2.0     // seconds that a call may take to be said: an answer is due within 1 s of the whole call
-	doorLinger      = 0.5     // seconds for the caller to read its answer and close
-	doorBytes       = 4 << 10 // bytes of a call: a first read buffer, which no lack of memory keeps out
-	doorDrained     = 1 << 20 // bytes of more than a call that are thrown away, so that the answer is not reset
+	adminDescriptors = 16      // kept for the door: its listener, its connections and some that are being accepted
+	doorMost         = 12      // connections at the door
+	doorSilent       = 2.0     // seconds that a call may take to be said: an answer is due within 1 s of the whole call
+	doorLinger       = 0.5     // seconds for the caller to read its answer and close
+	doorBytes        = 4 << 10 // bytes of a call: a first read buffer, which no lack of memory keeps out
+	doorDrained      = 1 << 20 // bytes of more than a call that are thrown away, so that the answer is not reset
 )
 
 // door is where operators call.
-type door struct {
-	at       netip.AddrPort // invalid: there is none
+type adminServer struct {
+	addr     netip.AddrPort // invalid: there is none
 	listener *loop.Listener
 	calls    list.List // of *call, the oldest first
 }
 
 // doorAt decodes the address; without one there is no door.
-func doorAt(text string) (at netip.AddrPort, err error) {
+func parseAdminAddr(text string) (at netip.AddrPort, err error) {
 	if text != "" {
 		if at, err = netip.ParseAddrPort(text); err != nil {
 			err = fmt.Errorf("ops: %w", err)
@@ -42,11 +42,11 @@
 }
 
 // openDoor has operators' calls come in.
-func (p *Proxy) openDoor() (err error) {
-	d := &p.door
-	if d.at.IsValid() {
+func (p *Proxy) listenAdmin() (err error) {
+	d := &p.admin
+	if d.addr.IsValid() {
 		always := func() bool { return true } // the door makes room itself, in accept
-		if d.listener, err = p.loop.Listen(d.at, doorBytes, always, p.called, p.starved); err != nil {
+		if d.listener, err = p.loop.Listen(d.addr, doorBytes, always, p.called, p.onDescriptorShortage); err != nil {
 			err = fmt.Errorf("ops: %w", err)
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 // call is one connection at the door, which carries one call.
-type call struct {
+type adminConn struct {
 	p     *Proxy
 	conn  *loop.Conn
 	msg   http1.Message
@@ -65,8 +65,8 @@
 
 // called takes a connection. Callers that say nothing must not keep others out: the oldest of them goes first.
 func (p *Proxy) called(conn *loop.Conn) loop.Handler {
-	d := &p.door
-	c := &call{p: p, conn: conn}
+	d := &p.admin
+	c := &adminConn{p: p, conn: conn}
 	c.place = d.calls.PushBack(c)
 	p.loop.After(doorSilent, func() {
 		if !c.gone && !c.said {
@@ -75,7 +75,7 @@
 	})
 	for _, said := range [2]bool{false, true} {
 		for e := d.calls.Front(); e != nil && d.calls.Len() > doorMost; {
-			old := e.Value.(*call)
+			old := e.Value.(*adminConn)
 			if e = e.Next(); old != c && old.said == said {
 				old.close()
 			}
@@ -85,63 +85,63 @@
 }
 
 // close is the one place where a connection at the door is given back.
-func (c *call) close() {
+func (c *adminConn) close() {
 	if !c.gone {
 		c.gone = true
-		c.p.door.calls.Remove(c.place)
+		c.p.admin.calls.Remove(c.place)
 		c.conn.Close()
 	}
 }
 
-func (c *call) Up(*loop.Conn) {}
+func (c *adminConn) OnConnect(*loop.Conn) {}
 
-func (c *call) Flushed(*loop.Conn) {
+func (c *adminConn) OnFlushed(*loop.Conn) {
 	if c.said {
-		c.conn.EndWriting()
+		c.conn.CloseWrite()
 	}
 }
 
-func (c *call) Down(*loop.Conn, error) { c.close() }
+func (c *adminConn) OnDisconnect(*loop.Conn, error) { c.close() }
 
-func (c *call) Data(*loop.Conn) {
+func (c *adminConn) OnData(*loop.Conn) {
 	if c.said {
 		return
 	}
-	if !c.msg.HeadWhole() {
-		c.conn.Consume(http1.Blank(c.conn.In()))
+	if !c.msg.HeadComplete() {
+		c.conn.Consume(http1.LeadingBlankLines(c.conn.Unconsumed()))
 	}
-	in := c.conn.In()
+	in := c.conn.Unconsumed()
 	if len(in) == 0 {
 		return
 	}
-	whole, err := c.msg.Command(in)
-	var f *http1.Fault
+	whole, err := c.msg.ParseCommand(in)
+	var f *http1.ProtocolError
 	switch {
 	case errors.As(err, &f):
 		c.answer(f.Status, f.Text)
 	case whole:
 		c.carryOut(string(c.msg.Method(in)), string(c.msg.Target(in)))
-	case c.conn.Full():
+	case c.conn.ReadBufferFull():
 		c.answer(413, "the call is too large")
 	}
 }
 
 // answer ends the call; the status says yes or no.
-func (c *call) answer(status int, text string, fields ...string) {
+func (c *adminConn) answer(status int, text string, fields ...string) {
 	if c.gone || c.said {
 		return
 	}
 	c.said = true
-	c.conn.Write(c.p.head(status, len(text)+1, false), []byte(strings.Join(fields, "")+"\r\n"+text+"\n"))
-	if !c.conn.Unsent() {
-		c.conn.EndWriting()
+	c.conn.Write(c.p.responseHead(status, len(text)+1, false), []byte(strings.Join(fields, "")+"\r\n"+text+"\n"))
+	if !c.conn.HasUnsent() {
+		c.conn.CloseWrite()
 	}
-	c.conn.Drain(doorDrained)
+	c.conn.Discard(doorDrained)
 	c.p.loop.After(doorLinger, c.close)
 }
 
 // carryOut does what a whole call asks for.
-func (c *call) carryOut(method, target string) {
+func (c *adminConn) carryOut(method, target string) {
 	path, _, _ := strings.Cut(target, "?")
 	rest, _ := strings.CutPrefix(path, "/admin/")
 	word, id, named := strings.Cut(rest, "/")
@@ -157,7 +157,7 @@
 	case method != due:
 		c.answer(405, "the call is a "+due, "Allow: "+due+"\r\n")
 		return
-	case word == "health" && !c.p.takesClients():
+	case word == "health" && !c.p.acceptsClients():
 		c.answer(503, "no clients are taken yet, or any more")
 		return
 	case word == "status":
@@ -171,12 +171,12 @@
 }
 
 // operate carries out a call on this proxy, in all its processes. One that is about to be handed what counts waits for it.
-func (c *call) operate(word, id string, until float64) {
+func (c *adminConn) operate(word, id string, until float64) {
 	p := c.p
 	switch {
-	case !p.handover.met && p.loop.Now() < until:
-		p.loop.After(soon, func() { c.operate(word, id, until) })
-	case !p.handover.met:
+	case !p.handover.done && p.loop.Now() < until:
+		p.loop.After(pollIntervalSeconds, func() { c.operate(word, id, until) })
+	case !p.handover.done:
 		c.answer(503, "the process before this one has not handed over yet")
 	case id != "" && !p.knows(id):
 		c.answer(404, "no backend has this id")
@@ -207,8 +207,8 @@
 	case "uncordon":
 		p.uncordon(id)
 	case "quiesce":
-		p.quiesce()
+		p.startDrain()
 	case "resume":
-		p.resume()
+		p.endDrain()
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -15,20 +15,20 @@
 func TestAnswers(t *testing.T) {
 	t.Run("an answer and a body go through unchanged, over connections that are kept", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, ok)
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-		c := p.caller(t)
+		b := newFakeBackend(t, echo)
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+		c := p.dial(t)
 		body := strings.Repeat("ab\r\n", 16000)
 		for range 3 {
-			status, got, h := c.ask(text("order", "Idempotency-Key: k1\r\n", "Content-Length: 64000\r\n") + body)
+			status, got, h := c.roundTrip(requestText("order", "Idempotency-Key: k1\r\n", "Content-Length: 64000\r\n") + body)
 			if status != 200 || got != "echo:"+body || h.Get("X-Of") != "/order/x" {
 				t.Fatalf("status %d, %d bytes, %v", status, len(got), h)
 			}
-			time.Sleep(3 * aired * 1e9)
+			time.Sleep(3 * reuseDelaySeconds * 1e9)
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if r := b.last; r.RequestURI != "/order/x?sid=1" || r.Header.Get("Req-Id") == "" ||
+		if r := b.lastRequest; r.RequestURI != "/order/x?sid=1" || r.Header.Get("Req-Id") == "" ||
 			r.Header.Get("Idempotency-Key") != "k1" || !strings.HasPrefix(r.Header.Get("Req-Deadline"), "2.") {
 			t.Errorf("the backend saw %s %v", r.RequestURI, r.Header)
 		}
@@ -38,35 +38,35 @@
 	})
 	t.Run("an answer larger than any command goes through", func(t *testing.T) {
 		body := strings.Repeat("0123456789abcdef", 30<<10)
-		b := newToy(t, func(_ *toy, c net.Conn, _ *http.Request) {
+		b := newFakeBackend(t, func(_ *fakeBackend, c net.Conn, _ *http.Request) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		})
-		c := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil)).caller(t)
+		c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
 		for range 3 {
-			if status, got, _ := c.ask(text("pay", "Content-Length: 0\r\n")); status != 200 || got != body {
+			if status, got, _ := c.roundTrip(requestText("pay", "Content-Length: 0\r\n")); status != 200 || got != body {
 				t.Errorf("status %d, %d bytes", status, len(got))
 			}
 		}
 	})
 	t.Run("commands written one after the other are answered in turn", func(t *testing.T) {
-		b := newToy(t, ok)
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-		c := p.caller(t)
-		io.WriteString(c, text("pay", "Content-Length: 3\r\n")+"one"+
-			text("pay", "Transfer-Encoding: chunked\r\n")+"3\r\ntwo\r\n0\r\n\r\n"+text("look"))
+		b := newFakeBackend(t, echo)
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+		c := p.dial(t)
+		io.WriteString(c, requestText("pay", "Content-Length: 3\r\n")+"one"+
+			requestText("pay", "Transfer-Encoding: chunked\r\n")+"3\r\ntwo\r\n0\r\n\r\n"+requestText("look"))
 		for _, want := range []string{"echo:one", "echo:two", "echo:"} {
-			if status, got, _ := c.read(); status != 200 || got != want {
+			if status, got, _ := c.readAnswer(); status != 200 || got != want {
 				t.Errorf("%d %q, want %q", status, got, want)
 			}
 		}
 	})
 	t.Run("a client that waits to be invited sends its body", func(t *testing.T) {
-		b := newToy(t, ok)
-		c := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil)).caller(t)
-		io.WriteString(c, text("pay", "Content-Length: 2\r\nExpect: 100-continue\r\n"))
+		b := newFakeBackend(t, echo)
+		c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
+		io.WriteString(c, requestText("pay", "Content-Length: 2\r\nExpect: 100-continue\r\n"))
 		first := make([]byte, 25)
 		io.ReadFull(c.in, first)
-		if status, got, _ := c.ask("hi"); status != 200 || got != "echo:hi" || !strings.Contains(string(first), " 100 ") {
+		if status, got, _ := c.roundTrip("hi"); status != 200 || got != "echo:hi" || !strings.Contains(string(first), " 100 ") {
 			t.Errorf("%q, then %d %q", first, status, got)
 		}
 	})
@@ -78,47 +78,47 @@
 	free.Close() // nobody listens there any more
 	for name, c := range map[string]struct {
 		verb     string
-		do       func(*toy, net.Conn, *http.Request)
+		do       func(*fakeBackend, net.Conn, *http.Request)
 		status   int
 		commands int32 // that the backend in trouble may see
 	}{
 		"nobody listens":                        {"pay", nil, 200, 0},
-		"turned away unseen":                    {"pay", say("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), 200, 9},
-		"broken after the last byte, pure":      {"look", fall, 200, 9},
-		"broken after the last byte, effectful": {"pay", fall, 502, 1},
-		"error, pure":                           {"look", say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 200, 9},
-		"error, effectful":                      {"pay", say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
-		"503 without the mark may have run":     {"pay", say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
-		"garbage may have run":                  {"pay", say("\x00\x01\r\n\r\n"), 502, 1},
-		"an answer cut short is none": {"pay", func(b *toy, c net.Conn, r *http.Request) {
+		"turned away unseen":                    {"pay", respondWith("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), 200, 9},
+		"broken after the last byte, pure":      {"look", resetConn, 200, 9},
+		"broken after the last byte, effectful": {"pay", resetConn, 502, 1},
+		"error, pure":                           {"look", respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 200, 9},
+		"error, effectful":                      {"pay", respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
+		"503 without the mark may have run":     {"pay", respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
+		"garbage may have run":                  {"pay", respondWith("\x00\x01\r\n\r\n"), 502, 1},
+		"an answer cut short is none": {"pay", func(b *fakeBackend, c net.Conn, r *http.Request) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			c.Close()
 		}, 502, 1},
-		"a reset is no end of a body": {"pay", func(b *toy, c net.Conn, r *http.Request) {
+		"a reset is no end of a body": {"pay", func(b *fakeBackend, c net.Conn, r *http.Request) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
 			time.Sleep(20 * time.Millisecond)
-			fall(b, c, r)
+			resetConn(b, c, r)
 		}, 502, 1},
 		"silence":                             {"pay", hang, 502, 1},
-		"an answer that stops half-way, pure": {"look", say("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"), 200, 9},
-		"noise and no more, pure":             {"look", say("\xb9=\x17\xc0"), 200, 9},
-		"a command at fault is so anywhere":   {"look", say("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), 400, 1},
+		"an answer that stops half-way, pure": {"look", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"), 200, 9},
+		"noise and no more, pure":             {"look", respondWith("\xb9=\x17\xc0"), 200, 9},
+		"a command at fault is so anywhere":   {"look", respondWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), 400, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bad, at := (*toy)(nil), net.Listener(free)
+			bad, at := (*fakeBackend)(nil), net.Listener(free)
 			if c.do != nil {
-				bad = newToy(t, c.do)
+				bad = newFakeBackend(t, c.do)
 				at = bad
 			}
-			good := newToy(t, ok)
+			good := newFakeBackend(t, echo)
 			// The good backend comes up after the first command has met the other alone.
-			p := launch(t, 200, listing(1, true, ready("s-1", at)), nil)
-			both := decode(t, listing(2, true, ready("s-1", at), ready("s-2", good)))
+			p := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", at)), nil)
+			both := parseUpdate(t, endpointList(2, true, readyEndpoint("s-1", at), readyEndpoint("s-2", good)))
 			p.loop.After(0.1, func() { p.applyEndpoints(both) })
-			r := run(t, p)
+			r := runProxy(t, p)
 			for i := range 2 {
-				status, _, _ := r.caller(t).ask(text(c.verb, "Content-Length: 0\r\n"))
+				status, _, _ := r.dial(t).roundTrip(requestText(c.verb, "Content-Length: 0\r\n"))
 				time.Sleep(time.Duration(1-i) * 150 * time.Millisecond)
 				if i == 0 && status == 503 && c.status == 200 {
 					continue // all that was tried lay down: declined, which is harmless here
@@ -140,60 +140,60 @@
 func TestEnds(t *testing.T) {
 	t.Run("the relay of a client that is gone is called back", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, hang)
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-		c := p.caller(t)
-		io.WriteString(c, text("look"))
+		b := newFakeBackend(t, hang)
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+		c := p.dial(t)
+		io.WriteString(c, requestText("look"))
 		time.Sleep(50 * time.Millisecond)
 		c.Close()
 		select {
-		case <-b.ended:
+		case <-b.connEnded:
 		case <-time.After(time.Second):
 			t.Error("the backend still works for nobody")
 		}
 	})
 	t.Run("a command that nothing answers ends before its time limit, its connection with it", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, hang)
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
+		b := newFakeBackend(t, hang)
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
 		began := time.Now()
-		status, _, _ := p.caller(t).ask(strings.Replace(text("pay", "Content-Length: 0\r\n"), "2.5", "0.3", 1))
+		status, _, _ := p.dial(t).roundTrip(strings.Replace(requestText("pay", "Content-Length: 0\r\n"), "2.5", "0.3", 1))
 		if took := time.Since(began).Seconds(); status != 502 || took < 0.25 || took > 0.32 {
 			t.Errorf("status %d after %.3f s", status, took)
 		}
-		<-b.ended
+		<-b.connEnded
 	})
 	t.Run("a planned end takes what still comes for a while, finishes what is open, and lets nobody wait", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, func(b *toy, c net.Conn, r *http.Request) { time.Sleep(900 * time.Millisecond); ok(b, c, r) })
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-		open, idle := p.caller(t), p.caller(t)
-		io.WriteString(open, text("look"))
+		b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) { time.Sleep(900 * time.Millisecond); echo(b, c, r) })
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+		open, idle := p.dial(t), p.dial(t)
+		io.WriteString(open, requestText("look"))
 		time.Sleep(50 * time.Millisecond)
-		p.end()
+		p.requestShutdown()
 		time.Sleep(200 * time.Millisecond)
-		late := p.caller(t)
-		if status, _, _ := late.ask("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"); status != 503 {
+		late := p.dial(t)
+		if status, _, _ := late.roundTrip("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"); status != 503 {
 			t.Errorf("ready: %d", status)
 		}
-		later := p.caller(t)
-		io.WriteString(later, text("look"))
-		first, _, _ := open.read()
-		io.WriteString(open, text("look")) // the door is closed, but nobody else may be there to ask
-		second, _, _ := later.read()
-		third, _, h := open.read()
+		later := p.dial(t)
+		io.WriteString(later, requestText("look"))
+		first, _, _ := open.readAnswer()
+		io.WriteString(open, requestText("look")) // the door is closed, but nobody else may be there to ask
+		second, _, _ := later.readAnswer()
+		third, _, h := open.readAnswer()
 		if first != 200 || second != 200 || third != 200 || h.Get("Connection") != "close" {
 			t.Errorf("open %d, late %d, once more %d %v", first, second, third, h)
 		}
-		if status, _, _ := idle.read(); status != 0 {
+		if status, _, _ := idle.readAnswer(); status != 0 {
 			t.Errorf("idle: %d", status)
 		}
-		for _, c := range []*caller{open, late, later} {
+		for _, c := range []*testClient{open, late, later} {
 			c.Close()
 		}
 		select {
-		case err := <-p.ended:
-			p.ended <- err
+		case err := <-p.runResult:
+			p.runResult <- err
 			if err != nil {
 				t.Error(err)
 			}
@@ -206,14 +206,14 @@
 	})
 	t.Run("a planned end ends what can't be finished before the kill", func(t *testing.T) {
 		t.Parallel()
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", newToy(t, hang))), nil))
-		c := p.caller(t)
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, hang))), nil))
+		c := p.dial(t)
 		io.WriteString(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nContent-Length: 9\r\n\r\n") // never whole
 		time.Sleep(50 * time.Millisecond)
 		began := time.Now()
-		p.end()
-		p.ended <- <-p.ended
-		if took := time.Since(began).Seconds(); took > p.Proxy.end.plan.Last+0.1 {
+		p.requestShutdown()
+		p.runResult <- <-p.runResult
+		if took := time.Since(began).Seconds(); took > p.Proxy.shutdown.plan.DeclineIncomplete+0.1 {
 			t.Errorf("ended after %.2f s", took)
 		}
 	})
@@ -221,41 +221,41 @@
 
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
+	b := newFakeBackend(t, echo)
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
 	for name, c := range map[string]struct {
 		text   string
 		status int
 	}{
 		"malformed":           {"nonsense\r\n\r\n", 400},
-		"two lengths of body": {text("pay", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n"), 400},
-		"large head":          {text("look", "X: "+strings.Repeat("x", 17<<10)+"\r\n"), 431},
-		"large body":          {text("pay", "Content-Length: 40000000\r\n") + strings.Repeat("x", 70000), 413},
-		"tiny chunks, no end": {text("pay", "Transfer-Encoding: chunked\r\n") + strings.Repeat("1\r\nx\r\n", 3000), 408},
+		"two lengths of body": {requestText("pay", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n"), 400},
+		"large head":          {requestText("look", "X: "+strings.Repeat("x", 17<<10)+"\r\n"), 431},
+		"large body":          {requestText("pay", "Content-Length: 40000000\r\n") + strings.Repeat("x", 70000), 413},
+		"tiny chunks, no end": {requestText("pay", "Transfer-Encoding: chunked\r\n") + strings.Repeat("1\r\nx\r\n", 3000), 408},
 		"unknown verb":        {"GET /dance HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n", 404},
-		"two verbs":           {strings.Replace(text("pay", "Content-Length: 0\r\n"), "Req-Kind: pay", "Req-Kind: look", 1), 404},
+		"two verbs":           {strings.Replace(requestText("pay", "Content-Length: 0\r\n"), "Req-Kind: pay", "Req-Kind: look", 1), 404},
 		"unknown method":      {"DELETE /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n", 405},
 		"no path":             {"GET * HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n", 400},
 		"no id":               {"GET /look HTTP/1.1\r\nHost: a\r\n\r\n", 400},
-		"no mark":             {text("order", "Content-Length: 0\r\n"), 400},
-		"bad time limit":      {strings.Replace(text("look"), "2.5", "NaN", 1), 400},
-		"no time limit":       {strings.Replace(text("look"), "2.5", "inf", 1), 400},
-		"hexadecimal limit":   {strings.Replace(text("look"), "2.5", "0x2", 1), 400},
-		"years of patience":   {strings.Replace(text("look"), "2.5", "99999999999999", 1), 400},
-		"two ids":             {text("look", "Req-Id: 5\r\n"), 400},
-		"an id for one hop":   {text("look", "Connection: Req-Id\r\n"), 400},
-		"method of others":    {strings.Replace(text("pay"), "POST", "GET", 1), 400},
-		"body of a GET":       {text("look", "Content-Length: 1\r\n") + "x", 400},
-		"endless body":        {text("pay", "Content-Length: 60000000\r\n") + strings.Repeat("x", 60000000), 413},
+		"no mark":             {requestText("order", "Content-Length: 0\r\n"), 400},
+		"bad time limit":      {strings.Replace(requestText("look"), "2.5", "NaN", 1), 400},
+		"no time limit":       {strings.Replace(requestText("look"), "2.5", "inf", 1), 400},
+		"hexadecimal limit":   {strings.Replace(requestText("look"), "2.5", "0x2", 1), 400},
+		"years of patience":   {strings.Replace(requestText("look"), "2.5", "99999999999999", 1), 400},
+		"two ids":             {requestText("look", "Req-Id: 5\r\n"), 400},
+		"an id for one hop":   {requestText("look", "Connection: Req-Id\r\n"), 400},
+		"method of others":    {strings.Replace(requestText("pay"), "POST", "GET", 1), 400},
+		"body of a GET":       {requestText("look", "Content-Length: 1\r\n") + "x", 400},
+		"endless body":        {requestText("pay", "Content-Length: 60000000\r\n") + strings.Repeat("x", 60000000), 413},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn := p.caller(t)
+			conn := p.dial(t)
 			go io.WriteString(conn, c.text)
-			status, _, h := conn.read()
+			status, _, h := conn.readAnswer()
 			if status != c.status || h.Get("Connection") != "close" {
 				t.Errorf("%d %v, want %d", status, h, c.status)
 			}
-			if status, text, _ := conn.read(); status != 0 || strings.Contains(text, "reset") {
+			if status, text, _ := conn.readAnswer(); status != 0 || strings.Contains(text, "reset") {
 				t.Errorf("then %d %s: the connection must end, and well", status, text)
 			}
 		})
@@ -269,16 +269,16 @@
 func TestMoreThanAnAnswer(t *testing.T) {
 	t.Run("a second copy that comes late does not pass for the next answer", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, func(_ *toy, c net.Conn, r *http.Request) {
+		b := newFakeBackend(t, func(_ *fakeBackend, c net.Conn, r *http.Request) {
 			answer := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + r.URL.Query().Get("n")
 			io.WriteString(c, answer)
 			time.Sleep(3 * time.Millisecond)
 			io.WriteString(c, answer)
 		})
-		c := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil)).caller(t)
+		c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
 		for i := range 20 {
 			n := fmt.Sprint(i % 10)
-			if status, got, _ := c.ask(strings.Replace(text("look"), "sid=1", "n="+n, 1)); status != 200 || got != n {
+			if status, got, _ := c.roundTrip(strings.Replace(requestText("look"), "sid=1", "n="+n, 1)); status != 200 || got != n {
 				t.Fatalf("command %s was answered %d %s", n, status, got)
 			}
 			time.Sleep(time.Duration(i%5) * time.Millisecond)
@@ -286,13 +286,13 @@
 	})
 	t.Run("an interim answer may be long ahead of the answer", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+		b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 			io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 			time.Sleep(800 * time.Millisecond)
-			ok(b, c, r)
+			echo(b, c, r)
 		})
-		c := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil)).caller(t)
-		if status, _, _ := c.ask(text("pay", "Content-Length: 0\r\n")); status != 200 {
+		c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
+		if status, _, _ := c.roundTrip(requestText("pay", "Content-Length: 0\r\n")); status != 200 {
 			t.Errorf("answered %d", status)
 		}
 	})
@@ -300,22 +300,22 @@
 
 func TestOneID(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+	b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
-		ok(b, c, r)
+		echo(b, c, r)
 	})
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-	one, two := p.caller(t), p.caller(t)
-	same := text("pay", "Content-Length: 0\r\n")
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+	one, two := p.dial(t), p.dial(t)
+	same := requestText("pay", "Content-Length: 0\r\n")
 	io.WriteString(one, same)
 	time.Sleep(30 * time.Millisecond)
-	if status, _, _ := two.ask(same); status != 409 {
+	if status, _, _ := two.roundTrip(same); status != 409 {
 		t.Errorf("an id that is open: %d", status)
 	}
-	if status, _, _ := one.read(); status != 200 || b.commands.Load() != 1 {
+	if status, _, _ := one.readAnswer(); status != 200 || b.commands.Load() != 1 {
 		t.Errorf("its owner: %d, sent %d times", status, b.commands.Load())
 	}
-	if status, _, _ := p.caller(t).ask(same); status != 200 {
+	if status, _, _ := p.dial(t).roundTrip(same); status != 200 {
 		t.Errorf("an id that is open no more: %d", status)
 	}
 }
@@ -324,19 +324,19 @@
 func TestIdlers(t *testing.T) {
 	t.Run("silence and a trickle end in time", func(t *testing.T) {
 		t.Parallel()
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", newToy(t, ok))), nil))
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil))
 		began := time.Now()
-		quiet, slow := p.caller(t), p.caller(t)
+		quiet, slow := p.dial(t), p.dial(t)
 		go func() {
-			for _, b := range []byte(text("pay", "Content-Length: 9\r\n")) {
+			for _, b := range []byte(requestText("pay", "Content-Length: 9\r\n")) {
 				slow.Write([]byte{b})
 				time.Sleep(100 * time.Millisecond)
 			}
 		}()
-		if status, _, _ := quiet.read(); status != 0 {
+		if status, _, _ := quiet.readAnswer(); status != 0 {
 			t.Errorf("silence was answered %d", status)
 		}
-		if status, _, _ := slow.read(); status != 408 {
+		if status, _, _ := slow.readAnswer(); status != 408 {
 			t.Errorf("a trickle was answered %d", status)
 		}
 		if took := time.Since(began); took > 2900*time.Millisecond {
@@ -345,17 +345,17 @@
 	})
 	t.Run("hundreds that say nothing do not crowd out who has said something", func(t *testing.T) {
 		t.Parallel()
-		p := run(t, launch(t, 60, listing(1, true, ready("s-1", newToy(t, ok))), nil))
-		usual := p.caller(t)
-		usual.ask(text("look"))
+		p := runProxy(t, newTestProxy(t, 60, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil))
+		usual := p.dial(t)
+		usual.roundTrip(requestText("look"))
 		for range 200 {
-			p.caller(t)
+			p.dial(t)
 		}
 		began := time.Now()
-		if status, text, _ := p.caller(t).ask(text("look")); status != 200 || time.Since(began) > 2*time.Second {
+		if status, text, _ := p.dial(t).roundTrip(requestText("look")); status != 200 || time.Since(began) > 2*time.Second {
 			t.Errorf("a new client: %d %s after %s", status, text, time.Since(began))
 		}
-		if status, text, _ := usual.ask(text("look")); status != 200 {
+		if status, text, _ := usual.roundTrip(requestText("look")); status != 200 {
 			t.Errorf("the usual client: %d %s", status, text)
 		}
 	})
@@ -364,18 +364,18 @@
 // Those who asked once and stay hold all places but a few: these must not be all that is left for new ones.
 func TestStayers(t *testing.T) {
 	t.Parallel()
-	p := run(t, launch(t, 60, listing(1, true, ready("s-1", newToy(t, ok))), nil))
+	p := runProxy(t, newTestProxy(t, 60, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil))
 	for range 24 {
-		if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Fatalf("one that stays: %d", status)
 		}
 	}
-	time.Sleep(settled * 1e9)
+	time.Sleep(minIdleSeconds * 1e9)
 	for range 200 {
-		p.caller(t)
+		p.dial(t)
 	}
 	began := time.Now()
-	if status, text, _ := p.caller(t).ask(text("look")); status != 200 || time.Since(began) > 1500*time.Millisecond {
+	if status, text, _ := p.dial(t).roundTrip(requestText("look")); status != 200 || time.Since(began) > 1500*time.Millisecond {
 		t.Errorf("a new client: %d %s after %s", status, text, time.Since(began))
 	}
 }
@@ -386,23 +386,23 @@
 	for name, asks := range map[string]string{"commands": "", "readiness": "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := launch(t, 100, listing(1, true, ready("s-1", newToy(t, ok))), nil)
+			p := newTestProxy(t, 100, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil)
 			made, usual := make(chan bool, 1), make(chan int, 1)
 			p.loop.After(0.6, func() {
-				made <- p.makeWay()
-				usual <- p.clients.in[rested].Len()
+				made <- p.evictClient()
+				usual <- p.clients.byState[stateIdle].Len()
 			})
-			r := run(t, p)
+			r := runProxy(t, p)
 			for range 6 {
 				if asks == "" {
-					r.caller(t).ask(text("look"))
+					r.dial(t).roundTrip(requestText("look"))
 				} else {
-					r.caller(t).ask(asks)
+					r.dial(t).roundTrip(asks)
 				}
 			}
-			r.caller(t).ask(text("look"))
+			r.dial(t).roundTrip(requestText("look"))
 			time.Sleep(500 * time.Millisecond)
-			r.caller(t) // says nothing
+			r.dial(t) // says nothing
 			if !<-made {
 				t.Error("none made way")
 			}
@@ -415,14 +415,14 @@
 
 func TestMemory(t *testing.T) {
 	t.Parallel()
-	l := launch(t, 200, listing(1, true, ready("s-1", newToy(t, ok))), nil)
-	l.loop.Most = 64 << 10
-	p := run(t, l)
-	large := text("pay", "Content-Length: 60000\r\n")
-	if status, got, _ := p.caller(t).ask(large + strings.Repeat("x", 60000)); status != 200 || len(got) != 60005 {
+	l := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil)
+	l.loop.MaxBufferBytes = 64 << 10
+	p := runProxy(t, l)
+	large := requestText("pay", "Content-Length: 60000\r\n")
+	if status, got, _ := p.dial(t).roundTrip(large + strings.Repeat("x", 60000)); status != 200 || len(got) != 60005 {
 		t.Errorf("a body past the memory for all is passed on as it comes: %d, %d bytes", status, len(got))
 	}
-	if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+	if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 		t.Errorf("the next: %d", status)
 	}
 }
@@ -430,52 +430,52 @@
 func TestDescriptors(t *testing.T) {
 	t.Run("connections that rest make way for one with a command", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, ok)
-		p := run(t, launch(t, 40, listing(1, true, ready("s-1", b)), nil))
+		b := newFakeBackend(t, echo)
+		p := runProxy(t, newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", b)), nil))
 		for range 60 {
-			p.caller(t)
+			p.dial(t)
 		}
 		time.Sleep(1200 * time.Millisecond) // the first have had time to say something, and those that waited, too
-		if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Errorf("answered %d", status)
 		}
 	})
 	t.Run("past the clients' part a command is declined, not left waiting", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, hang)
-		l := launch(t, 40, listing(1, true, ready("s-1", b)), nil)
-		l.clients.part = 3
-		p := run(t, l)
-		for i := range l.clients.most + 5 {
-			c := p.caller(t)
+		b := newFakeBackend(t, hang)
+		l := newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", b)), nil)
+		l.clients.quota = 3
+		p := runProxy(t, l)
+		for i := range l.clients.limit + 5 {
+			c := p.dial(t)
 			if i < 3 {
-				io.WriteString(c, text("pay", "Content-Length: 0\r\n"))
+				io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
 			} else {
-				io.WriteString(c, text("pay")[:50]) // begun and not gone on with
+				io.WriteString(c, requestText("pay")[:50]) // begun and not gone on with
 			}
 		}
 		time.Sleep(600 * time.Millisecond)
 		for range 30 {
 			began := time.Now()
-			if status, _, _ := p.caller(t).ask(text("look")); status != 503 || time.Since(began) > time.Second/2 {
+			if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 503 || time.Since(began) > time.Second/2 {
 				t.Errorf("answered %d after %s", status, time.Since(began))
 			}
 		}
 	})
 	t.Run("a connection with a command that is not read yet is none that rests", func(t *testing.T) {
 		t.Parallel()
-		p := launch(t, 40, listing(1, true, ready("s-1", newToy(t, ok))), nil)
-		var callers []*caller
-		r := &running{Proxy: p}
+		p := newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil)
+		var callers []*testClient
+		r := &testProxy{Proxy: p}
 		for range 60 { // all are there before the loop first looks
-			c := r.caller(t)
-			io.WriteString(c, text("look"))
+			c := r.dial(t)
+			io.WriteString(c, requestText("look"))
 			callers = append(callers, c)
 		}
-		run(t, p)
+		runProxy(t, p)
 		got := map[int]int{}
 		for _, c := range callers {
-			status, _, _ := c.read()
+			status, _, _ := c.readAnswer()
 			got[status]++
 			c.Close()
 		}
@@ -485,10 +485,10 @@
 	})
 	t.Run("without a descriptor for a backend a relay is never sent, and that harms no backend", func(t *testing.T) {
 		t.Parallel()
-		p := launch(t, 40, listing(1, true, ready("s-1", newToy(t, hang))), nil)
-		p.backends.most = 0
-		r := run(t, p)
-		if status, _, _ := r.caller(t).ask(text("pay", "Content-Length: 0\r\n")); status != 503 {
+		p := newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, hang))), nil)
+		p.backends.maxConns = 0
+		r := runProxy(t, p)
+		if status, _, _ := r.dial(t).roundTrip(requestText("pay", "Content-Length: 0\r\n")); status != 503 {
 			t.Errorf("answered %d", status)
 		}
 	})
@@ -496,32 +496,32 @@
 
 // An effectful command that meets a dead connection is lost to its client, so none may be used.
 func TestPool(t *testing.T) {
-	pay := text("pay", "Content-Length: 0\r\n")
+	pay := requestText("pay", "Content-Length: 0\r\n")
 	for name, c := range map[string]struct {
-		do      func(*toy, net.Conn, *http.Request)
-		between func(p *Proxy, b *toy)
+		do      func(*fakeBackend, net.Conn, *http.Request)
+		between func(p *Proxy, b *fakeBackend)
 		conns   int32
 	}{
-		"kept":                    {ok, func(*Proxy, *toy) {}, 1},
-		"ended by the backend":    {func(b *toy, c net.Conn, r *http.Request) { ok(b, c, r); c.Close() }, func(*Proxy, *toy) {}, 2},
-		"ended with word of it":   {say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"), func(*Proxy, *toy) {}, 2},
-		"more than was asked for": {say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nmore"), func(*Proxy, *toy) {}, 2},
-		"near its idle limit":     {ok, func(p *Proxy, _ *toy) { p.links.Idle = 0.05 }, 2},
-		"of a process that was replaced": {ok, func(p *Proxy, b *toy) {
-			l := ready("s-1", b)
+		"kept":                    {echo, func(*Proxy, *fakeBackend) {}, 1},
+		"ended by the backend":    {func(b *fakeBackend, c net.Conn, r *http.Request) { echo(b, c, r); c.Close() }, func(*Proxy, *fakeBackend) {}, 2},
+		"ended with word of it":   {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"), func(*Proxy, *fakeBackend) {}, 2},
+		"more than was asked for": {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nmore"), func(*Proxy, *fakeBackend) {}, 2},
+		"near its idle limit":     {echo, func(p *Proxy, _ *fakeBackend) { p.network.BackendIdleTimeout = 0.05 }, 2},
+		"of a process that was replaced": {echo, func(p *Proxy, b *fakeBackend) {
+			l := readyEndpoint("s-1", b)
 			l["since_ms"] = 1000
-			p.applyEndpoints(decode(t, listing(2, false, l)))
+			p.applyEndpoints(parseUpdate(t, endpointList(2, false, l)))
 		}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newToy(t, c.do)
-			p := launch(t, 200, listing(1, true, ready("s-1", b)), nil)
+			b := newFakeBackend(t, c.do)
+			p := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)
 			p.loop.After(0.1, func() { c.between(p, b) })
-			r := run(t, p)
-			one := r.caller(t)
+			r := runProxy(t, p)
+			one := r.dial(t)
 			for range 2 {
-				if status, _, _ := one.ask(pay); status != 200 {
+				if status, _, _ := one.roundTrip(pay); status != 200 {
 					t.Errorf("answered %d", status)
 				}
 				time.Sleep(150 * time.Millisecond)
@@ -535,22 +535,22 @@
 
 func TestSlowClients(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+	b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n%s", strings.Repeat("x", 60000))
 	})
-	p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-	slow, greedy := p.caller(t), p.caller(t)
-	io.WriteString(slow, text("pay", "Content-Length: 9\r\n")+"half")
-	go io.WriteString(greedy, strings.Repeat(text("look"), 200)) // and reads nothing
-	if status, _, _ := slow.read(); status != 408 {
+	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+	slow, greedy := p.dial(t), p.dial(t)
+	io.WriteString(slow, requestText("pay", "Content-Length: 9\r\n")+"half")
+	go io.WriteString(greedy, strings.Repeat(requestText("look"), 200)) // and reads nothing
+	if status, _, _ := slow.readAnswer(); status != 408 {
 		t.Errorf("a command that never gets whole: %d", status)
 	}
 	time.Sleep(time.Second)
-	if status, _, _ := p.caller(t).ask("GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n"); status != 200 {
+	if status, _, _ := p.dial(t).roundTrip("GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n"); status != 200 {
 		t.Errorf("the others: %d", status)
 	}
-	p.end()
-	p.ended <- <-p.ended
+	p.requestShutdown()
+	p.runResult <- <-p.runResult
 	if n := b.commands.Load(); n > 150 {
 		t.Errorf("%d answers piled up for a client that reads none", n)
 	}
@@ -559,14 +559,14 @@
 func TestDrain(t *testing.T) {
 	t.Run("nothing is written on a connection that comes up after its backend began to drain", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, ok)
-		p := launch(t, 40, listing(1, true, ready("s-1", b)), nil)
+		b := newFakeBackend(t, echo)
+		p := newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", b)), nil)
 		target := p.backends.byName["s-1"]
-		p.start(&relay{cmd: &command{id: 1, out: 1}, to: target, sent: p.loop.Now()})
-		draining := ready("s-1", b)
+		p.sendRelay(&relay{cmd: &command{id: 1, openRelays: 1}, backend: target, sentAt: p.loop.Now()})
+		draining := readyEndpoint("s-1", b)
 		draining["status"] = "draining"
-		p.applyEndpoints(decode(t, listing(2, false, draining)))
-		run(t, p)
+		p.applyEndpoints(parseUpdate(t, endpointList(2, false, draining)))
+		runProxy(t, p)
 		time.Sleep(100 * time.Millisecond)
 		if b.conns.Load() != 1 || b.commands.Load() != 0 {
 			t.Errorf("%d connections, %d commands", b.conns.Load(), b.commands.Load())
@@ -574,13 +574,13 @@
 	})
 	t.Run("an id comes from the name alone, and two names never share one", func(t *testing.T) {
 		t.Parallel()
-		s := backends{byID: map[balance.BackendID]*target{}}
-		a := s.idOf("s-1")
-		if a != s.idOf("s-1") {
+		s := backendPool{byID: map[balance.BackendID]*backend{}}
+		a := s.assignID("s-1")
+		if a != s.assignID("s-1") {
 			t.Error("the same name, another id")
 		}
-		s.byID[a] = &target{}
-		if a == s.idOf("s-1") {
+		s.byID[a] = &backend{}
+		if a == s.assignID("s-1") {
 			t.Error("an id that is taken was given again")
 		}
 	})
@@ -590,7 +590,7 @@
 	t.Parallel()
 	good := `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "limits": {"sockets": 100},
 		"settings": ` + settingsText + `}`
-	if l, err := Read([]byte(good)); err != nil || Check(l) != nil {
+	if l, err := ParseConfig([]byte(good)); err != nil || Check(l) != nil {
 		t.Fatalf("a good one: %v %v", err, Check(l))
 	}
 	for name, change := range map[string][2]string{
@@ -604,7 +604,7 @@
 		"1e999":                       {`"cold_ms": 7400`, `"cold_ms": 1e999`}, "peers of type bool": {`"cancel"`, `"peers": 1, "cancel"`},
 		"0 addresses for 1": {`"cancel"`, `"peers": true, "cancel"`},
 	} {
-		l, err := Read([]byte(strings.Replace(good, change[0], change[1], 1)))
+		l, err := ParseConfig([]byte(strings.Replace(good, change[0], change[1], 1)))
 		if err == nil {
 			err = Check(l)
 		}
@@ -615,35 +615,35 @@
 }
 
 // discovery writes to each watch what its story says and keeps it open until the test ends.
-func discovery(t *testing.T, story func(n int, c net.Conn, r *http.Request)) net.Listener {
-	l, _ := on(t, func(n int, c net.Conn, r *http.Request) {
+func fakeDiscovery(t *testing.T, story func(n int, c net.Conn, r *http.Request)) net.Listener {
+	l, _ := newWatchServer(t, func(n int, c net.Conn, r *http.Request) {
 		io.WriteString(c, chunkedHead)
 		story(n, c, r)
 	})
 	return l
 }
 
-func chunk(c net.Conn, text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
+func writeChunk(c net.Conn, text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
 func TestDiscovery(t *testing.T) {
 	t.Run("not ready before a list, ready with one in pieces, and a backend gone gets nothing", func(t *testing.T) {
 		t.Parallel()
-		a, b := newToy(t, ok), newToy(t, ok)
+		a, b := newFakeBackend(t, echo), newFakeBackend(t, echo)
 		step := make(chan bool)
-		d := discovery(t, func(n int, c net.Conn, _ *http.Request) {
+		d := fakeDiscovery(t, func(n int, c net.Conn, _ *http.Request) {
 			<-step
-			l := listing(7, true, ready("s-a", a), ready("s-b", b)) + "\n\n"
-			chunk(c, l[:20])
-			chunk(c, l[20:])
+			l := endpointList(7, true, readyEndpoint("s-a", a), readyEndpoint("s-b", b)) + "\n\n"
+			writeChunk(c, l[:20])
+			writeChunk(c, l[20:])
 			<-step
-			chunk(c, listing(8, false, line{"name": "s-a", "status": "gone"})+"\n")
+			writeChunk(c, endpointList(8, false, jsonObject{"name": "s-a", "status": "gone"})+"\n")
 			<-step
 		})
-		p := run(t, launch(t, 200, "", d))
+		p := runProxy(t, newTestProxy(t, 200, "", d))
 		is := func(want int) {
 			t.Helper()
 			time.Sleep(50 * time.Millisecond)
-			if status, _, _ := p.caller(t).ask("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"); status != want {
+			if status, _, _ := p.dial(t).roundTrip("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"); status != want {
 				t.Errorf("ready says %d, want %d", status, want)
 			}
 		}
@@ -653,7 +653,7 @@
 		step <- true
 		is(200)
 		for range 10 {
-			if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+			if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 				t.Errorf("answered %d", status)
 			}
 		}
@@ -664,54 +664,54 @@
 	})
 	t.Run("a watch that ends or says nothing is opened again where it was, and the list is kept", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, ok)
+		b := newFakeBackend(t, echo)
 		asked := make(chan string, 9)
-		d := discovery(t, func(n int, c net.Conn, r *http.Request) {
+		d := fakeDiscovery(t, func(n int, c net.Conn, r *http.Request) {
 			asked <- r.RequestURI
 			switch n {
 			case 1:
-				chunk(c, listing(7, true, ready("s-b", b))+"\n")
+				writeChunk(c, endpointList(7, true, readyEndpoint("s-b", b))+"\n")
 				c.Close()
 			case 2:
-				chunk(c, "not json\n")
+				writeChunk(c, "not json\n")
 			default:
 				time.Sleep(time.Second * 7)
 			}
 		})
-		p := run(t, launch(t, 200, listing(3, true, ready("s-b", b)), d))
+		p := runProxy(t, newTestProxy(t, 200, endpointList(3, true, readyEndpoint("s-b", b)), d))
 		for _, want := range []string{"3", "7", "7", "7"} {
-			wants(t, asked, "/api/targets?follow=1&since="+want)
+			wantWatchRequest(t, asked, "/api/targets?follow=1&since="+want)
 		}
-		if status, _, _ := p.caller(t).ask(text("look")); status != 200 {
+		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Errorf("answered %d", status)
 		}
 	})
 	t.Run("a new configuration turns the watch to another address, and what was known stays", func(t *testing.T) {
 		t.Parallel()
-		b, c := newToy(t, ok), newToy(t, ok)
+		b, c := newFakeBackend(t, echo), newFakeBackend(t, echo)
 		left, asked := make(chan bool), make(chan string, 1)
-		first := discovery(t, func(_ int, conn net.Conn, _ *http.Request) {
-			chunk(conn, listing(7, true, ready("s-b", b))+"\n")
+		first := fakeDiscovery(t, func(_ int, conn net.Conn, _ *http.Request) {
+			writeChunk(conn, endpointList(7, true, readyEndpoint("s-b", b))+"\n")
 			conn.Read(make([]byte, 1))
 			close(left)
 		})
-		second := discovery(t, func(_ int, conn net.Conn, r *http.Request) {
+		second := fakeDiscovery(t, func(_ int, conn net.Conn, r *http.Request) {
 			asked <- r.RequestURI
 			time.Sleep(200 * time.Millisecond)
-			chunk(conn, listing(2, true, ready("s-c", c))+"\n")
+			writeChunk(conn, endpointList(2, true, readyEndpoint("s-c", c))+"\n")
 			time.Sleep(time.Second)
 		})
-		p := run(t, launch(t, 200, "", first))
+		p := runProxy(t, newTestProxy(t, 200, "", first))
 		time.Sleep(100 * time.Millisecond)
-		caller := p.caller(t)
+		caller := p.dial(t)
 		ask := func() {
 			t.Helper()
-			if status, _, _ := caller.ask(text("look")); status != 200 {
+			if status, _, _ := caller.roundTrip(requestText("look")); status != 200 {
 				t.Errorf("answered %d", status)
 			}
 		}
 		ask()
-		p.Reload(config("", second, settingsText))
+		p.Reload(testConfig("", second, settingsText))
 		select {
 		case <-left:
 		case <-time.After(time.Second):
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -29,7 +29,7 @@
 	began := time.Now()
 	for tries := 0; ; tries++ {
 		err := step()
-		if err == nil || !loop.Transient(err) || time.Since(began) > startRetryFor {
+		if err == nil || !loop.IsTransient(err) || time.Since(began) > startRetryFor {
 			return err
 		}
 		if tries == 0 {
@@ -45,20 +45,20 @@
 
 // listen opens the clients' listener, or takes the inherited one over.
 func (p *Proxy) listen(ctx context.Context, at netip.AddrPort) error {
-	fd, err := inherited(p.launch.Socket)
+	fd, err := parseSocketFD(p.startConfig.Socket)
 	if err != nil {
 		return err
 	}
 	if fd < 0 {
 		return startStep(ctx, func() (err error) {
-			p.listener, err = p.loop.Listen(at, http1.MaxMessage, p.roomForClient, p.accept, p.starved)
+			p.listener, err = p.loop.Listen(at, http1.MaxBufferedCommand, p.roomForClient, p.accept, p.onDescriptorShortage)
 			return err
 		})
 	}
-	if p.listener, err = p.loop.Adopt(fd, at, http1.MaxMessage, p.roomForClient, p.accept, p.starved); err != nil {
+	if p.listener, err = p.loop.ListenInherited(fd, at, http1.MaxBufferedCommand, p.roomForClient, p.accept, p.onDescriptorShortage); err != nil {
 		return fmt.Errorf("socket: %w", err)
 	}
-	p.handover.path = meetAt(p.listener.At.String())
+	p.handover.path = handoverSocketPath(p.listener.Address.String())
 	return nil
 }
 
@@ -66,7 +66,7 @@
 // then it is taken once that has let it go.
 func (p *Proxy) openPeers(ctx context.Context) error {
 	return startStep(ctx, func() error {
-		err := p.joinPeers(p.peers)
+		err := p.applyPeers(p.peers)
 		if p.handover.path != "" && errors.Is(err, unix.EADDRINUSE) {
 			return nil
 		}
--- a/internal/proxy/starts.go
+++ b/internal/proxy/starts.go
@@ -28,7 +28,7 @@
 // that long ago: the list is believed only as far as an error does no harm. In the first list, which may be old, only the
 // list itself says when.
 func (p *Proxy) startOf(name string, sinceMs float64) float64 {
-	if known, ok := p.starts[name]; ok && known.sinceMs == sinceMs {
+	if known, ok := p.startTimes[name]; ok && known.sinceMs == sinceMs {
 		return known.started
 	}
 	started, now := sinceMs/1000, p.loop.Now()
@@ -36,18 +36,18 @@
 		started = min(started, now)
 	}
 	if sinceMs > 0 && p.watch.listReceived {
-		started = max(started, now-p.balancer.StartCredit())
+		started = max(started, now-p.balancer.MaxTrustedAge())
 	}
-	p.starts[name] = incarnation{sinceMs, started}
+	p.startTimes[name] = incarnation{sinceMs, started}
 	return started
 }
 
 // forgetStarts drops what is remembered of backends that are not listed, once that is much.
 func (p *Proxy) forgetStarts() {
-	if len(p.starts) <= len(p.backends.byName)+departedStarts {
+	if len(p.startTimes) <= len(p.backends.byName)+departedStarts {
 		return
 	}
-	maps.DeleteFunc(p.starts, func(name string, _ incarnation) bool { return p.backends.byName[name] == nil })
+	maps.DeleteFunc(p.startTimes, func(name string, _ incarnation) bool { return p.backends.byName[name] == nil })
 }
 
 // ages are for how many seconds the listed backends' processes have run, and since when backends were uncordoned, of all
@@ -61,11 +61,11 @@
 	now := p.loop.Now()
 	a := &ages{Starts: map[string]float64{}, Back: map[string]float64{}}
 	for name := range p.backends.byName {
-		if age := now - p.starts[name].started; age < agesMost {
+		if age := now - p.startTimes[name].started; age < agesMost {
 			a.Starts[name] = age
 		}
 	}
-	for name, back := range p.maintenance.Back {
+	for name, back := range p.maintenance.Uncordoned {
 		if age := now - back; age < agesMost {
 			a.Back[name] = age
 		}
@@ -78,36 +78,36 @@
 func (p *Proxy) takeAges(a *ages, list *endpointUpdate, elapsed float64) {
 	now := p.loop.Now()
 	if a == nil {
-		for name, back := range p.maintenance.Back {
-			p.maintenance.Back[name] = min(back, now)
+		for name, back := range p.maintenance.Uncordoned {
+			p.maintenance.Uncordoned[name] = min(back, now)
 		}
 		return
 	}
-	p.maintenance.Back = map[string]float64{}
+	p.maintenance.Uncordoned = map[string]float64{}
 	for name, age := range a.Back {
-		p.maintenance.Back[name] = now - age - elapsed
+		p.maintenance.Uncordoned[name] = now - age - elapsed
 	}
 	if list == nil {
 		return
 	}
 	for _, e := range list.Endpoints {
-		if own, known := p.starts[e.Name]; known && own.sinceMs != e.SinceMs {
+		if own, known := p.startTimes[e.Name]; known && own.sinceMs != e.SinceMs {
 			continue // started anew since
 		}
 		next := incarnation{sinceMs: e.SinceMs}
 		if age, young := a.Starts[e.Name]; young {
 			next.started = now - age - elapsed
 		}
-		p.starts[e.Name] = next
-		if t := p.backends.byName[e.Name]; t != nil && t.since == e.SinceMs {
-			t.listed.Started = next.started
+		p.startTimes[e.Name] = next
+		if t := p.backends.byName[e.Name]; t != nil && t.sinceMs == e.SinceMs {
+			t.listed.StartedAt = next.started
 		}
 	}
 }
 
 // elapsedSince is for how long a snapshot lay. Across a start of the machine that is not known by any clock that can be
 // trusted: none of it counts then.
-func elapsedSince(saved boottime.Mark) float64 {
+func elapsedSince(saved boottime.Time) float64 {
 	seconds, _ := boottime.Now().Since(saved)
 	return seconds
 }
--- a/internal/proxy/starts_test.go
+++ b/internal/proxy/starts_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sandpass/internal/loop"
-	"sandpass/internal/warm"
+	"sandpass/internal/snapshot"
 )
 
 // offClock has proxies that are made from now on take the wall clock for so many seconds off.
@@ -22,8 +22,8 @@
 }
 
 // started is a list entry whose process started so many seconds ago by the true clock.
-func started(name string, b *toy, ago float64) line {
-	l := ready(name, b)
+func started(name string, b *fakeBackend, ago float64) jsonObject {
+	l := readyEndpoint(name, b)
 	l["since_ms"] = time.Now().UnixMilli() - int64(1000*ago)
 	return l
 }
@@ -32,13 +32,13 @@
 func agesOf(p *Proxy) map[string]float64 {
 	all := map[string]float64{}
 	for name, t := range p.backends.byName {
-		all[name] = p.loop.Now() - p.maintenance.applyTo(name, t.listed).Started
+		all[name] = p.loop.Now() - p.maintenance.applyTo(name, t.listed).StartedAt
 	}
 	return all
 }
 
 // made is a proxy that does not run: its loop is the test's own goroutine.
-func made(t *testing.T, l *Launch) *Proxy {
+func newUnstartedProxy(t *testing.T, l *Config) *Proxy {
 	t.Helper()
 	p, err := New(l)
 	if err != nil {
@@ -51,19 +51,19 @@
 // What a process knows of starts and uncordons holds for the next one by real time, also where the wall clock was stepped in
 // between. Not parallel: the clock is every loop's.
 func TestAgesOutliveAStepOfTheClock(t *testing.T) {
-	a, b := newToy(t, ok), newToy(t, ok)
-	known := listing(7, true, started("s-old", a, 7200), started("s-young", b, 3), ready("s-uncordoned", a))
+	a, b := newFakeBackend(t, echo), newFakeBackend(t, echo)
+	known := endpointList(7, true, started("s-old", a, 7200), started("s-young", b, 3), readyEndpoint("s-uncordoned", a))
 	for _, step := range []float64{0, 10, -10, 3600, -3600} {
 		dir := t.TempDir()
-		p := made(t, keeping(dir, known))
-		p.handover.met = true
-		p.keepSnapshots()
+		p := newUnstartedProxy(t, keeping(dir, known))
+		p.handover.done = true
+		p.startSnapshots()
 		was := agesOf(p)
 		p.cordon("s-uncordoned")
 		p.uncordon("s-uncordoned")
 		p.saveLastSnapshot()
 		offClock(t, step)
-		is := agesOf(made(t, keeping(dir, known)))
+		is := agesOf(newUnstartedProxy(t, keeping(dir, known)))
 		if is["s-young"] < was["s-young"] || is["s-young"] > was["s-young"]+1 || is["s-uncordoned"] > 1 || is["s-uncordoned"] < 0 || is["s-old"] < 3600 {
 			t.Errorf("clock off by %.0f s: %v after %v", step, is, was)
 		}
@@ -73,9 +73,9 @@
 
 // The same over an upgrade, from one process to the next, and of a process that tells no ages.
 func TestAgesAreHandedOverByRealTime(t *testing.T) {
-	a, b := newToy(t, ok), newToy(t, ok)
-	known := listing(7, true, started("s-old", a, 7200), started("s-young", b, 3), ready("s-uncordoned", a))
-	p := made(t, config(known, nil, settingsText))
+	a, b := newFakeBackend(t, echo), newFakeBackend(t, echo)
+	known := endpointList(7, true, started("s-old", a, 7200), started("s-young", b, 3), readyEndpoint("s-uncordoned", a))
+	p := newUnstartedProxy(t, testConfig(known, nil, settingsText))
 	p.cordon("s-uncordoned")
 	p.uncordon("s-uncordoned")
 	text, err := json.Marshal(p.handoverState())
@@ -88,13 +88,13 @@
 		if json.Unmarshal(text, &state) != nil || json.Unmarshal(text, &earlier) != nil {
 			t.Fatalf("%s", text)
 		}
-		next := made(t, config("", nil, settingsText))
+		next := newUnstartedProxy(t, testConfig("", nil, settingsText))
 		next.takeOver(&state, 0)
 		if is := agesOf(next); math.Abs(is["s-young"]-3) > 1 || math.Abs(is["s-uncordoned"]) > 1 || is["s-old"] < 3600 {
 			t.Errorf("clock off by %.0f s: %v", step, is)
 		}
 		earlier.Ages = nil
-		old := made(t, config("", nil, settingsText))
+		old := newUnstartedProxy(t, testConfig("", nil, settingsText))
 		old.takeOver(&earlier, 0)
 		for name, age := range agesOf(old) {
 			if age < 0 {
@@ -106,40 +106,40 @@
 
 // A backend that a list leaves out and names again is no new process; one that comes with another start is.
 func TestABackendThatIsListedAgainIsNoNewProcess(t *testing.T) {
-	a := newToy(t, ok)
-	p := made(t, config("", nil, settingsText))
+	a := newFakeBackend(t, echo)
+	p := newUnstartedProxy(t, testConfig("", nil, settingsText))
 	apply := func(text string) {
-		u := decode(t, text)
+		u := parseUpdate(t, text)
 		p.applyEndpoints(u)
 		p.watch.listReceived = true
 	}
-	age := func() float64 { return p.loop.Now() - p.backends.byName["s-a"].listed.Started }
+	age := func() float64 { return p.loop.Now() - p.backends.byName["s-a"].listed.StartedAt }
 	first, again := started("s-a", a, 100), started("s-a", a, 50)
-	apply(listing(1, true, first, ready("s-b", a)))
-	apply(listing(2, true, ready("s-b", a)))
-	apply(listing(3, true, first, ready("s-b", a)))
+	apply(endpointList(1, true, first, readyEndpoint("s-b", a)))
+	apply(endpointList(2, true, readyEndpoint("s-b", a)))
+	apply(endpointList(3, true, first, readyEndpoint("s-b", a)))
 	if got := age(); got < 100 || got > 110 {
 		t.Errorf("listed again: %.1f s old", got)
 	}
-	apply(listing(4, false, again))
+	apply(endpointList(4, false, again))
 	if got := age(); got > 5 {
 		t.Errorf("a new process: %.1f s old", got)
 	}
 	for i := range 3 * departedStarts {
 		p.startOf(string(rune('a'+i%26))+time.Duration(i).String(), 1000)
 	}
-	if p.forgetStarts(); len(p.starts) > len(p.backends.byName) {
-		t.Errorf("%d starts are remembered", len(p.starts))
+	if p.forgetStarts(); len(p.startTimes) > len(p.backends.byName) {
+		t.Errorf("%d starts are remembered", len(p.startTimes))
 	}
 }
 
 // A snapshot of an earlier version tells neither ages nor when it was written but by the wall clock.
 func TestASnapshotWithoutAgesIsTaken(t *testing.T) {
-	a := newToy(t, ok)
+	a := newFakeBackend(t, echo)
 	dir := t.TempDir()
 	now := float64(time.Now().UnixMilli()) / 1000
 	for name, saved := range map[string]float64{"earlier": now - 5, "the future": now + 3600} {
-		text, err := warm.Encode(&warm.State{Fleet: "shop", Name: "n0", Saved: saved, List: json.RawMessage(listing(9, true, ready("s-a", a))),
+		text, err := snapshot.Encode(&snapshot.State{Fleet: "shop", Name: "n0", SavedUnix: saved, Endpoints: json.RawMessage(endpointList(9, true, readyEndpoint("s-a", a))),
 			Maintenance: json.RawMessage(`{"out":{},"back":{"s-a":` + strconv.FormatFloat(saved, 'f', 3, 64) + `}}`)})
 		if err != nil {
 			t.Fatal(err)
@@ -147,7 +147,7 @@
 		if err := os.WriteFile(filepath.Join(dir, "n0.state"), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := agesOf(made(t, keeping(dir, "")))["s-a"]; got < 0 || got > 10 {
+		if got := agesOf(newUnstartedProxy(t, keeping(dir, "")))["s-a"]; got < 0 || got > 10 {
 			t.Errorf("%s: uncordoned %.1f s ago", name, got)
 		}
 	}
--- a/internal/proxy/stood.go
+++ b/internal/proxy/stood.go
@@ -11,22 +11,22 @@
 // by no backend's fault.
 func (p *Proxy) afterStall(by float64) {
 	now, dropped := p.loop.Now(), 0
-	p.watch.Look()
-	if p.peers.sock != nil {
-		dropped = p.peers.sock.Drop()
+	p.watch.ReadPending()
+	if p.peers.socket != nil {
+		dropped = p.peers.socket.DiscardPending()
 	}
-	p.balancer.Stood(now)
+	p.balancer.Stalled(now)
 	if len(p.commands) > 0 || dropped > 0 {
 		log.Printf("msg=stood_still seconds=%.3f open=%d notes_dropped=%d", by, len(p.commands), dropped)
 	}
 }
 
 // waited is for how long a command that is read now has been there already.
-func (c *client) waited() float64 {
-	if !c.p.loop.Slept() {
+func (c *clientConn) waited() float64 {
+	if !c.p.loop.PollDelayed() {
 		return 0
 	}
-	if age := c.conn.Age(); age > ageFrom {
+	if age := c.conn.LastReceiveAge(); age > ageFrom {
 		return age
 	}
 	return 0
--- a/internal/proxy/stood_test.go
+++ b/internal/proxy/stood_test.go
@@ -13,31 +13,31 @@
 // given up were relayed, and answers came after their limit.
 func TestWhatCameWhileItStoodStillIsAsOldAsItIs(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
-	r := run(t, launch(t, 200, listing(1, true, ready("s-a", b)), nil))
+	b := newFakeBackend(t, echo)
+	r := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-a", b)), nil))
 	time.Sleep(600 * time.Millisecond)
-	short, long := r.caller(t), r.caller(t)
-	for _, c := range []*caller{short, long} { // so that the connections are known
-		if status, body, _ := c.ask(text("look")); status != 200 {
+	short, long := r.dial(t), r.dial(t)
+	for _, c := range []*testClient{short, long} { // so that the connections are known
+		if status, body, _ := c.roundTrip(requestText("look")); status != 200 {
 			t.Fatalf("%d %s", status, body)
 		}
 	}
 	before := b.commands.Load()
-	r.do(func() {
-		io.WriteString(short, strings.Replace(text("look"), "Req-Deadline: 2.5", "Req-Deadline: 0.2", 1))
-		io.WriteString(long, text("look"))
+	r.onLoop(func() {
+		io.WriteString(short, strings.Replace(requestText("look"), "Req-Deadline: 2.5", "Req-Deadline: 0.2", 1))
+		io.WriteString(long, requestText("look"))
 		time.Sleep(500 * time.Millisecond) // the whole process
 	})
-	if status, _, _ := short.read(); status != 503 {
+	if status, _, _ := short.readAnswer(); status != 503 {
 		t.Errorf("%d to a command whose time was up", status)
 	}
-	if status, _, _ := long.read(); status != 200 {
+	if status, _, _ := long.readAnswer(); status != 200 {
 		t.Errorf("%d to a command that has 2 s left", status)
 	}
 	if n := b.commands.Load() - before; n != 1 {
 		t.Errorf("%d relays for the one command that still had time", n)
 	}
-	r.do(func() {
+	r.onLoop(func() {
 		for _, c := range r.commands {
 			t.Errorf("still open: %+v", c)
 		}
@@ -46,8 +46,8 @@
 
 func TestMessagesOfThePauseAreDropped(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
-	r, to, sibling := besideOne(t, ready("s-a", b))
+	b := newFakeBackend(t, echo)
+	r, to, sibling := startWithPeer(t, readyEndpoint("s-a", b))
 	answers := func() (n int) {
 		for in := make([]byte, 100); ; n++ {
 			sibling.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
@@ -60,7 +60,7 @@
 	if ask(); answers() != 1 {
 		t.Fatal("a question is not answered")
 	}
-	r.do(func() {
+	r.onLoop(func() {
 		for range 20 {
 			ask()
 		}
@@ -77,14 +77,14 @@
 // Discovery drained a backend while the process stood still, and a command was waiting in front of that word.
 func TestNewsComeFirstAfterAPause(t *testing.T) {
 	t.Parallel()
-	drained, other := newToy(t, ok), newToy(t, ok)
+	drained, other := newFakeBackend(t, echo), newFakeBackend(t, echo)
 	d, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
 	said := make(chan net.Conn, 1)
-	first := listing(1, true, ready("s-a", drained), ready("s-b", other))
+	first := endpointList(1, true, readyEndpoint("s-a", drained), readyEndpoint("s-b", other))
 	go func() {
 		c, err := d.Accept()
 		if err != nil {
@@ -94,36 +94,36 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s\n", first)
 		said <- c
 	}()
-	r := run(t, launch(t, 200, "", d))
+	r := runProxy(t, newTestProxy(t, 200, "", d))
 	c := <-said
 	defer c.Close()
 	for range 200 { // until it has heard
 		usable := 0
-		if r.do(func() { usable = r.backends.usable }); usable == 2 {
+		if r.onLoop(func() { usable = r.backends.readyCount }); usable == 2 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	var callers []*caller
+	var callers []*testClient
 	for range 20 {
-		callers = append(callers, r.caller(t))
-		callers[len(callers)-1].ask(text("look"))
+		callers = append(callers, r.dial(t))
+		callers[len(callers)-1].roundTrip(requestText("look"))
 	}
 	before := drained.commands.Load()
 	if before == 0 {
 		t.Fatal("nothing ever went to the first backend")
 	}
-	r.do(func() {
+	r.onLoop(func() {
 		for _, x := range callers {
-			io.WriteString(x, text("look"))
+			io.WriteString(x, requestText("look"))
 		}
-		gone := ready("s-a", drained)
+		gone := readyEndpoint("s-a", drained)
 		gone["status"] = "draining"
-		fmt.Fprintf(c, "%s\n", listing(2, false, gone))
+		fmt.Fprintf(c, "%s\n", endpointList(2, false, gone))
 		time.Sleep(300 * time.Millisecond)
 	})
 	for _, x := range callers {
-		if status, body, _ := x.read(); status != 200 {
+		if status, body, _ := x.readAnswer(); status != 200 {
 			t.Errorf("%d %s", status, body)
 		}
 	}
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	passMark    = 64 << 10 // bytes that may wait to be written on one side before the other is read on
-	passTight   = 4 << 10  // the same while more than half of the buffers' part of the memory is in use
-	passAfter   = 0.25     // seconds of an answer of unknown length after which it goes on as it comes, if it moves
-	passLast    = 0.05     // seconds before the time limit by which it goes on in any case: of a long one the first bytes are timed
-	endlessFrom = 0.4      // seconds after the limit at which what is no long answer by then is cut: half a second late it is lost
-	answerStill = 10.0     // seconds that a backend may stand still in an answer that the client has begun to get
-	bodyStill   = 2.5      // seconds that a client may stand still in a body that is passed on: it is owed an answer within 3
-	leastRate   = 32e3     // bytes a second that a client must send at least of a body: half of what slow ones do
-	bodyGrace   = 1.0      // seconds more that any body may take
+	passMark                 = 64 << 10 // bytes that may wait to be written on one side before the other is read on
+	passTight                = 4 << 10  // the same while more than half of the buffers' part of the memory is in use
+	passAfter                = 0.25     // seconds of an answer of unknown length after which it goes on as it comes, if it moves
+	streamBeforeLimitSeconds = 0.05     // seconds before the time limit by which it goes on in any case: of a long one the first bytes are timed
+	endlessCutoffSeconds     = 0.4      // seconds after the limit at which what is no long answer by then is cut: half a second late it is lost
+	answerStill              = 10.0     // seconds that a backend may stand still in an answer that the client has begun to get
+	bodyStill                = 2.5      // seconds that a client may stand still in a body that is passed on: it is owed an answer within 3
+	leastRate                = 32e3     // bytes a second that a client must send at least of a body: half of what slow ones do
+	bodyGrace                = 1.0      // seconds more that any body may take
 )
 
 // piece writes a part of a body, as a chunk where the length is not said; nothing ends it.
@@ -35,7 +35,7 @@
 
 // mark is how many bytes may wait on one side before the other is read on: hundreds of slow ones fill any memory.
 func (p *Proxy) mark() int {
-	if p.loop.Held() > p.loop.Most/2 {
+	if p.loop.BufferedBytes() > p.loop.MaxBufferBytes/2 {
 		return passTight
 	}
 	return passMark
@@ -44,158 +44,158 @@
 // ---- Answers.
 
 // passes tells whether an answer that is not whole is to go on as it comes.
-func (l *link) passes(now float64) bool {
+func (l *backendConn) shouldStream(now float64) bool {
 	m := &l.msg
-	if !m.HeadWhole() {
+	if !m.HeadComplete() {
 		return false
 	}
-	return m.Length() > http1.Held || m.Decoded() > http1.Held || l.conn.Full() ||
-		m.Length() < 0 && m.Decoded() > 0 && l.begun > 0 && now > min(l.begun+passAfter, l.relay.cmd.expires-passLast)
+	return m.BodyLength() > http1.MaxBufferedResponseBody || m.DecodedBytes() > http1.MaxBufferedResponseBody || l.conn.ReadBufferFull() ||
+		m.BodyLength() < 0 && m.DecodedBytes() > 0 && l.answerBegan > 0 && now > min(l.answerBegan+passAfter, l.relay.cmd.expires-streamBeforeLimitSeconds)
 }
 
 // pass begins to pass the answer on: from here on the command belongs to this relay.
-func (l *link) pass() {
+func (l *backendConn) startStreaming() {
 	p, r, now := l.p, l.relay, l.p.loop.Now()
-	cmd, c := r.cmd, r.cmd.from
+	cmd, c := r.cmd, r.cmd.client
 	if l.msg.Status != 200 {
-		l.answer(false) // its head says all that is wanted of it
+		l.handleAnswer(false) // its head says all that is wanted of it
 		return
 	}
-	if cmd.done || c == nil || cmd.stream != nil { // a loser that may not be called back
-		l.ended(balance.Moot)
+	if cmd.done || c == nil || cmd.answerConn != nil { // a loser that may not be called back
+		l.closeAndReport(balance.NotSent)
 		return
 	}
-	in := l.conn.In()
-	cmd.stream, cmd.fed, r.took = l, true, now-r.sent
+	in := l.conn.Unconsumed()
+	cmd.answerConn, cmd.streamed, r.answerStartDelay = l, true, now-r.sentAt
 	cmd.timer.Stop()
-	if l.msg.Length() < 0 {
-		cmd.timer = p.loop.After(cmd.expires+endlessFrom-now, func() { l.endless(cmd) })
+	if l.msg.BodyLength() < 0 {
+		cmd.timer = p.loop.After(cmd.expires+endlessCutoffSeconds-now, func() { l.endless(cmd) })
 	}
 	l.timer.Stop()
-	c.keep = c.msg.Keep && !p.closes() && !c.coming && (l.msg.Length() >= 0 || !c.msg.Old())
-	c.chunked = l.msg.Length() < 0 && !c.msg.Old()
-	h := p.headOf(200, l.msg.Length(), c.chunked, c.keep)
+	c.keepAlive = c.msg.KeepAlive && !p.closes() && !c.bodyStreaming && (l.msg.BodyLength() >= 0 || !c.msg.IsHTTP10())
+	c.answerChunked = l.msg.BodyLength() < 0 && !c.msg.IsHTTP10()
+	h := p.headOf(200, l.msg.BodyLength(), c.answerChunked, c.keepAlive)
 	h = append(l.msg.AppendFields(h, in), "\r\n"...)
 	if body := l.msg.Body(in); len(body) > 0 {
-		h = appendPiece(h, c.chunked, body)
+		h = appendPiece(h, c.answerChunked, body)
 	}
 	p.scratch = h
 	c.conn.Write(h)
 	l.conn.Consume(l.msg.Size())
-	l.conn.Widen()
-	l.moved = now
+	l.conn.UseLargeBuffer()
+	l.lastProgress = now
 	l.timer = p.loop.After(answerStill, l.still)
-	p.balancer.Started(now, cmd.id, r.n)
-	l.passOn()
+	p.balancer.StreamStarted(now, cmd.id, r.index)
+	l.streamAnswer()
 }
 
 // passOn passes on what has come.
-func (l *link) passOn() {
-	c := l.relay.cmd.from
+func (l *backendConn) streamAnswer() {
+	c := l.relay.cmd.client
 	if c == nil { // the client has gone, and the relay may not be called back
-		l.ended(balance.Moot)
+		l.closeAndReport(balance.NotSent)
 		return
 	}
-	l.moved = l.p.loop.Now()
+	l.lastProgress = l.p.loop.Now()
 	for {
-		in := l.conn.In()
-		data, used, done, err := l.msg.Rest(in)
+		in := l.conn.Unconsumed()
+		data, used, done, err := l.msg.ReadBodyPart(in)
 		if err != nil {
-			l.p.bad++
-			l.breakOff(balance.Reset)
+			l.p.invalidCount++
+			l.abortStream(balance.Reset)
 			return
 		}
-		if len(data) > 0 && c.chunked {
+		if len(data) > 0 && c.answerChunked {
 			l.p.scratch = appendPiece(l.p.scratch[:0], true, data)
 			c.conn.Write(l.p.scratch)
 		} else if len(data) > 0 {
 			c.conn.Write(data)
 		}
 		if l.conn.Consume(used); done {
-			l.passed(l.msg.Keep)
+			l.finishStream(l.msg.KeepAlive)
 			return
 		}
 		if used == 0 || used == len(in) {
 			break
 		}
 	}
-	if c.conn.Backlog() > l.p.mark() {
-		l.conn.Hold()
-		l.waits = true
+	if c.conn.UnsentBytes() > l.p.mark() {
+		l.conn.PauseWithEOF()
+		l.readPaused = true
 	}
 }
 
 // goOn reads on once the client has taken what there was.
-func (l *link) goOn() {
-	if l.waits {
-		l.waits, l.moved = false, l.p.loop.Now()
+func (l *backendConn) goOn() {
+	if l.readPaused {
+		l.readPaused, l.lastProgress = false, l.p.loop.Now()
 		l.conn.Resume()
 	}
 }
 
 // still ends a passage of which one side stands still: the backend, or the client that takes nothing.
-func (l *link) still() {
+func (l *backendConn) still() {
 	now, r := l.p.loop.Now(), l.relay
-	since, most := l.moved, answerStill
-	if c := r.cmd.from; l.waits && c != nil {
-		since, most = max(l.moved, c.conn.SentAt()), untaken
+	since, most := l.lastProgress, answerStill
+	if c := r.cmd.client; l.readPaused && c != nil {
+		since, most = max(l.lastProgress, c.conn.LastSentAt()), untaken
 	}
 	if left := since + most - now; left > 0 {
 		l.timer = l.p.loop.After(left, l.still)
 		return
 	}
-	log.Printf("msg=answer_stands command=%d untaken=%t", r.cmd.id, l.waits)
-	l.breakOff(balance.Reset)
+	log.Printf("msg=answer_stands command=%d untaken=%t", r.cmd.id, l.readPaused)
+	l.abortStream(balance.Reset)
 }
 
 // passed ends a passage that is whole.
-func (l *link) passed(keep bool) {
+func (l *backendConn) finishStream(keep bool) {
 	p, r := l.p, l.relay
-	cmd, c := r.cmd, r.cmd.from
+	cmd, c := r.cmd, r.cmd.client
 	l.timer.Stop()
-	if c.chunked {
+	if c.answerChunked {
 		c.conn.Write([]byte("0\r\n\r\n"))
 	}
-	p.answered++
-	p.snapshot.count(true)
-	cmd.done, cmd.from, cmd.stream = true, nil, nil
-	c.answered(c.keep)
-	r.link = nil
+	p.answeredCount++
+	p.snapshot.countEnded(true)
+	cmd.done, cmd.client, cmd.answerConn = true, nil, nil
+	c.finishAnswer(c.keepAlive)
+	r.conn = nil
 	l.msg.Reset()
-	l.begun = 0
-	l.conn.Narrow()
-	l.rest(keep)
-	p.report(r, balance.Answered)
+	l.answerBegan = 0
+	l.conn.ReleaseLargeBuffer()
+	l.release(keep)
+	p.reportOutcome(r, balance.Answered)
 }
 
 // endless ends a passage soon after its command's time limit if it is no long answer by then: one that trickles on would never
 // end, while of a long one only the first bytes are timed.
-func (l *link) endless(cmd *command) {
-	if cmd.stream == l && l.msg.Decoded() <= http1.Held {
-		log.Printf("msg=answer_endless command=%d bytes=%d", cmd.id, l.msg.Decoded())
-		l.p.bad++
-		l.breakOff(balance.TimedOut)
+func (l *backendConn) endless(cmd *command) {
+	if cmd.answerConn == l && l.msg.DecodedBytes() <= http1.MaxBufferedResponseBody {
+		log.Printf("msg=answer_endless command=%d bytes=%d", cmd.id, l.msg.DecodedBytes())
+		l.p.invalidCount++
+		l.abortStream(balance.TimedOut)
 	}
 }
 
 // breakOff ends a passage that can't be made whole, so that the client can tell.
-func (l *link) breakOff(result balance.Result) {
-	l.p.cut(l.relay.cmd)
-	l.ended(result)
+func (l *backendConn) abortStream(result balance.Result) {
+	l.p.abortAnswer(l.relay.cmd)
+	l.closeAndReport(result)
 }
 
 // cut ends the connection of a client whose answer has begun and does not become whole.
-func (p *Proxy) cut(cmd *command) {
-	c := cmd.from
-	cmd.done, cmd.from, cmd.stream = true, nil, nil
+func (p *Proxy) abortAnswer(cmd *command) {
+	c := cmd.client
+	cmd.done, cmd.client, cmd.answerConn = true, nil, nil
 	if c == nil {
 		return
 	}
-	p.broken++
+	p.brokenOffCount++
 	c.cmd = nil
-	p.clients.owed--
-	if !c.chunked {
-		c.conn.Abort()
+	p.clients.awaitingAnswer--
+	if !c.answerChunked {
+		c.conn.ResetOnClose()
 	}
 	c.close()
 }
@@ -203,13 +203,13 @@
 // ---- Commands.
 
 // tooLong tells whether a command that is not whole is to be passed on as it comes.
-func (c *client) tooLong() bool {
-	return c.msg.HeadWhole() && (c.msg.Length() > http1.HeldCommand || c.conn.Full())
+func (c *clientConn) tooLong() bool {
+	return c.msg.HeadComplete() && (c.msg.BodyLength() > http1.MaxBufferedCommandBody || c.conn.ReadBufferFull())
 }
 
 // feedTo passes on what is there of a command, head and all, and has the rest follow.
-func (c *client) feedTo(l *link, head []byte) {
-	p, in := c.p, c.conn.In()
+func (c *clientConn) streamBodyTo(l *backendConn, head []byte) {
+	p, in := c.p, c.conn.Unconsumed()
 	cmd := c.cmd
 	if body := c.msg.Body(in); len(body) > 0 {
 		head = appendPiece(head, c.msg.Chunked(), body)
@@ -221,13 +221,13 @@
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	c.conn.Consume(c.msg.Size())
-	c.conn.Widen()
-	c.feed, c.passed, c.moved, cmd.fed = l, true, p.loop.Now(), true
+	c.conn.UseLargeBuffer()
+	c.bodyLink, c.passed, c.lastProgress, cmd.streamed = l, true, p.loop.Now(), true
 	cmd.timer.Stop()
-	n := l.relay.n
+	n := l.relay.index
 	p.loop.Post(func() { // never from inside a call of the Balancer's
-		if c.cmd == cmd && c.feed == l {
-			p.balancer.Started(p.loop.Now(), cmd.id, n)
+		if c.cmd == cmd && c.bodyLink == l {
+			p.balancer.StreamStarted(p.loop.Now(), cmd.id, n)
 			c.conn.Resume()
 			c.feedOn()
 		}
@@ -235,13 +235,13 @@
 }
 
 // feedOn passes on what has come.
-func (c *client) feedOn() {
-	l := c.feed
-	c.moved = c.p.loop.Now()
-	for in := c.conn.In(); len(in) > 0; in = c.conn.In() {
-		data, used, done, err := c.msg.Rest(in)
+func (c *clientConn) feedOn() {
+	l := c.bodyLink
+	c.lastProgress = c.p.loop.Now()
+	for in := c.conn.Unconsumed(); len(in) > 0; in = c.conn.Unconsumed() {
+		data, used, done, err := c.msg.ReadBodyPart(in)
 		if err != nil {
-			c.spoilt(400, "malformed body")
+			c.failBody(400, "malformed body")
 			return
 		}
 		if len(data) > 0 && c.msg.Chunked() {
@@ -259,60 +259,60 @@
 			break
 		}
 	}
-	if l.conn.Backlog() > c.p.mark() {
-		c.conn.Hold()
+	if l.conn.UnsentBytes() > c.p.mark() {
+		c.conn.PauseWithEOF()
 		c.holds = true
 	}
 }
 
 // feedMore reads on once the backend has taken what there was.
-func (c *client) feedMore() {
+func (c *clientConn) resumeBody() {
 	if c.holds {
-		c.holds, c.moved = false, c.p.loop.Now()
+		c.holds, c.lastProgress = false, c.p.loop.Now()
 		c.conn.Resume()
 	}
 }
 
 // allCame ends the passage of a command's body: its time counts from here.
-func (c *client) allCame() {
-	p, cmd, l := c.p, c.cmd, c.feed
+func (c *clientConn) allCame() {
+	p, cmd, l := c.p, c.cmd, c.bodyLink
 	if c.msg.Chunked() {
 		l.conn.Write([]byte("0\r\n\r\n"))
 	}
 	c.conn.Pause()
-	c.conn.Narrow()
-	c.feed, c.coming = nil, false
+	c.conn.ReleaseLargeBuffer()
+	c.bodyLink, c.bodyStreaming = nil, false
 	now := p.loop.Now()
-	cmd.expires, l.relay.sent = now+cmd.wait, now
-	if cmd.stream == nil {
-		cmd.timer = p.loop.After(cmd.wait, func() { p.timeOut(cmd) })
+	cmd.expires, l.relay.sentAt = now+cmd.timeLimit, now
+	if cmd.answerConn == nil {
+		cmd.timer = p.loop.After(cmd.timeLimit, func() { p.timeOutCommand(cmd) })
 	}
 }
 
 // spoilt ends a command whose body can't be read any further: it never ran.
-func (c *client) spoilt(status int, text string) {
-	p, cmd, feed := c.p, c.cmd, c.feed
-	if cmd.stream != nil {
-		p.cut(cmd)
+func (c *clientConn) failBody(status int, text string) {
+	p, cmd, feed := c.p, c.cmd, c.bodyLink
+	if cmd.answerConn != nil {
+		p.abortAnswer(cmd)
 	} else {
-		cmd.from, cmd.done = nil, true
-		c.bad(status, text)
+		cmd.client, cmd.done = nil, true
+		c.rejectInvalid(status, text)
 	}
-	p.balancer.Departed(p.loop.Now(), cmd.id)
-	feed.ended(balance.Moot)
-	p.forget(cmd)
+	p.balancer.ClientDisconnected(p.loop.Now(), cmd.id)
+	feed.closeAndReport(balance.NotSent)
+	p.removeIfFinished(cmd)
 }
 
 // sweepBodies ends the passage of commands of which one side stands still: the client, or the backend that takes nothing.
 func (p *Proxy) sweepBodies(now float64) {
-	for e := p.clients.in[busy].Front(); e != nil; {
-		c := e.Value.(*client)
+	for e := p.clients.byState[stateBusy].Front(); e != nil; {
+		c := e.Value.(*clientConn)
 		switch e = e.Next(); {
-		case c.feed == nil:
-		case c.holds && now-max(c.moved, c.feed.conn.SentAt()) > answerStill:
-			c.feed.ended(balance.Unconnected)
-		case !c.holds && now-c.moved > bodyStill:
-			c.spoilt(408, "the body did not come in time")
+		case c.bodyLink == nil:
+		case c.holds && now-max(c.lastProgress, c.bodyLink.conn.LastSentAt()) > answerStill:
+			c.bodyLink.closeAndReport(balance.ConnectFailed)
+		case !c.holds && now-c.lastProgress > bodyStill:
+			c.failBody(408, "the body did not come in time")
 		}
 	}
 }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -15,7 +15,7 @@
 )
 
 // filling is a body whose every part tells its place.
-func filling(n int) []byte {
+func numberedBody(n int) []byte {
 	b := bytes.Repeat([]byte("0123456789abcdefghijklmnopqrstu\n"), n/32+1)[:n]
 	for i := 0; i+8 <= n; i += 4096 {
 		copy(b[i:], fmt.Sprintf("%08d", i))
@@ -24,8 +24,8 @@
 }
 
 // answerBy writes a 200 with the body in one of the ways that there are; parts gets each piece before it is written.
-func answerBy(way string, body []byte, piece int, between func(sent int) bool) func(*toy, net.Conn, *http.Request) {
-	return func(_ *toy, c net.Conn, _ *http.Request) {
+func respondFramed(way string, body []byte, piece int, between func(sent int) bool) func(*fakeBackend, net.Conn, *http.Request) {
+	return func(_ *fakeBackend, c net.Conn, _ *http.Request) {
 		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n")
 		switch way {
 		case "length":
@@ -56,20 +56,20 @@
 }
 
 func TestLargeAnswers(t *testing.T) {
-	body := filling(8 << 20)
+	body := numberedBody(8 << 20)
 	sum := sha256.Sum256(body)
 	for _, way := range []string{"length", "chunks", "close"} {
 		t.Run("many at once go through with little memory, and are whole: "+way, func(t *testing.T) {
 			t.Parallel()
-			b := newToy(t, answerBy(way, body, 50000, nil))
-			l := launch(t, 200, listing(1, true, ready("s-1", b)), nil)
-			l.loop.Most = 8 << 20
-			p := run(t, l)
+			b := newFakeBackend(t, respondFramed(way, body, 50000, nil))
+			l := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)
+			l.loop.MaxBufferBytes = 8 << 20
+			p := runProxy(t, l)
 			left := make(chan error, 6)
 			for range cap(left) {
-				c := p.caller(t)
+				c := p.dial(t)
 				go func() {
-					io.WriteString(c, text("look"))
+					io.WriteString(c, requestText("look"))
 					rsp, err := http.ReadResponse(c.in, nil)
 					if err != nil {
 						left <- err
@@ -87,27 +87,27 @@
 					t.Error(err)
 				}
 			}
-			p.do(func() {
-				if p.loop.Held() > 0 {
-					t.Errorf("%d bytes are still held", p.loop.Held())
+			p.onLoop(func() {
+				if p.loop.BufferedBytes() > 0 {
+					t.Errorf("%d bytes are still held", p.loop.BufferedBytes())
 				}
 			})
 		})
 		t.Run("one that breaks off midway shows as not whole: "+way, func(t *testing.T) {
 			t.Parallel()
-			b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
-				answerBy(way, body, 50000, func(sent int) bool { return sent < 1<<20 })(b, c, r)
-				fall(b, c, r)
+			b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
+				respondFramed(way, body, 50000, func(sent int) bool { return sent < 1<<20 })(b, c, r)
+				resetConn(b, c, r)
 			})
 			if way == "close" {
-				b = newToy(t, func(_ *toy, c net.Conn, _ *http.Request) {
+				b = newFakeBackend(t, func(_ *fakeBackend, c net.Conn, _ *http.Request) {
 					c.Write(append([]byte("HTTP/1.1 200 OK\r\n\r\n"), body[:1<<20]...))
 					time.Sleep(50 * time.Millisecond)
-					fall(nil, c, nil)
+					resetConn(nil, c, nil)
 				})
 			}
-			c := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil)).caller(t)
-			if status, got, _ := c.ask(text("pay", "Content-Length: 0\r\n")); status == 200 {
+			c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
+			if status, got, _ := c.roundTrip(requestText("pay", "Content-Length: 0\r\n")); status == 200 {
 				t.Errorf("%d bytes passed for whole", len(got))
 			}
 			if b.commands.Load() != 1 {
@@ -118,75 +118,75 @@
 	t.Run("a client that does not read slows its own backend connection only", func(t *testing.T) {
 		t.Parallel()
 		var sent atomic.Int64
-		b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+		b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 			if r.URL.Query().Get("sid") == "1" {
-				ok(b, c, r)
+				echo(b, c, r)
 				return
 			}
-			answerBy("length", filling(32<<20), 50000, func(n int) bool { sent.Store(int64(n)); return true })(b, c, r)
+			respondFramed("length", numberedBody(32<<20), 50000, func(n int) bool { sent.Store(int64(n)); return true })(b, c, r)
 		})
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-		c := p.caller(t)
-		io.WriteString(c, strings.Replace(text("look"), "sid=1", "sid=2", 1))
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+		c := p.dial(t)
+		io.WriteString(c, strings.Replace(requestText("look"), "sid=1", "sid=2", 1))
 		c.in.ReadByte()
-		other := p.caller(t)
+		other := p.dial(t)
 		for range 20 {
-			if status, _, _ := other.ask(text("look")); status != 200 {
+			if status, _, _ := other.roundTrip(requestText("look")); status != 200 {
 				t.Errorf("another got %d", status)
 			}
 		}
 		time.Sleep(300 * time.Millisecond)
 		var held int
-		p.do(func() { held = p.loop.Held() })
+		p.onLoop(func() { held = p.loop.BufferedBytes() })
 		if n := sent.Load(); n > 24<<20 || held > 1<<20 {
 			t.Errorf("%d bytes were taken from the backend, %d are held", n, held)
 		}
 		c.in.UnreadByte()
-		if status, got, _ := c.read(); status != 200 || len(got) != 32<<20 {
+		if status, got, _ := c.readAnswer(); status != 200 || len(got) != 32<<20 {
 			t.Errorf("in the end %d, %d bytes", status, len(got))
 		}
 	})
 	t.Run("a slow one that moves outlives its time limit, first bytes first, and a drain leaves it alone", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, answerBy("chunks", filling(300<<10), 10<<10, func(int) bool { time.Sleep(120 * time.Millisecond); return true }))
-		p := inService(t, listing(1, true, ready("s-1", b)), nil)
-		c, began := p.caller(t), time.Now()
-		io.WriteString(c, text("pay", "Content-Length: 0\r\n"))
+		b := newFakeBackend(t, respondFramed("chunks", numberedBody(300<<10), 10<<10, func(int) bool { time.Sleep(120 * time.Millisecond); return true }))
+		p := runWithAdmin(t, endpointList(1, true, readyEndpoint("s-1", b)), nil)
+		c, began := p.dial(t), time.Now()
+		io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
 		c.in.Peek(1)
 		if d := time.Since(began); d > 800*time.Millisecond {
 			t.Errorf("the first byte came after %v", d)
 		}
-		p.want(t, 200, "POST", "/admin/quiesce")
-		if status, got, _ := c.read(); status != 200 || len(got) != 300<<10 || time.Since(began) < 3*time.Second {
+		p.wantAdminStatus(t, 200, "POST", "/admin/quiesce")
+		if status, got, _ := c.readAnswer(); status != 200 || len(got) != 300<<10 || time.Since(began) < 3*time.Second {
 			t.Errorf("%d, %d bytes after %v", status, len(got), time.Since(began))
 		}
 	})
 	t.Run("a client of HTTP/1.0 gets one of unknown length without chunks", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, answerBy("chunks", filling(200<<10), 50000, nil))
-		c := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil)).caller(t)
-		io.WriteString(c, strings.Replace(text("look"), "HTTP/1.1", "HTTP/1.0", 1))
+		b := newFakeBackend(t, respondFramed("chunks", numberedBody(200<<10), 50000, nil))
+		c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
+		io.WriteString(c, strings.Replace(requestText("look"), "HTTP/1.1", "HTTP/1.0", 1))
 		all, err := io.ReadAll(c.in)
-		if _, got, _ := bytes.Cut(all, []byte("\r\n\r\n")); err != nil || !bytes.Equal(got, filling(200<<10)) {
+		if _, got, _ := bytes.Cut(all, []byte("\r\n\r\n")); err != nil || !bytes.Equal(got, numberedBody(200<<10)) {
 			t.Errorf("%d bytes, %v", len(got), err)
 		}
 	})
 }
 
 func TestLargeCommands(t *testing.T) {
-	body := filling(3 << 20)
+	body := numberedBody(3 << 20)
 	for name, framing := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue\r\n", len(body)),
 		"chunks": "Transfer-Encoding: chunked\r\n"} {
 		t.Run("one passes through in pieces, slowly, and the next on its connection too: "+name, func(t *testing.T) {
 			t.Parallel()
-			b := newToy(t, ok)
-			l := launch(t, 200, listing(1, true, ready("s-1", b)), nil)
-			l.loop.Most = 1 << 20
-			c := run(t, l).caller(t)
+			b := newFakeBackend(t, echo)
+			l := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)
+			l.loop.MaxBufferBytes = 1 << 20
+			c := runProxy(t, l).dial(t)
 			for range 2 {
-				io.WriteString(c, text("pay", framing))
+				io.WriteString(c, requestText("pay", framing))
 				if name == "length" {
-					if status, _, _ := c.read(); status != 100 {
+					if status, _, _ := c.readAnswer(); status != 100 {
 						t.Fatalf("not invited: %d", status)
 					}
 				}
@@ -204,7 +204,7 @@
 						io.WriteString(c, "0\r\n\r\n")
 					}
 				}()
-				if status, got, _ := c.read(); status != 200 || got != "echo:"+string(body) {
+				if status, got, _ := c.readAnswer(); status != 200 || got != "echo:"+string(body) {
 					t.Fatalf("%d, %d bytes", status, len(got))
 				}
 			}
@@ -242,17 +242,17 @@
 						}
 						time.Sleep(c.wait)
 					}
-					fall(nil, conn, nil)
+					resetConn(nil, conn, nil)
 				}
 			}()
-			p := run(t, launch(t, 200, listing(1, true, ready("s-1", l), ready("s-2", l)), nil))
-			client := p.caller(t)
-			io.WriteString(client, text("pay", fmt.Sprintf("Content-Length: %d\r\n", len(body))))
+			p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", l), readyEndpoint("s-2", l)), nil))
+			client := p.dial(t)
+			io.WriteString(client, requestText("pay", fmt.Sprintf("Content-Length: %d\r\n", len(body))))
 			client.Write(body[:1<<20])
 			if c.whole {
 				client.Write(body[1<<20:])
 			}
-			if status, _, h := client.read(); status != c.status || !c.whole && h.Get("Connection") != "close" {
+			if status, _, h := client.readAnswer(); status != c.status || !c.whole && h.Get("Connection") != "close" {
 				t.Errorf("%d %v", status, h)
 			}
 			if heads.Load() != 1 {
@@ -262,25 +262,25 @@
 	}
 	t.Run("one that stands still is told so, and its backend connection goes", func(t *testing.T) {
 		t.Parallel()
-		b := newToy(t, ok)
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", b)), nil))
-		c := p.caller(t)
-		io.WriteString(c, text("pay", "Content-Length: 3000000\r\n"))
+		b := newFakeBackend(t, echo)
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
+		c := p.dial(t)
+		io.WriteString(c, requestText("pay", "Content-Length: 3000000\r\n"))
 		c.Write(body[:500_000])
-		if status, _, _ := c.read(); status != 408 || b.commands.Load() != 0 {
+		if status, _, _ := c.readAnswer(); status != 408 || b.commands.Load() != 0 {
 			t.Errorf("%d, %d whole commands came", status, b.commands.Load())
 		}
-		p.do(func() {
-			if len(p.commands) != 0 || len(p.backends.links) != 0 {
-				t.Errorf("%d commands, %d connections are left", len(p.commands), len(p.backends.links))
+		p.onLoop(func() {
+			if len(p.commands) != 0 || len(p.backends.conns) != 0 {
+				t.Errorf("%d commands, %d connections are left", len(p.commands), len(p.backends.conns))
 			}
 		})
 	})
 	t.Run("a body at the least rate of slow clients is waited for, a head of two seconds too", func(t *testing.T) {
 		t.Parallel()
-		p := run(t, launch(t, 200, listing(1, true, ready("s-1", newToy(t, ok))), nil))
-		c := p.caller(t)
-		head := text("pay", "Content-Length: 200000\r\n")
+		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil))
+		c := p.dial(t)
+		head := requestText("pay", "Content-Length: 200000\r\n")
 		for i := 0; i < len(head); i += len(head)/20 + 1 {
 			io.WriteString(c, head[i:min(len(head), i+len(head)/20+1)])
 			time.Sleep(100 * time.Millisecond)
@@ -289,7 +289,7 @@
 			c.Write(body[at : at+10_000])
 			time.Sleep(156 * time.Millisecond)
 		}
-		if status, got, _ := c.read(); status != 200 || len(got) != 200_005 {
+		if status, got, _ := c.readAnswer(); status != 200 || len(got) != 200_005 {
 			t.Errorf("%d, %d bytes", status, len(got))
 		}
 	})
--- a/internal/proxy/turn_test.go
+++ b/internal/proxy/turn_test.go
@@ -11,7 +11,7 @@
 )
 
 // freeUDP is a loopback address that nobody has.
-func freeUDP(t *testing.T) string {
+func freeUDPAddr(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -22,7 +22,7 @@
 }
 
 // moved are settings of the other layout: messages, keys, another own zone, verbs in another order and a new one.
-func moved(siblings string) string {
+func alternateSettings(siblings string) string {
 	text := strings.NewReplacer(`"siblings": 1`, `"siblings": `+siblings+`, "zone": 1, "family_info": {"warm_keys": true}`,
 		`"azs": ["a", "b"]`, `"azs": ["b", "a", "c"]`, `"cancel": true`, `"cancel": true, "peers": true`).Replace(settingsText)
 	at := strings.Index(text, `"verbs": [`) + len(`"verbs": [`)
@@ -35,35 +35,35 @@
 func TestThereAndBack(t *testing.T) {
 	t.Parallel()
 	release := make(chan bool)
-	b := newToy(t, func(b *toy, c net.Conn, r *http.Request) {
+	b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/pay") {
 			<-release
 		}
-		ok(b, c, r)
+		echo(b, c, r)
 	})
-	known := listing(1, true, ready("s-b", b))
-	at := freeUDP(t)
-	old, new := config(known, nil, settingsText), config(known, nil, moved("1"))
+	known := endpointList(1, true, readyEndpoint("s-b", b))
+	at := freeUDPAddr(t)
+	old, new := testConfig(known, nil, settingsText), testConfig(known, nil, alternateSettings("1"))
 	new.Peers = []string{at}
 	p, err := New(old)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := run(t, p)
+	r := runProxy(t, p)
 	time.Sleep(600 * time.Millisecond) // the known list will do
-	open := func() *caller {
-		c := r.caller(t)
-		io.WriteString(c, text("pay", "Content-Length: 0\r\n"))
+	open := func() *testClient {
+		c := r.dial(t)
+		io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
 		time.Sleep(50 * time.Millisecond)
 		return c
 	}
 	says := func(verb string, want int) {
 		t.Helper()
-		if status, body, _ := r.caller(t).ask(text(verb, "Content-Length: 0\r\n", "Req-Extra: resource=7\r\n")); status != want {
+		if status, body, _ := r.dial(t).roundTrip(requestText(verb, "Content-Length: 0\r\n", "Req-Extra: resource=7\r\n")); status != want {
 			t.Errorf("%s: %d %s, want %d", verb, status, body, want)
 		}
 	}
-	turn := func(l *Launch) { r.Reload(l); time.Sleep(50 * time.Millisecond) }
+	turn := func(l *Config) { r.Reload(l); time.Sleep(50 * time.Millisecond) }
 	listening := func(want bool) {
 		t.Helper()
 		c, err := net.ListenPacket("udp", at)
@@ -81,7 +81,7 @@
 	says("look", 200)
 	listening(true)
 	second := open()
-	bad := config(known, nil, strings.Replace(moved("1"), `"at_most_once"`, `"perhaps"`, 1))
+	bad := testConfig(known, nil, strings.Replace(alternateSettings("1"), `"at_most_once"`, `"perhaps"`, 1))
 	bad.Peers = new.Peers
 	turn(bad) // changes nothing, though it is past Check
 	says("scan", 200)
@@ -92,8 +92,8 @@
 	listening(false)
 	third := open()
 	close(release)
-	for i, c := range []*caller{first, second, third} {
-		if status, body, _ := c.read(); status != 200 {
+	for i, c := range []*testClient{first, second, third} {
+		if status, body, _ := c.readAnswer(); status != 200 {
 			t.Errorf("open command %d: %d %s", i, status, body)
 		}
 	}
@@ -103,38 +103,38 @@
 }
 
 // besideOne is a proxy with a stand-in for its one sibling, and where that one finds it.
-func besideOne(t *testing.T, lines ...line) (r *running, to *net.UDPAddr, sibling net.PacketConn) {
+func startWithPeer(t *testing.T, lines ...jsonObject) (r *testProxy, to *net.UDPAddr, sibling net.PacketConn) {
 	t.Helper()
 	sibling, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { sibling.Close() })
-	at := freeUDP(t)
-	l := config(listing(1, true, lines...), nil, moved("2"))
+	at := freeUDPAddr(t)
+	l := testConfig(endpointList(1, true, lines...), nil, alternateSettings("2"))
 	l.Peers = []string{at, sibling.LocalAddr().String()}
 	p, err := New(l)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run(t, p), net.UDPAddrFromAddrPort(netip.MustParseAddrPort(at)), sibling
+	return runProxy(t, p), net.UDPAddrFromAddrPort(netip.MustParseAddrPort(at)), sibling
 }
 
 // A proxy and a stand-in for its one sibling: commands are answered though the sibling has no word for it, and the
 // proxy answers the sibling's questions on the cells that it keeps, but no stranger's.
 func TestMessages(t *testing.T) {
 	t.Parallel()
-	b := newToy(t, ok)
-	var lines []line
+	b := newFakeBackend(t, echo)
+	var lines []jsonObject
 	for _, name := range []string{"s-a", "s-b", "s-c", "s-d", "s-e", "s-f", "s-g", "s-h"} {
-		l := ready(name, b)
+		l := readyEndpoint(name, b)
 		l["group"] = len(lines)
 		lines = append(lines, l)
 	}
-	r, to, sibling := besideOne(t, lines...)
+	r, to, sibling := startWithPeer(t, lines...)
 	time.Sleep(600 * time.Millisecond)
 	for range 20 {
-		if status, body, _ := r.caller(t).ask(text("look")); status != 200 {
+		if status, body, _ := r.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Errorf("%d %s", status, body)
 		}
 	}
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -14,7 +14,7 @@
 	"sandpass/internal/watch"
 )
 
-const endpointUpdateMost = 8 << 20 // bytes of an update: tens of thousands of backends
+const maxEndpointUpdateBytes = 8 << 20 // bytes of an update: tens of thousands of backends
 
 // endpointUpdate is a message of discovery: the whole list, or what has changed.
 type endpointUpdate struct {
@@ -39,7 +39,7 @@
 // endpointWatch is the watch on discovery.
 type endpointWatch struct {
 	*watch.Client
-	at           netip.AddrPort // discovery's address
+	addr         netip.AddrPort // discovery's address
 	index        int64
 	hasList      bool           // a whole list was received
 	listReceived bool           // and has been used: what is new from then on has just started
@@ -49,16 +49,16 @@
 // watchDiscovery moves the watch to another address. Indexes need not mean the same there, so the whole list is requested;
 // the known one is used until it is received.
 func (p *Proxy) watchDiscovery(at netip.AddrPort) {
-	if w := &p.watch; at != w.at {
-		w.at, w.hasList = at, false
-		w.Turn(at)
+	if w := &p.watch; at != w.addr {
+		w.addr, w.hasList = at, false
+		w.SetServers(at)
 	}
 }
 
 // endpointWatcher receives the endpoint updates of discovery's watch.
 type endpointWatcher struct{ p *Proxy }
 
-func (h endpointWatcher) Request(to netip.AddrPort) []byte {
+func (h endpointWatcher) RequestHead(to netip.AddrPort) []byte {
 	query := "GET /api/targets?follow=1"
 	if h.p.watch.hasList {
 		query += "&since=" + strconv.FormatInt(h.p.watch.index, 10)
@@ -66,14 +66,14 @@
 	return []byte(query + " HTTP/1.1\r\nHost: " + to.String() + "\r\n\r\n")
 }
 
-func (h endpointWatcher) First() []byte { return nil }
+func (h endpointWatcher) FirstMessage() []byte { return nil }
 
 func (h endpointWatcher) Decode(object []byte) error {
 	h.p.watch.next = endpointUpdate{}
 	return json.Unmarshal(object, &h.p.watch.next)
 }
 
-func (h endpointWatcher) Take() error {
+func (h endpointWatcher) Apply() error {
 	next := h.p.watch.next
 	h.p.watch.next = endpointUpdate{}
 	if h.p.applyEndpoints(&next); !h.p.watch.hasList {
@@ -83,13 +83,13 @@
 	return nil
 }
 
-func (h endpointWatcher) Returned() { log.Printf("msg=watch_back index=%d", h.p.watch.index) }
+func (h endpointWatcher) Reconnected() { log.Printf("msg=watch_back index=%d", h.p.watch.index) }
 
-func (h endpointWatcher) Lost(err error, news bool) {
+func (h endpointWatcher) Disconnected(err error, news bool) {
 	if w := &h.p.watch; news {
-		log.Printf("msg=watch_lost error=%q index=%d byte=%d", err, w.index, w.BodyBytes())
+		log.Printf("msg=watch_lost error=%q index=%d byte=%d", err, w.index, w.BodyBytesReceived())
 	}
-	h.p.balancer.ListFailed(h.p.loop.Now())
+	h.p.balancer.BackendListFailed(h.p.loop.Now())
 }
 
 // applyEndpoints updates the backends and the Balancer. Changes without a list before them hold for the backends that they
@@ -114,18 +114,18 @@
 		}
 		t := s.byName[e.Name]
 		if t == nil {
-			t = &target{name: e.Name, id: s.idOf(e.Name), state: balance.Gone}
+			t = &backend{name: e.Name, id: s.assignID(e.Name), state: balance.Gone}
 			s.byName[e.Name], s.byID[t.id] = t, t
 		}
-		if t.at != at || t.since != e.SinceMs {
-			t.dropIdle() // they lead to a process that has ended, though its machine may not have closed them
-			t.since = e.SinceMs
+		if t.addr != at || t.sinceMs != e.SinceMs {
+			t.closeIdle() // they lead to a process that has ended, though its machine may not have closed them
+			t.sinceMs = e.SinceMs
 		}
 		if err == nil {
-			t.at = at
+			t.addr = at
 		}
 		named[e.Name] = true
-		t.listed = balance.Entry{ID: t.id, Zone: p.zone(e.Zone), Cell: e.Group, State: state, Size: e.Weight, Started: p.startOf(e.Name, e.SinceMs)}
+		t.listed = balance.Entry{ID: t.id, Zone: p.zoneIndex(e.Zone), Cell: e.Group, State: state, Capacity: e.Weight, StartedAt: p.startOf(e.Name, e.SinceMs)}
 		entries = append(entries, p.applyMaintenance(t))
 	}
 	if update.Snapshot {
@@ -138,11 +138,11 @@
 		p.maintenance.forget(func(name string) bool { return named[name] })
 	}
 	p.forgetStarts()
-	p.balancer.Fleet(p.loop.Now(), update.Snapshot, entries)
+	p.balancer.UpdateBackends(p.loop.Now(), update.Snapshot, entries)
 }
 
 // applyMaintenance combines what discovery lists with what operators asked for into the backend's state.
-func (p *Proxy) applyMaintenance(t *target) balance.Entry {
+func (p *Proxy) applyMaintenance(t *backend) balance.Entry {
 	e := p.maintenance.applyTo(t.name, t.listed)
 	p.setState(t, e.State)
 	return e
@@ -151,7 +151,7 @@
 // knows tells whether a backend of that name is listed or cordoned.
 func (p *Proxy) knows(name string) bool {
 	t := p.backends.byName[name]
-	return t != nil && t.listed.State != balance.Gone || p.maintenance.Out[name]
+	return t != nil && t.listed.State != balance.Gone || p.maintenance.Cordoned[name]
 }
 
 // cordon keeps new requests from a backend until uncordon.
@@ -169,12 +169,12 @@
 // refreshBackend passes a backend's state to the Balancer again.
 func (p *Proxy) refreshBackend(name string) {
 	if t := p.backends.byName[name]; t != nil && t.listed.State != balance.Gone {
-		p.balancer.Fleet(p.loop.Now(), false, []balance.Entry{p.applyMaintenance(t)})
+		p.balancer.UpdateBackends(p.loop.Now(), false, []balance.Entry{p.applyMaintenance(t)})
 	}
 }
 
 // zone is the number of a zone; one that the settings don't name gets one of its own.
-func (p *Proxy) zone(name string) int {
+func (p *Proxy) zoneIndex(name string) int {
 	n := slices.Index(p.names.Zones, name)
 	if n < 0 {
 		n = len(p.names.Zones)
@@ -184,17 +184,17 @@
 }
 
 // setState notes a backend's state. Idle connections to one that takes nothing new are closed.
-func (p *Proxy) setState(t *target, state balance.State) {
+func (p *Proxy) setState(t *backend, state balance.State) {
 	if (t.state == balance.Ready) != (state == balance.Ready) {
 		if state == balance.Ready {
-			p.backends.usable++
+			p.backends.readyCount++
 		} else {
-			p.backends.usable--
+			p.backends.readyCount--
 		}
 	}
 	t.state = state
 	if state != balance.Ready {
-		t.dropIdle()
+		t.closeIdle()
 	}
-	p.backends.forget(t)
+	p.backends.removeIfGone(t)
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -27,7 +27,7 @@
 )
 
 // Recovery follows one process. Make it with New.
-type Recovery struct {
+type Tracker struct {
 	phase     Phase
 	served    float64 // usual part that is answered
 	late      float64 // usual part of them that is late
@@ -39,8 +39,8 @@
 }
 
 // New begins; served and late are the usual parts as an earlier life had them, 0 where they are not known.
-func New(served, lateUsually float64) *Recovery {
-	r := &Recovery{served: usual, late: late}
+func New(served, lateUsually float64) *Tracker {
+	r := &Tracker{served: usual, late: late}
 	if served > 0 {
 		r.served, r.late = served, lateUsually
 	}
@@ -49,7 +49,7 @@
 
 // Look is told how things stand: whether it takes clients with a list, how many commands have been answered and have ended
 // since the last look, and the part of answers that is late. It tells whether it has become of full use just now.
-func (r *Recovery) Look(now float64, serving bool, answered, ended int, latePart float64) bool {
+func (r *Tracker) Observe(now float64, serving bool, answered, ended int, latePart float64) bool {
 	switch r.phase {
 	case Cold:
 		if serving {
@@ -78,7 +78,7 @@
 }
 
 // Phase is where it is.
-func (r *Recovery) Phase() Phase { return r.phase }
+func (r *Tracker) Phase() Phase { return r.phase }
 
 // Took is how many seconds passed from taking clients until all was as usual, and whether it was given up waiting for that.
-func (r *Recovery) Took() (seconds float64, outOfTime bool) { return r.took, r.outOfTime }
+func (r *Tracker) TimeToFull() (seconds float64, outOfTime bool) { return r.took, r.outOfTime }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -3,11 +3,11 @@
 import "testing"
 
 // course plays looks every quarter of a second; what tells answered, ended and the late part by time.
-func course(r *Recovery, seconds float64, serving func(t float64) bool, what func(t float64) (int, int, float64)) (full float64) {
+func course(r *Tracker, seconds float64, serving func(t float64) bool, what func(t float64) (int, int, float64)) (full float64) {
 	full = -1
 	for t := 0.0; t < seconds; t += 0.25 {
 		a, e, l := what(t)
-		if r.Look(t, serving(t), a, e, l) {
+		if r.Observe(t, serving(t), a, e, l) {
 			full = t
 		}
 	}
@@ -24,7 +24,7 @@
 		}
 		return 10, 10, 0.1
 	})
-	if took, out := r.Took(); r.Phase() != Full || full < 4.7 || full > 5.25 || took < 1.5 || took > 2 || out {
+	if took, out := r.TimeToFull(); r.Phase() != Full || full < 4.7 || full > 5.25 || took < 1.5 || took > 2 || out {
 		t.Errorf("%v at %.2f s, %.2f s after it served, out of time %t", r.Phase(), full, took, out)
 	}
 }
@@ -55,7 +55,7 @@
 		t.Errorf("%v without a list", r.Phase())
 	}
 	full := course(r, 100, from(0), func(t float64) (int, int, float64) { return 0, 10, 0 })
-	if _, out := r.Took(); full < warmMost || full > warmMost+1 || !out {
+	if _, out := r.TimeToFull(); full < warmMost || full > warmMost+1 || !out {
 		t.Errorf("full at %.1f s, out of time %t", full, out)
 	}
 	if r = New(0, 0); course(r, 20, from(0), func(float64) (int, int, float64) { return 0, 0, 0 }) >= 0 {
--- a/internal/revision/document.go
+++ b/internal/revision/document.go
@@ -14,21 +14,21 @@
 
 const (
 	// DocumentMost is the largest document of a scope, and the largest merged configuration, in bytes.
-	DocumentMost = 1 << 20
-	depthMost    = 64 // levels of nesting: a merge recurses
+	MaxDocumentBytes = 1 << 20
+	depthMost        = 64 // levels of nesting: a merge recurses
 )
 
 // Document is a JSON object in canonical form: keys sorted, no white space, numbers as they were written, no null.
 type Document = json.RawMessage
 
 // Empty is the document that says nothing.
-var Empty = Document("{}")
+var EmptyDocument = Document("{}")
 
 // Canonical reads a document that somebody wrote. The error is one line; it names the line and column where the text is
 // no JSON, and the key where a value is null, which a merge patch could not carry.
-func Canonical(text []byte) (Document, error) {
-	if len(text) > DocumentMost {
-		return nil, fmt.Errorf("the document has %d bytes, %d are allowed", len(text), DocumentMost)
+func Canonicalize(text []byte) (Document, error) {
+	if len(text) > MaxDocumentBytes {
+		return nil, fmt.Errorf("the document has %d bytes, %d are allowed", len(text), MaxDocumentBytes)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -133,22 +133,22 @@
 }
 
 // Patch applies an RFC 7396 merge patch to a document; the result is canonical.
-func Patch(document, patch Document) (Document, error) {
+func ApplyPatch(document, patch Document) (Document, error) {
 	merged, err := jsonpatch.MergePatch(document, patch)
 	if err != nil {
 		return nil, fmt.Errorf("merge patch: %w", err)
 	}
-	return Canonical(merged)
+	return Canonicalize(merged)
 }
 
 // Merge lays canonical documents over each other, the first one lowest.
 func Merge(documents ...Document) (Document, error) {
-	merged := Empty
+	merged := EmptyDocument
 	for _, document := range documents {
 		if len(document) == 0 {
 			continue
 		}
-		next, err := Patch(merged, document)
+		next, err := ApplyPatch(merged, document)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/revision/message.go
+++ b/internal/revision/message.go
@@ -13,17 +13,17 @@
 
 // Hello opens a watch: who the proxy is and what it holds, without the documents.
 type Hello struct {
-	Protocol int      `json:"protocol"`
-	Identity Identity `json:"identity"`
-	Revision Number   `json:"revision"`           // the newest that is in force, 0 for none
-	Held     []Held   `json:"held,omitempty"`     // numbers only
-	Checksum string   `json:"checksum,omitempty"` // of the configuration in force
+	Protocol  int             `json:"protocol"`
+	Identity  Identity        `json:"identity"`
+	Revision  Number          `json:"revision"`           // the newest that is in force, 0 for none
+	Documents []ScopeDocument `json:"held,omitempty"`     // numbers only
+	Checksum  string          `json:"checksum,omitempty"` // of the configuration in force
 }
 
 // Update brings a proxy up to date. It is taken whole or not at all.
 type Update struct {
 	Revision Number   `json:"revision"`        // the newest that it brings; above the one in force, or equal with Whole
-	Whole    bool     `json:"whole,omitempty"` // Scopes are all that there are, as documents; nothing held before counts
+	Full     bool     `json:"whole,omitempty"` // Scopes are all that there are, as documents; nothing held before counts
 	Scopes   []Change `json:"scopes"`
 	Checksum string   `json:"checksum"` // of the configuration after it
 }
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -20,7 +20,7 @@
 }
 
 // Held is one scope's document as a proxy holds it.
-type Held struct {
+type ScopeDocument struct {
 	Scope    Scope    `json:"scope"`
 	Number   Number   `json:"number"`
 	Document Document `json:"document,omitempty"`
@@ -28,7 +28,7 @@
 
 // Effective merges what a proxy holds into its configuration, in the order of its scopes; scopes that it does not lie in
 // do not count.
-func Effective(identity Identity, held []Held) (Document, error) {
+func EffectiveDocument(identity Identity, held []ScopeDocument) (Document, error) {
 	var documents []Document
 	for _, scope := range identity.Scopes() {
 		for _, one := range held {
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -32,9 +32,9 @@
 		"":                 "breaks off",
 		`{"a":[{"c":null}]}` + strings.Repeat(" ", 3):               "a[0].c is null",
 		strings.Repeat(`{"a":`, 70) + "1" + strings.Repeat("}", 70): "nested",
-		strings.Repeat(" ", DocumentMost+1):                         "are allowed",
+		strings.Repeat(" ", MaxDocumentBytes+1):                     "are allowed",
 	} {
-		_, err := Canonical([]byte(text))
+		_, err := Canonicalize([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.40q: %v, wanted %q", text, err, want)
 		}
@@ -43,13 +43,13 @@
 
 func TestNarrowerScopesReplaceWiderOnes(t *testing.T) {
 	identity := Identity{Fleet: "shop", Proxy: "p1", Region: "eu", Zone: "a", Service: "cart"}
-	held := []Held{
+	held := []ScopeDocument{
 		{Scope{ProxyKind, "p1"}, 4, Document(`{"x":4}`)},
-		{Fleet, 1, Document(`{"s":{"a":1,"b":1},"x":1}`)},
+		{FleetScope, 1, Document(`{"s":{"a":1,"b":1},"x":1}`)},
 		{Scope{ServiceKind, "cart"}, 3, Document(`{"s":{"b":3}}`)},
 		{Scope{ServiceKind, "other"}, 9, Document(`{"s":{"b":9}}`)},
 	}
-	effective, err := Effective(identity, held)
+	effective, err := EffectiveDocument(identity, held)
 	if want := `{"s":{"a":1,"b":3},"x":4}`; err != nil || string(effective) != want {
 		t.Errorf("%s, %v; wanted %s", effective, err, want)
 	}
@@ -85,14 +85,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if to, err = Canonical(to); err != nil {
+		if to, err = Canonicalize(to); err != nil {
 			t.Fatal(err)
 		}
 		patch, err := Diff(from, to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Patch(from, patch)
+		got, err := ApplyPatch(from, patch)
 		if err != nil || string(got) != string(to) {
 			t.Fatalf("%s and %s give %s, %v; wanted %s", from, patch, got, err, to)
 		}
@@ -102,11 +102,11 @@
 func FuzzCanonical(f *testing.F) {
 	f.Add([]byte(`{"a":1e400,"b":"<&>"}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		document, err := Canonical(text)
+		document, err := Canonicalize(text)
 		if err != nil {
 			return
 		}
-		again, err := Canonical(document)
+		again, err := Canonicalize(document)
 		if err != nil || string(again) != string(document) {
 			t.Fatalf("%q is not canonical: %q, %v", document, again, err)
 		}
--- a/internal/revision/scope.go
+++ b/internal/revision/scope.go
@@ -30,7 +30,7 @@
 }
 
 // Fleet is the scope of all proxies.
-var Fleet = Scope{Kind: FleetKind}
+var FleetScope = Scope{Kind: FleetKind}
 
 // nameForm bounds the names of scopes and proxies, so that a scope is one word on a command line and in a path.
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
@@ -98,7 +98,7 @@
 
 // Scopes are those that the proxy lies in, in the order of merging.
 func (i Identity) Scopes() []Scope {
-	scopes := []Scope{Fleet}
+	scopes := []Scope{FleetScope}
 	for _, scope := range []Scope{{RegionKind, i.Region}, {ZoneKind, i.Zone}, {ServiceKind, i.Service}, {ProxyKind, i.Proxy}} {
 		if scope.Name != "" {
 			scopes = append(scopes, scope)
--- a/internal/scale/cluster.go
+++ b/internal/scale/cluster.go
@@ -288,7 +288,7 @@
 // apply makes a revision of a scope and gives its number.
 func (c *cluster) apply(ctx context.Context, base revision.Number, document revision.Document,
 	atOnce bool) (revision.Number, error) {
-	response, err := c.client.Apply(ctx, controlapi.ApplyRequest{Scope: revision.Fleet, Base: base, Document: document,
+	response, err := c.client.Apply(ctx, controlapi.ApplyRequest{Scope: revision.FleetScope, Base: base, Document: document,
 		Author: "sandlab", Reason: "scale run", AtOnce: atOnce})
 	return response.Number, err
 }
--- a/internal/scale/controlevents.go
+++ b/internal/scale/controlevents.go
@@ -56,7 +56,7 @@
 		realms = append(realms, realm{fmt.Sprintf("customer-%04d", i), float64(100_000 + o.step)})
 	}
 	text, _ := json.Marshal(map[string]any{"settings": map[string]any{"realms": realms}}) // it has nothing that can't be encoded
-	document, _ := revision.Canonical(text)                                               // and is an object
+	document, _ := revision.Canonicalize(text)                                            // and is an object
 	return document
 }
 
--- a/internal/scale/helper/hollow.go
+++ b/internal/scale/helper/hollow.go
@@ -82,12 +82,12 @@
 	}
 	debug.SetMemoryLimit(memoryCeiling)
 	for i, text := range r.Launches {
-		launch, err := proxy.Read(text)
+		launch, err := proxy.ParseConfig(text)
 		if err != nil {
 			return err
 		}
 		if len(r.Operators) > 0 && r.Operators[i] != "" {
-			if err := launch.Heed(r.Operators[i]); err != nil {
+			if err := launch.LoadOperatorFile(r.Operators[i]); err != nil {
 				return err
 			}
 		}
@@ -123,7 +123,7 @@
 			return nil, fmt.Errorf("hollow proxy %d is not there", n)
 		}
 		wait.Go(func() {
-			launch, err := proxy.Read(r.Launches[i])
+			launch, err := proxy.ParseConfig(r.Launches[i])
 			if err == nil {
 				err = proxy.Check(launch)
 			}
@@ -158,7 +158,7 @@
 		if m.asked.Swap(true) || m.proxy == nil {
 			continue
 		}
-		m.proxy.Ring()
+		m.proxy.WakeUp()
 	}
 	deadline := time.After(stopWithin)
 	for _, n := range proxies {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -183,65 +183,65 @@
 			return nil, fmt.Errorf("settings: verbs[%d].key_scope %q is unknown", i, *v.Scope)
 		}
 		verbs = append(verbs, balance.Verb{
-			Effect: effect, Scope: scope, Window: *v.Window / 1000, Goal: *v.Goal / 1000,
-			TimeLimit: *v.Limit / 1000, Utility: *v.Utility, Late: *v.Late, Stream: *v.Stream, Was: was(verbsWere, i),
+			Effect: effect, Scope: scope, DedupWindow: *v.Window / 1000, Goal: *v.Goal / 1000,
+			TimeLimit: *v.Limit / 1000, Utility: *v.Utility, LateUtility: *v.Late, Stream: *v.Stream, PreviousIndex: was(verbsWere, i),
 		})
 	}
 	var customers []balance.Customer
 	for i, r := range l.Realms {
-		customers = append(customers, balance.Customer{Allowance: *r.Allowance, Was: was(tenantsWere, i)})
+		customers = append(customers, balance.Customer{Allowance: *r.Allowance, PreviousIndex: was(tenantsWere, i)})
 	}
 	limits := balance.Limits{
-		Relays: *l.Limits.Relays, SecondCopies: *l.Limits.SecondCopies, Cancel: *l.Limits.Cancel,
-		Peers: l.Limits.Peers, Keys: l.Family.Keys, Far: l.Prices["cross_zone"] > 0,
-		Answers: l.Limits.Answers, LeftOff: l.Safety.LimitError / 1000,
-		Further: balance.Budget{Free: l.Safety.FreeResends, Share: l.Safety.ResendRatio, Span: l.Safety.CountedOver / 1000},
+		MaxRelays: *l.Limits.Relays, SecondCopies: *l.Limits.SecondCopies, CancelRelays: *l.Limits.Cancel,
+		PeerMessages: l.Limits.Peers, KeyAffinity: l.Family.Keys, CrossZonePriced: l.Prices["cross_zone"] > 0,
+		MaxUnreadAnswers: l.Limits.Answers, DeadlineError: l.Safety.LimitError / 1000,
+		ExtraRelays: balance.RelayBudget{Free: l.Safety.FreeResends, PerCommand: l.Safety.ResendRatio, Span: l.Safety.CountedOver / 1000},
 	}
 	if *l.Limits.RetryAfter {
-		limits.ComeBack = *l.Limits.MaxAfter / 1000
+		limits.MaxRetryAfter = *l.Limits.MaxAfter / 1000
 	}
-	cold := balance.Cold{
-		Share: *l.Safety.ColdShare, Span: *l.Safety.ColdMs / 1000, Multiple: *l.Safety.FallMultiple,
-		Off: l.Safety.StartDrift / 1000,
+	cold := balance.ColdStart{
+		InitialCapacity: *l.Safety.ColdShare, WarmUp: *l.Safety.ColdMs / 1000, OverloadMultiple: *l.Safety.FallMultiple,
+		StartError: l.Safety.StartDrift / 1000,
 	}
 	if zone < 0 {
 		zone = l.Zone
 	}
-	place := balance.Place{Me: *l.Me, Siblings: *l.Siblings, Tier: *l.Tier, Zone: zone}
-	b.Turn(now, *l.TickMs/1000, place, verbs, customers, *l.Overage, limits, cold, *l.Discovery == "on_request")
+	place := balance.Placement{Index: *l.Me, Instances: *l.Siblings, Tier: *l.Tier, Zone: zone}
+	b.Configure(now, *l.TickMs/1000, place, verbs, customers, *l.Overage, limits, cold, *l.Discovery == "on_request")
 	return l.LoadInfo.Fields, nil
 }
 
 // Verb is what a proxy needs to know of a request class.
 type Verb struct {
-	Name         string
-	TimeLimit    float64 // seconds
-	Deduplicated bool    // a request carries a key by which a repeat is recognized
-	Idempotent   bool    // may be repeated
+	Name      string
+	TimeLimit float64 // seconds
+	Receipted bool    // a request carries a key by which a repeat is recognized
+	Pure      bool    // may be repeated
 }
 
 // Names are what the settings call things; the module knows these by their indexes.
 type Names struct {
-	Verbs   []Verb
-	Tenants []string
-	Zones   []string
-	Zone    int // its own, an index of Zones
+	Verbs     []Verb
+	Customers []string
+	Zones     []string
+	OwnZone   int // its own, an index of Zones
 }
 
 // Links bounds a proxy's connections, and says whether messages go to peers.
-type Links struct {
-	Connect      float64 // seconds in which a connection to a backend must be up
-	Idle         float64 // seconds of idleness after which a backend closes one
-	Open         int     // requests that may be open at once
-	RetryAfter   float64 // seconds, the longest wait that clients can be told, 0 where they are told nothing
-	PeerMessages bool
-	Me           int // its number among the peers
-	PeerCount    int
-	Keys         bool // backends do less for a key that their cell has handled lately
+type NetworkSettings struct {
+	ConnectTimeout     float64 // seconds in which a connection to a backend must be up
+	BackendIdleTimeout float64 // seconds of idleness after which a backend closes one
+	MaxOpenRequests    int     // requests that may be open at once
+	MaxRetryAfter      float64 // seconds, the longest wait that clients can be told, 0 where they are told nothing
+	PeerMessages       bool
+	OwnIndex           int // its number among the peers
+	PeerCount          int
+	WarmKeys           bool // backends do less for a key that their cell has handled lately
 }
 
 // ForProxy decodes what a proxy on sockets needs beside the Balancer.
-func ForProxy(text []byte) (names Names, links Links, err error) {
+func ForProxy(text []byte) (names Names, links NetworkSettings, err error) {
 	var l struct {
 		Zones  *[]string `json:"azs"`
 		Zone   int       `json:"zone"`
@@ -278,16 +278,16 @@
 			effects[*v.Effect] == balance.Receipted, effects[*v.Effect] == balance.Pure})
 	}
 	for _, r := range l.Realms {
-		names.Tenants = append(names.Tenants, *r.Name)
+		names.Customers = append(names.Customers, *r.Name)
 	}
 	if l.Zone < 0 || l.Zone > 0 && l.Zone >= len(*l.Zones) {
 		return names, links, fmt.Errorf("settings: zone %d is not one of %d azs", l.Zone, len(*l.Zones))
 	}
-	names.Zones, names.Zone = *l.Zones, l.Zone
-	links = Links{Connect: *l.Limits.Connect / 1000, Idle: *l.Limits.Idle / 1000, Open: *l.Limits.Open,
-		PeerMessages: l.Limits.Peers, Me: *l.Me, PeerCount: *l.Siblings, Keys: l.Family.Keys}
+	names.Zones, names.OwnZone = *l.Zones, l.Zone
+	links = NetworkSettings{ConnectTimeout: *l.Limits.Connect / 1000, BackendIdleTimeout: *l.Limits.Idle / 1000, MaxOpenRequests: *l.Limits.Open,
+		PeerMessages: l.Limits.Peers, OwnIndex: *l.Me, PeerCount: *l.Siblings, WarmKeys: l.Family.Keys}
 	if l.Limits.Retry {
-		links.RetryAfter = l.Limits.Most / 1000
+		links.MaxRetryAfter = l.Limits.Most / 1000
 	}
 	return names, links, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,9 +20,9 @@
 func (noHost) Cancel(uint64, int)              {}
 func (noHost) Decline(uint64, float64)         {}
 func (noHost) Terminate(uint64)                {}
-func (noHost) WakeAfter(float64, uint64)       {}
-func (noHost) Watch()                          {}
-func (noHost) Send(int, []byte)                {}
+func (noHost) StartTimer(float64, uint64)      {}
+func (noHost) WatchBackends()                  {}
+func (noHost) SendToPeer(int, []byte)          {}
 
 func TestFurtherRulesAreChecked(t *testing.T) {
 	for _, c := range []struct{ put, told string }{
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -20,27 +20,27 @@
 
 // Plan is how a proxy ends. Make it with For.
 type Plan struct {
-	Door  float64 // the listener closes
-	Leave float64 // from here on answers end their connection, and those that rest are closed
-	End   float64 // what is open gets its answer now; what is read later is declined at once
-	Last  float64 // what is still being sent is declined; the process may stop once all answers are with the kernel
+	StopAccepting     float64 // the listener closes
+	CloseIdle         float64 // from here on answers end their connection, and those that rest are closed
+	AnswerOpen        float64 // what is open gets its answer now; what is read later is declined at once
+	DeclineIncomplete float64 // what is still being sent is declined; the process may stop once all answers are with the kernel
 }
 
 // For plans by the longest time limit of the verbs, in seconds. The kill may follow as soon as the longest command that had
 // come by SIGTERM has had its time, so where verbs are short it comes early, and connections rest for less.
-func For(limit float64) Plan {
+func NewPlan(limit float64) Plan {
 	kill := min(killMost, limit+killAfter)
 	end := max(least, kill-killMargin)
-	return Plan{Door: min(door, end), Leave: min(resting, max(least, restPart*end)), End: end, Last: min(end+lastWords, kill-lastMargin)}
+	return Plan{StopAccepting: min(door, end), CloseIdle: min(resting, max(least, restPart*end)), AnswerOpen: end, DeclineIncomplete: min(end+lastWords, kill-lastMargin)}
 }
 
 // Sooner is the plan in which each step comes as early as in either.
-func (p Plan) Sooner(q Plan) Plan {
-	return Plan{Door: min(p.Door, q.Door), Leave: min(p.Leave, q.Leave), End: min(p.End, q.End), Last: min(p.Last, q.Last)}
+func (p Plan) Earliest(q Plan) Plan {
+	return Plan{StopAccepting: min(p.StopAccepting, q.StopAccepting), CloseIdle: min(p.CloseIdle, q.CloseIdle), AnswerOpen: min(p.AnswerOpen, q.AnswerOpen), DeclineIncomplete: min(p.DeclineIncomplete, q.DeclineIncomplete)}
 }
 
 // MayClose tells whether a connection with nothing under way may be closed, t after the end was asked for: not before
 // Leave, and one on which nothing has come yet only after it had time to say something.
 func (p Plan) MayClose(t float64, new bool, age float64) bool {
-	return t >= p.Leave && (!new || age >= newcomer || t >= p.Last)
+	return t >= p.CloseIdle && (!new || age >= newcomer || t >= p.DeclineIncomplete)
 }
--- a/internal/warm/warm.go
+++ b/internal/snapshot/snapshot.go
@@ -4,7 +4,7 @@
 // of its own, never by the loop. Whatever is wrong with a
 // file is one line, and a start without it; but a folder that is another fleet's is refused. It must never decide what of
 // a snapshot is still to be believed: who takes it knows how old it is.
-package warm
+package snapshot
 
 import (
 	"encoding/json"
@@ -15,29 +15,29 @@
 	"sandpass/internal/statefile"
 )
 
-var form = statefile.Form{Name: "sandpass-state", Version: 1, Suffix: ".state", What: "a snapshot"}
+var form = statefile.Format{Name: "sandpass-state", Version: 1, Suffix: ".state", Description: "a snapshot"}
 
 // State is what a process knows.
 type State struct {
-	Fleet       string             `json:"fleet"`
-	Name        string             `json:"name"`
-	Saved       float64            `json:"saved"` // Unix time in seconds
-	SavedAt     boottime.Mark      `json:"saved_at"`
-	Ages        json.RawMessage    `json:"ages,omitempty"`
-	Incarnation uint64             `json:"life"` // of the process, by which peers tell it from those before
-	List        json.RawMessage    `json:"list,omitempty"`
-	Discovery   string             `json:"discovery,omitempty"` // whose list it is
-	Maintenance json.RawMessage    `json:"maintenance,omitempty"`
-	Drained     bool               `json:"drained,omitempty"`
-	Usual       float64            `json:"usual,omitempty"`  // seconds of an answer
-	Ease        float64            `json:"ease,omitempty"`   // commands out
-	Level       float64            `json:"level,omitempty"`  // commands out for each backend
-	Rate        float64            `json:"rate,omitempty"`   // commands a second
-	Served      float64            `json:"served,omitempty"` // part of commands that is usually answered
-	Late        float64            `json:"late,omitempty"`   // and part of those that is late
-	Any         []byte             `json:"any,omitempty"`    // sketch of all answers
-	Verbs       map[string][]byte  `json:"verbs,omitempty"`  // and of each verb's
-	Weights     map[string]float64 `json:"weights,omitempty"`
+	Fleet              string             `json:"fleet"`
+	Name               string             `json:"name"`
+	SavedUnix          float64            `json:"saved"` // Unix time in seconds
+	SavedAt            boottime.Time      `json:"saved_at"`
+	StartAges          json.RawMessage    `json:"ages,omitempty"`
+	Incarnation        uint64             `json:"life"` // of the process, by which peers tell it from those before
+	Endpoints          json.RawMessage    `json:"list,omitempty"`
+	Discovery          string             `json:"discovery,omitempty"` // whose list it is
+	Maintenance        json.RawMessage    `json:"maintenance,omitempty"`
+	Drained            bool               `json:"drained,omitempty"`
+	TypicalLatency     float64            `json:"usual,omitempty"`  // seconds of an answer
+	BaselineInFlight   float64            `json:"ease,omitempty"`   // commands out
+	InFlightPerBackend float64            `json:"level,omitempty"`  // commands out for each backend
+	ArrivalRate        float64            `json:"rate,omitempty"`   // commands a second
+	AnsweredFraction   float64            `json:"served,omitempty"` // part of commands that is usually answered
+	LateFraction       float64            `json:"late,omitempty"`   // and part of those that is late
+	AllLatencies       []byte             `json:"any,omitempty"`    // sketch of all answers
+	VerbLatencies      map[string][]byte  `json:"verbs,omitempty"`  // and of each verb's
+	BackendWeights     map[string]float64 `json:"weights,omitempty"`
 }
 
 // Encode gives a snapshot's bytes.
@@ -67,7 +67,7 @@
 }
 
 // Foreign says that a folder is another fleet's.
-type Foreign = statefile.Foreign
+type FleetMismatchError = statefile.FleetMismatchError
 
 // Load reads the snapshot of the process of that name. There may be none: nil without an error.
 func Load(folder, fleet, name string) (*State, error) {
@@ -81,13 +81,13 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if s.Fleet != fleet {
-		return nil, &Foreign{Folder: folder, Fleet: s.Fleet, Ours: fleet}
+		return nil, &FleetMismatchError{Folder: folder, Fleet: s.Fleet, WantFleet: fleet}
 	}
 	return s, nil
 }
 
 // Keeper writes a process's snapshots, one at a time, off the loop.
-type Keeper struct {
+type Writer struct {
 	at      string
 	mu      sync.Mutex
 	next    *saving       // that was not begun yet, nil for none
@@ -98,8 +98,8 @@
 }
 
 // NewKeeper begins. said is called from another goroutine, only where what is wrong changes.
-func NewKeeper(folder, name string, said func(error)) *Keeper {
-	k := &Keeper{at: form.Path(folder, name), wake: make(chan struct{}, 1), said: said, writing: statefile.Write}
+func NewWriter(folder, name string, said func(error)) *Writer {
+	k := &Writer{at: form.Path(folder, name), wake: make(chan struct{}, 1), said: said, writing: statefile.Write}
 	k.done.Go(k.run)
 	return k
 }
@@ -113,7 +113,7 @@
 // Put hands a snapshot over without waiting, to be made by the keeper's own goroutine from what nobody else holds; one that
 // was not begun yet is passed over. saved, if not nil, is called from that goroutine once this snapshot or a later one is on
 // the disk, or with the error why it is not.
-func (k *Keeper) Put(made func() (*State, error), saved func(error)) {
+func (k *Writer) Put(made func() (*State, error), saved func(error)) {
 	k.mu.Lock()
 	next := &saving{made: made}
 	if k.next != nil {
@@ -131,13 +131,13 @@
 }
 
 // Close writes what was put last, and ends.
-func (k *Keeper) Close() {
+func (k *Writer) Close() {
 	close(k.wake)
 	k.done.Wait()
 }
 
 // take gives the snapshot to be written, nil for none.
-func (k *Keeper) take() *saving {
+func (k *Writer) take() *saving {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	next := k.next
@@ -145,7 +145,7 @@
 	return next
 }
 
-func (k *Keeper) run() {
+func (k *Writer) run() {
 	last := ""
 	for range k.wake {
 		next := k.take()
@@ -167,7 +167,7 @@
 	}
 }
 
-func (k *Keeper) write(made func() (*State, error)) error {
+func (k *Writer) write(made func() (*State, error)) error {
 	s, err := made()
 	if err != nil {
 		return err
--- a/internal/warm/warm_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -1,4 +1,4 @@
-package warm
+package snapshot
 
 import (
 	"bytes"
@@ -12,24 +12,24 @@
 )
 
 func full() *State {
-	return &State{Fleet: "shop", Name: "n/1", Saved: 1.5e9, Incarnation: 1 << 60, List: []byte(`{"index":3}`), Usual: 0.05, Rate: 20,
-		Any: []byte{1, 2, 3}, Verbs: map[string][]byte{"look": {9}}, Weights: map[string]float64{"b-1": 0.4}, Drained: true}
+	return &State{Fleet: "shop", Name: "n/1", SavedUnix: 1.5e9, Incarnation: 1 << 60, Endpoints: []byte(`{"index":3}`), TypicalLatency: 0.05, ArrivalRate: 20,
+		AllLatencies: []byte{1, 2, 3}, VerbLatencies: map[string][]byte{"look": {9}}, BackendWeights: map[string]float64{"b-1": 0.4}, Drained: true}
 }
 
 func again() (*State, error) { return full(), nil }
 
 func TestWhatIsPutIsThereAfterwards(t *testing.T) {
 	dir := t.TempDir()
-	k := NewKeeper(dir, "n/1", func(err error) { t.Error(err) })
+	k := NewWriter(dir, "n/1", func(err error) { t.Error(err) })
 	for i := range 50 {
 		s := full()
-		s.Rate = float64(i)
+		s.ArrivalRate = float64(i)
 		k.Put(func() (*State, error) { return s, nil }, nil)
 	}
 	k.Close()
 	s, err := Load(dir, "shop", "n/1")
 	want := full()
-	if want.Rate = 49; err != nil || !reflect.DeepEqual(s, want) {
+	if want.ArrivalRate = 49; err != nil || !reflect.DeepEqual(s, want) {
 		t.Errorf("%+v %v", s, err)
 	}
 	if all, _ := os.ReadDir(dir); len(all) != 1 {
@@ -38,7 +38,7 @@
 	if s, err := Load(dir, "shop", "n/2"); s != nil || err != nil {
 		t.Errorf("another process's: %v %v", s, err)
 	}
-	var foreign *Foreign
+	var foreign *FleetMismatchError
 	if _, err := Load(dir, "mill", "n/1"); !errors.As(err, &foreign) || !strings.Contains(err.Error(), `"shop", not of "mill"`) {
 		t.Errorf("a folder of another fleet: %v", err)
 	}
@@ -70,7 +70,7 @@
 func TestADiskThatFails(t *testing.T) {
 	var said []string
 	fails := errors.New("no space left on device")
-	k := &Keeper{at: "x", wake: make(chan struct{}, 1), said: func(err error) { said = append(said, fmt.Sprint(err)) }}
+	k := &Writer{at: "x", wake: make(chan struct{}, 1), said: func(err error) { said = append(said, fmt.Sprint(err)) }}
 	stuck := make(chan bool)
 	n := 0
 	k.writing = func(string, []byte) error {
@@ -94,7 +94,7 @@
 	if len(said) != 2 || said[0] != fails.Error() || said[1] != "<nil>" {
 		t.Errorf("%q after %d writings", said, n)
 	}
-	real := NewKeeper(filepath.Join(t.TempDir(), "not", "there"), "n", func(err error) { said = append(said, fmt.Sprint(err)) })
+	real := NewWriter(filepath.Join(t.TempDir(), "not", "there"), "n", func(err error) { said = append(said, fmt.Sprint(err)) })
 	real.Put(again, nil)
 	real.Put(again, nil)
 	if real.Close(); len(said) != 3 || !strings.Contains(said[2], "no such file") {
--- a/internal/statefile/faults.go
+++ b/internal/statefile/faults.go
@@ -12,11 +12,11 @@
 
 // Faults is asked before each step of a writing; an error is what the step fails with instead of being made. It is nil but
 // in tests, which set it before anything is written.
-var Faults func(Step) error
+var FaultHook func(Step) error
 
 func fault(s Step) error {
-	if Faults == nil {
+	if FaultHook == nil {
 		return nil
 	}
-	return Faults(s)
+	return FaultHook(s)
 }
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -23,31 +23,31 @@
 )
 
 // Form is one kind of file.
-type Form struct {
-	Name    string // first word of the file
-	Version int
-	Suffix  string // of the file's name, with the dot
-	What    string // "a snapshot", for errors
+type Format struct {
+	Name        string // first word of the file
+	Version     int
+	Suffix      string // of the file's name, with the dot
+	Description string // "a snapshot", for errors
 }
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // Encode gives a file's bytes.
-func (f Form) Encode(body []byte) []byte {
+func (f Format) Encode(body []byte) []byte {
 	return append(fmt.Appendf(nil, "%s %d %08x %d\n", f.Name, f.Version, crc32.Checksum(body, table), len(body)), body...)
 }
 
 // Decode gives the body in a file's bytes, or tells in one line what is wrong with them.
-func (f Form) Decode(text []byte) ([]byte, error) {
+func (f Format) Decode(text []byte) ([]byte, error) {
 	head, body, whole := bytes.Cut(text, []byte("\n"))
 	if !whole || len(head) > headMost {
-		return nil, fmt.Errorf("it has no first line: torn, or not %s", f.What)
+		return nil, fmt.Errorf("it has no first line: torn, or not %s", f.Description)
 	}
 	var name string
 	var v, length int
 	var sum uint32
 	if n, err := fmt.Sscanf(string(head), "%s %d %x %d", &name, &v, &sum, &length); err != nil && n < 2 || name != f.Name {
-		return nil, fmt.Errorf("its first line is not that of %s", f.What)
+		return nil, fmt.Errorf("its first line is not that of %s", f.Description)
 	} else if v != f.Version {
 		return nil, fmt.Errorf("it has form %d, this program knows %d", v, f.Version)
 	} else if n != 4 {
@@ -63,12 +63,12 @@
 }
 
 // Path is the file of the process of that name.
-func (f Form) Path(folder, name string) string {
+func (f Format) Path(folder, name string) string {
 	return filepath.Join(folder, url.PathEscape(name)+f.Suffix)
 }
 
 // Read gives the body of a file. There may be none: nil without an error.
-func (f Form) Read(path string) ([]byte, error) {
+func (f Format) Read(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -88,10 +88,10 @@
 }
 
 // Foreign says that a folder is another fleet's.
-type Foreign struct{ Folder, Fleet, Ours string }
+type FleetMismatchError struct{ Folder, Fleet, WantFleet string }
 
-func (f *Foreign) Error() string {
-	return fmt.Sprintf("state: the folder %s is that of fleet %q, not of %q", f.Folder, f.Fleet, f.Ours)
+func (f *FleetMismatchError) Error() string {
+	return fmt.Sprintf("state: the folder %s is that of fleet %q, not of %q", f.Folder, f.Fleet, f.WantFleet)
 }
 
 // Write puts a file in place whole or not at all, and syncs the folder. After an error it may be in place all the same.
@@ -116,7 +116,7 @@
 
 // Replace does the same where allowed says so of what is there, and syncs the folder. While it looks and writes no other
 // process does so in this folder: it holds the folder's lock. It tells whether the file was written.
-func Replace(path string, text []byte, allowed func() bool) (written bool, err error) {
+func ReplaceIf(path string, text []byte, allowed func() bool) (written bool, err error) {
 	name, err := writeTemporary(path, text)
 	if name != "" {
 		defer os.Remove(name) // fails once the file is in place
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-var form = Form{Name: "sandpass-test", Version: 3, Suffix: ".test", What: "a test"}
+var form = Format{Name: "sandpass-test", Version: 3, Suffix: ".test", Description: "a test"}
 
 func TestABodyComesBack(t *testing.T) {
 	dir := t.TempDir()
@@ -42,7 +42,7 @@
 		if !allowed {
 			text = []byte("second")
 		}
-		written, err := Replace(path, text, func() bool { return allowed })
+		written, err := ReplaceIf(path, text, func() bool { return allowed })
 		if err != nil || written != allowed {
 			t.Errorf("%t, %v where %t is allowed", written, err, allowed)
 		}
--- a/internal/testbed/backend.go
+++ b/internal/testbed/backend.go
@@ -181,7 +181,7 @@
 	if err != nil {
 		return 0
 	}
-	_ = raw.Control(func(fd uintptr) { seconds = loop.Age(int(fd)) }) // fails only on what is closed
+	_ = raw.Control(func(fd uintptr) { seconds = loop.LastReceiveAge(int(fd)) }) // fails only on what is closed
 	return seconds
 }
 
--- a/internal/testbed/here.go
+++ b/internal/testbed/here.go
@@ -35,11 +35,11 @@
 	if err != nil {
 		return true, err
 	}
-	l, err := proxy.Read(text)
+	l, err := proxy.ParseConfig(text)
 	if err != nil {
 		return true, err
 	}
-	if err := l.Heed(os.Getenv(operatorEnv)); err != nil {
+	if err := l.LoadOperatorFile(os.Getenv(operatorEnv)); err != nil {
 		return true, err
 	}
 	runtime.GOMAXPROCS(1)
@@ -64,7 +64,7 @@
 	go func() {
 		<-ends
 		asked.Store(true)
-		p.Ring()
+		p.WakeUp()
 	}()
 	return true, p.Run(asked.Load)
 }
--- a/internal/testbed/lives.go
+++ b/internal/testbed/lives.go
@@ -14,7 +14,7 @@
 
 	"sandpass/internal/checker"
 	"sandpass/internal/faults"
-	"sandpass/internal/warm"
+	"sandpass/internal/snapshot"
 )
 
 const (
@@ -78,12 +78,12 @@
 	case "torn":
 		text = text[:len(text)/2]
 	case "old":
-		s, err := warm.Decode(text)
+		s, err := snapshot.Decode(text)
 		if err != nil {
 			return err
 		}
-		s.Saved -= oldBy
-		if text, err = warm.Encode(s); err != nil {
+		s.SavedUnix -= oldBy
+		if text, err = snapshot.Encode(s); err != nil {
 			return err
 		}
 	}
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"sandpass/internal/injected"
+	"sandpass/internal/faultinject"
 )
 
 const (
@@ -66,7 +66,7 @@
 	if s.Rules == "" {
 		return nil
 	}
-	return []string{injected.Env + "=" + s.Rules}
+	return []string{faultinject.Env + "=" + s.Rules}
 }
 
 // signals sends a process that is asked to end a series of further signals, drawn by its number, until the kill comes.
--- a/internal/tomlconfig/tomlconfig.go
+++ b/internal/tomlconfig/tomlconfig.go
@@ -15,11 +15,11 @@
 func Decode(text []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	return Placed(d.Decode(into))
+	return WithPosition(d.Decode(into))
 }
 
 // Placed gives a decoder's error with its place, in one line; nil stays nil.
-func Placed(err error) error {
+func WithPosition(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -41,29 +41,29 @@
 )
 
 // Owner is whose watch it is. All methods are called on the loop.
-type Owner interface {
+type Handler interface {
 	// Request is the head of the request to a server, with the empty line. With Config.Body it announces a chunked body.
-	Request(to netip.AddrPort) []byte
+	RequestHead(to netip.AddrPort) []byte
 	// First is the first object of the request's body, nil for none; it is asked for with Config.Body alone.
-	First() []byte
+	FirstMessage() []byte
 	// Decode reads an object, which is good until the method returns. After an error it counts for no sign of life, and the
 	// connection is given up.
 	Decode(object []byte) error
 	// Take acts on the object decoded last. After an error the connection is given up.
-	Take() error
+	Apply() error
 	// Returned says that the first sign of life after a loss has come.
-	Returned()
+	Reconnected()
 	// Lost says that the connection is lost; news is false where the same loss was told before.
-	Lost(err error, news bool)
+	Disconnected(err error, news bool)
 }
 
 // Config says how a watch is kept.
 type Config struct {
-	Servers []netip.AddrPort // the preferred one first, the others in the order in which they are tried
-	Most    int              // bytes of an object
-	Body    bool             // the request has a body that stays open, and refusals are told with their text
-	Spread  float64          // seconds over which clients that lost the same server come back, beside the usual wait
-	Chance  func() float64   // draws from [0, 1), for jitter
+	Servers         []netip.AddrPort // the preferred one first, the others in the order in which they are tried
+	MaxObjectBytes  int              // bytes of an object
+	StreamRequest   bool             // the request has a body that stays open, and refusals are told with their text
+	ReconnectSpread float64          // seconds over which clients that lost the same server come back, beside the usual wait
+	Random          func() float64   // draws from [0, 1), for jitter
 }
 
 // Client is one watch. New makes it, Open starts it.
@@ -71,7 +71,7 @@
 	liveness.Watch
 	*opening // the present one
 	loop     *loop.Loop
-	owner    Owner
+	owner    Handler
 	config   Config
 	server   int         // the one asked now, a place in config.Servers
 	late     []*opening  // earlier ones that a slow server may yet answer, the oldest first
@@ -88,8 +88,8 @@
 type opening struct {
 	conn   *loop.Conn // nil before it is made and once it is given up
 	msg    http1.Message
-	chunks http1.Chunks
-	cutter jsonstream.Cutter
+	chunks http1.ChunkReader
+	cutter jsonstream.Splitter
 	had    int     // bytes of the answer's body
 	gotAt  float64 // when the latest of them came
 	spoke  bool    // a whole object or an empty line has come
@@ -104,7 +104,7 @@
 }
 
 // New makes a watch that is not open yet.
-func New(l *loop.Loop, owner Owner, config Config) *Client {
+func New(l *loop.Loop, owner Handler, config Config) *Client {
 	c := &Client{loop: l, owner: owner, config: config, backWait: returnFirst}
 	c.Reset()
 	return c
@@ -114,19 +114,19 @@
 func (c *Client) Server() netip.AddrPort { return c.config.Servers[c.server] }
 
 // BodyBytes is how many bytes of the present answer's body have come.
-func (c *Client) BodyBytes() int { return c.had }
+func (c *Client) BodyBytesReceived() int { return c.had }
 
 // Connected tells whether an answer is open and its head has come.
-func (c *Client) Connected() bool { return c.conn != nil && c.msg.HeadWhole() }
+func (c *Client) Connected() bool { return c.conn != nil && c.msg.HeadComplete() }
 
 // LineAt is when a server's last sign of life came, 0 before the first.
-func (c *Client) LineAt() float64 { return c.lineAt }
+func (c *Client) LastReceivedAt() float64 { return c.lineAt }
 
 // Open connects. Where the system has nothing for a socket it tries again soon: that says nothing of the server.
 func (c *Client) Open() {
 	next := c.newOpening()
-	conn, err := c.loop.Dial(c.Server(), handler{c, next}, c.config.Most)
-	if loop.Starved(err) && c.starved < starvedMost {
+	conn, err := c.loop.Dial(c.Server(), handler{c, next}, c.config.MaxObjectBytes)
+	if loop.IsResourceExhausted(err) && c.starved < starvedMost {
 		c.starved++
 		c.again = c.loop.After(starvedPause, c.Open)
 		return
@@ -134,16 +134,16 @@
 	c.starved = 0
 	c.opening = next
 	c.openedAt = c.loop.Now()
-	c.Opened(c.openedAt)
+	c.ConnectStarted(c.openedAt)
 	if err != nil {
-		c.Lose(err)
+		c.Reconnect(err)
 		return
 	}
 	next.conn = conn
 }
 
 func (c *Client) newOpening() *opening {
-	return &opening{cutter: jsonstream.Cutter{Most: c.config.Most}}
+	return &opening{cutter: jsonstream.Splitter{MaxObjectBytes: c.config.MaxObjectBytes}}
 }
 
 // Reset readies it for the start of an answer.
@@ -159,26 +159,26 @@
 }
 
 // Turn leaves the servers where they were for others.
-func (c *Client) Turn(servers ...netip.AddrPort) {
+func (c *Client) SetServers(servers ...netip.AddrPort) {
 	c.Close()
 	c.config.Servers, c.server = servers, 0
-	c.Anew()
+	c.ResetBackoff()
 	c.Open()
 }
 
 // Lose gives the connection up and opens another after a while, to the next server where there are several.
-func (c *Client) Lose(err error) {
+func (c *Client) Reconnect(err error) {
 	if now := c.loop.Now(); c.mayAnswerYet(err, now) {
 		c.keepLate(now)
 	} else {
 		c.opening.close()
 	}
-	wait, news := c.Ended(c.loop.Now(), err.Error(), c.config.Chance())
-	if c.config.Spread > 0 {
-		wait += c.config.Spread * c.config.Chance()
+	wait, news := c.ConnectionLost(c.loop.Now(), err.Error(), c.config.Random())
+	if c.config.ReconnectSpread > 0 {
+		wait += c.config.ReconnectSpread * c.config.Random()
 	}
 	c.again = c.loop.After(wait, c.Open)
-	c.owner.Lost(err, news)
+	c.owner.Disconnected(err, news)
 	if c.server == 0 && c.loop.Now()-c.openedAt > returnFirst {
 		c.backWait = returnFirst
 	}
@@ -228,9 +228,9 @@
 }
 
 // Sweep gives up a connection that is silent past its heartbeats; it is called every 0.25 s at least.
-func (c *Client) Sweep(now float64) {
-	if c.conn != nil && c.Dead(now) {
-		c.Lose(errSilent)
+func (c *Client) CheckLiveness(now float64) {
+	if c.conn != nil && c.IsDead(now) {
+		c.Reconnect(errSilent)
 	}
 	for len(c.late) > 0 && now > c.late[0].until {
 		c.dropLate(c.late[0])
@@ -238,9 +238,9 @@
 }
 
 // Look takes what has come before anything else has its turn.
-func (c *Client) Look() {
+func (c *Client) ReadPending() {
 	if c.conn != nil {
-		c.conn.Look()
+		c.conn.ReadNow()
 	}
 }
 
@@ -250,8 +250,8 @@
 		return
 	}
 	write(c.conn, object)
-	if c.conn.Backlog() > unsentMost {
-		c.Lose(errUnsent)
+	if c.conn.UnsentBytes() > unsentMost {
+		c.Reconnect(errUnsent)
 	}
 }
 
@@ -266,33 +266,33 @@
 	o *opening
 }
 
-func (h handler) Up(conn *loop.Conn) {
-	conn.Write(h.c.owner.Request(h.c.Server()))
-	if h.c.config.Body {
-		write(conn, h.c.owner.First())
+func (h handler) OnConnect(conn *loop.Conn) {
+	conn.Write(h.c.owner.RequestHead(h.c.Server()))
+	if h.c.config.StreamRequest {
+		write(conn, h.c.owner.FirstMessage())
 	}
 }
 
-func (h handler) Flushed(*loop.Conn) {}
+func (h handler) OnFlushed(*loop.Conn) {}
 
-func (h handler) Down(_ *loop.Conn, err error) { h.fail(err) }
+func (h handler) OnDisconnect(_ *loop.Conn, err error) { h.fail(err) }
 
 // fail gives the opening up; where it is the present one, the watch is lost.
 func (h handler) fail(err error) {
 	if h.o == h.c.opening {
-		h.c.Lose(err)
+		h.c.Reconnect(err)
 	} else {
 		h.c.dropLate(h.o)
 	}
 }
 
-func (h handler) Data(conn *loop.Conn) {
+func (h handler) OnData(conn *loop.Conn) {
 	o := h.o
 	o.gotAt = h.c.loop.Now()
-	if !o.msg.HeadWhole() {
-		whole, err := o.msg.AnswerHead(conn.In())
+	if !o.msg.HeadComplete() {
+		whole, err := o.msg.ParseResponseHead(conn.Unconsumed())
 		if err == nil && whole && o.msg.Status != statusFine {
-			err = h.refusal(conn.In())
+			err = h.refusal(conn.Unconsumed())
 		}
 		if err != nil {
 			h.fail(err)
@@ -303,11 +303,11 @@
 		}
 		conn.Consume(o.msg.HeadSize())
 		if o == h.c.opening {
-			h.c.Head(o.gotAt)
+			h.c.HeadReceived(o.gotAt)
 		}
 	}
-	for len(conn.In()) > 0 || o.msg.Length() == o.had {
-		data, used, done, err := o.piece(conn.In())
+	for len(conn.Unconsumed()) > 0 || o.msg.BodyLength() == o.had {
+		data, used, done, err := o.piece(conn.Unconsumed())
 		if err == nil {
 			err = h.c.feed(o, data)
 		}
@@ -330,7 +330,7 @@
 	msg := &h.o.msg
 	status := "status " + strconv.Itoa(msg.Status)
 	text, _, _ := bytes.Cut(bytes.TrimSpace(in[msg.HeadSize():]), []byte("\n"))
-	if !h.c.config.Body || msg.Chunked() || len(text) == 0 {
+	if !h.c.config.StreamRequest || msg.Chunked() || len(text) == 0 {
 		return errors.New(status)
 	}
 	return fmt.Errorf("%s: %s", status, text[:min(len(text), reasonMost)])
@@ -341,7 +341,7 @@
 	data, used = in, len(in)
 	if o.msg.Chunked() {
 		data, used, done, err = o.chunks.Next(in)
-	} else if n := o.msg.Length(); n >= 0 {
+	} else if n := o.msg.BodyLength(); n >= 0 {
 		data = in[:min(len(in), n-o.had)]
 		used, done = len(data), o.had+len(data) == n
 	}
@@ -370,11 +370,11 @@
 			c.promote(o)
 		}
 		c.lineAt = c.loop.Now()
-		if c.Line(c.lineAt) {
-			c.owner.Returned()
+		if c.LineReceived(c.lineAt) {
+			c.owner.Reconnected()
 		}
 		if len(object) > 0 {
-			if err := c.owner.Take(); err != nil {
+			if err := c.owner.Apply(); err != nil {
 				return err
 			}
 		}
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -85,10 +85,10 @@
 	return &watcher{objects: make(chan string, 100), lost: make(chan string, 100), back: make(chan bool, 100)}
 }
 
-func (w *watcher) Request(to netip.AddrPort) []byte {
+func (w *watcher) RequestHead(to netip.AddrPort) []byte {
 	return []byte("POST /watch HTTP/1.1\r\nHost: " + to.String() + "\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
-func (w *watcher) First() []byte { return []byte(`{"hello":1}`) }
+func (w *watcher) FirstMessage() []byte { return []byte(`{"hello":1}`) }
 func (w *watcher) Decode(object []byte) error {
 	if strings.Contains(string(object), "bad") {
 		return errors.New("a bad object")
@@ -96,9 +96,9 @@
 	w.decoded = string(object)
 	return nil
 }
-func (w *watcher) Take() error               { w.objects <- w.decoded; return nil }
-func (w *watcher) Returned()                 { w.back <- true }
-func (w *watcher) Lost(err error, news bool) { w.lost <- err.Error() }
+func (w *watcher) Apply() error                      { w.objects <- w.decoded; return nil }
+func (w *watcher) Reconnected()                      { w.back <- true }
+func (w *watcher) Disconnected(err error, news bool) { w.lost <- err.Error() }
 
 // running is a client on a loop of its own.
 type running struct {
@@ -114,7 +114,7 @@
 	}
 	draws := 0.0
 	r := &running{todo: make(chan func(), 1)}
-	r.Client = New(l, w, Config{Servers: servers, Most: 1000, Body: true, Chance: func() float64 {
+	r.Client = New(l, w, Config{Servers: servers, MaxObjectBytes: 1000, StreamRequest: true, Random: func() float64 {
 		draws += 0.37
 		return draws - float64(int(draws))
 	}})
@@ -124,7 +124,7 @@
 	ended := make(chan bool)
 	var sweep func()
 	sweep = func() {
-		r.Sweep(l.Now())
+		r.CheckLiveness(l.Now())
 		l.After(0.25, sweep)
 	}
 	go func() {
@@ -150,7 +150,7 @@
 func (r *running) do(f func()) {
 	done := make(chan bool)
 	r.todo <- func() { f(); close(done) }
-	r.loop.Ring()
+	r.loop.WakeUp()
 	<-done
 }
 
@@ -193,8 +193,8 @@
 		t.Errorf("%q %q", one, two)
 	}
 	r.do(func() {
-		if !r.Connected() || r.LineAt() == 0 || r.Server() != s.address() {
-			t.Errorf("connected %t, line at %v", r.Connected(), r.LineAt())
+		if !r.Connected() || r.LastReceivedAt() == 0 || r.Server() != s.address() {
+			t.Errorf("connected %t, line at %v", r.Connected(), r.LastReceivedAt())
 		}
 	})
 }
@@ -210,8 +210,8 @@
 	wait(t, second.heads)
 	wait(t, w.back)
 	r.do(func() {
-		if r.Server() != second.address() || r.BodyBytes() != 1 {
-			t.Errorf("%s is asked, %d bytes", r.Server(), r.BodyBytes())
+		if r.Server() != second.address() || r.BodyBytesReceived() != 1 {
+			t.Errorf("%s is asked, %d bytes", r.Server(), r.BodyBytesReceived())
 		}
 	})
 	// While the preferred one is away, the second stays: each trial fails and costs nothing.
@@ -276,8 +276,8 @@
 	send = func() {
 		if len(w.lost) == 0 {
 			r.Send(report)
-			if r.conn != nil && r.conn.Backlog() > unsentMost+len(report) {
-				t.Errorf("%d bytes wait", r.conn.Backlog())
+			if r.conn != nil && r.conn.UnsentBytes() > unsentMost+len(report) {
+				t.Errorf("%d bytes wait", r.conn.UnsentBytes())
 			}
 			r.loop.After(0.001, send)
 		}
@@ -295,10 +295,10 @@
 	r := start(t, w, nil, s.address())
 	wait(t, s.heads)
 	r.do(func() {
-		r.Lose(errors.New("a test"))
+		r.Reconnect(errors.New("a test"))
 		r.Close()
 		r.Send([]byte("{}"))
-		r.Look()
+		r.ReadPending()
 	})
 	quiet := make(chan bool)
 	r.do(func() { r.loop.After(0.5, func() { close(quiet) }) }) // past the longest first wait
