--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,9 +1,13 @@
-// Package balance decides where a command goes, when it gets a second copy, and when it is given up.
+// Package balance decides which backend a command is relayed to, when it gets a second copy (a hedged relay), and
+// when it is declined or terminated.
 //
-// A front makes one Balancer for each instance with New, calls one method for each thing that happens
-// (Command, Outcome, Started, Departed, Fleet, ListFailed, Heard, Wake, Turn), the clock always in seconds,
-// and carries out what the Balancer asks of its Host. Interface and plain types are in host.go; what the
-// mechanism is and where it is departed from is told in docs/design.md. Not safe for concurrent calls.
+// A front creates one Balancer per instance with New and applies its settings with Configure. It then reports each
+// event by a method call: CommandReceived, ConnectionOpened, StreamStarted, RelayEnded, ClientDisconnected,
+// UpdateBackends, BackendListFailed, MessageReceived, TimerFired and Stalled. Times are clock readings in seconds.
+// The Balancer acts only through its Host. The interface and the plain types are in host.go; docs/design.md
+// describes the algorithm and where it departs from its model.
+//
+// A Balancer is not safe for concurrent calls.
 package balance
 
 import (
@@ -14,570 +18,603 @@
 )
 
 const (
-	// Delay of second copies (the mechanism's own figures).
-	percentile    = 0.95  // quantile after which a copy goes out; tiers repeat whole subtrees, so few may
-	accuracy      = 0.02  // relative error of the sketches: far below the spread of latencies
-	rotation      = 10.0  // seconds between sketch rotations
-	minDelay      = 0.001 // seconds, floor of the delay
-	warmupPart    = 0.5   // of the response goal, delay while nothing is known: a copy may still be in time
-	warmupAnswers = 20    // answers until the sketch is trusted
-
-	// Copy bucket.
-	copyShare = 0.1  // copies for each own call
-	callSpan  = 10.0 // seconds over which the own call rate is counted
-	copyBurst = 2.0  // seconds of refill that the bucket holds, at least one copy
-
-	// Breakers.
-	breakerShare    = 0.5  // part of failures that opens
-	breakerOutcomes = 20.0 // outcomes needed before it may open
-	breakerSpan     = 10.0 // seconds over which outcomes are counted
-	cooldown        = 10.0 // seconds that it stays open
-	trials          = 5    // copies let through before it closes again
-
-	// Weights and pick.
-	weightMin, weightMax = 0.1, 3.0 // no unit; a thirtieth of the best still learns when a backend mends
-	weightGain           = 0.1      // for each quick answer: ten make up for one halving at the mean
-	farSlack             = 0.5      // commands under the mean count from which it is skipped: queues stay even
-	spillAt              = 1.5      // times the others' mean latency at which the own zone is preferred no more
-	localSlack           = 1.0      // commands more at one of the own zone, where crossing is priced
-	asideFor             = 2.0      // seconds left alone after a connection failed: it is down or full
-	homePull             = 60.0     // times the weight of backends in the cell of a command's key
-	zonePull             = 3.0      // times the weight of backends in the own zone
-	localPull            = 30.0     // the same where crossing is priced, without keepers: a tenth still crosses
-
-	// Keepers.
-	room                = 5.0      // commands out for each backend, by all: fewer idle it, more choke it
-	failLoad, failSpan  = 2.0, 3.0 // commands that a first failure counts for, and for how many seconds
-	failPer             = 3.0      // answers that one outweighs: many failures among many answers are no outage
-	noteLife, noteAgain = 1.0, 0.8 // seconds that a note counts, and after which it is repeated
-	asksMost            = 2        // cells asked for a command at a time: more only add to a flood
-	patience            = 0.04     // seconds for a keeper's word: twice the way there and back, and a few ticks
-
-	// Fleet.
-	nearLeast         = 4.0      // backends in an instance's window: room for copies and for some that fail
-	nearShared        = 2.0      // windows that each backend lies in at least, where there are as many
-	askFirst, askLast = 1.0, 8.0 // seconds between calls for a list out of reach, doubling, with jitter
-	coldPart          = 0.55     // of the multiple at which a cold backend falls that all may send together
-	coldMemory        = 30.0     // seconds in which it fades how many there were: of fewer each gets more
-
-	// Admission.
-	rateSpan     = 2.0   // seconds over which the rate of answers is counted: a few response times
-	spareFirst   = 0.7   // part of the bound open to commands of no utility; the rest goes by utility
-	boundMin     = 7.0   // commands out for each backend, by all instances, that are always allowed
-	boundFirst   = 20.0  // the same at the start: cut within seconds where it is too much
-	boundRoot    = 1.7   // roots of its share, or shares, that an instance may have out beyond it
-	fewInstances = 4.0   // instances up to which one sees enough of the whole to keep to its share
-	lateFrom     = 0.4   // of the response goal from which an answer counts as late: half may be, with any tail
-	lateShare    = 0.5   // part of late answers from which the bound is cut
-	stretch      = 1.7   // times the usual latency from which an answer counts as late as well: queues build
-	leeway       = 1.5   // times the usual latency up to which no answer is late
-	lateTo       = 0.75  // of the response goal from which every answer is late
-	usualStep    = 0.005 // step at which the usual latency is followed, for each answer
-	usualAnswers = 30    // answers until the usual latency is known: the first to come are the light ones
-	lateSlack    = 1.0   // late answers that prove nothing
-	lateSpan     = 2.0   // seconds over which that part is counted
-	lateAnswers  = 6.0   // answers that it keeps at least, however long ago
-	cut          = 0.5   // part of the bound taken off in a cut, for each whole of late answers too many
-	cutEvery     = 0.5   // seconds between cuts: an answer shows what was let out a while ago
-	raise        = 0.05  // growth of the bound in a second: what is let out too fast chokes backends for long
-	easeRoot     = 3.0   // roots of what is out at ease by which it may be exceeded, by chance and in a surge
-	easeMore     = 2.0   // and commands beyond: a few at ease say little
-	easePower    = 0.25  // of the part that few instances are of all, by which that room shrinks
-	easeLeast    = 7.0   // commands out for each backend, by all instances, that no ease forbids
-	easeStep     = 0.005 // step at which that is followed, for each answer: slower than a burst chokes
-	missFrom     = 0.2   // part of commands that miss their goal from which that bound gives way
-	nestPart     = 0.02  // of own commands that come from below from which the others leave places for them
-	nestRoot     = 0.5   // in place of easeRoot then
-	nestTimes    = 2.0   // the bound of those from below: what waits for them holds places already
-	sortSpan     = 5.0   // seconds over which it is counted how a sort of commands fares
-	sortSlack    = 1.0   // roots of the ill ones by which they may be many by chance: few prove little
-	sortApart    = 0.25  // part of ill ones above that of the rest from which a sort stands apart
-	sortRest     = 0.25  // of what ended of a sort that must have ended of the rest: nothing stands apart alone
-	sortCut      = 0.7   // of the places that it may hold, left for each that ends ill
-	sortRaise    = 0.1   // places more for each that ends well: ten prove room for one
-	inUse        = 0.8   // of the bound that must be out for it to be raised
-	holdShare    = 0.1   // of the response goal that a command may be held
-	comeBack     = 0.8   // of the response goal after which a declined client is to come back: in time to count
-	shareBurst   = 2.0   // seconds of its allowance that a customer may send at once
-	retryShare   = 0.2   // further relays after a failure for each own call, so refusals are no storm
-	retryBurst   = 3.0   // further relays that may go at once
-	copyPart     = 0.5   // of a stated budget of further relays open to copies: failed ones gain more
-	pastPart     = 0.15  // of the places for answers that late commands may hold
-	expiryTicks  = 1.0   // ticks before its time limit at which a command is terminated
-	recheck      = 0.05  // seconds after which a held command is looked at when nothing else happens
-	slowShare    = 0.05  // part of recent relays past the delay from which copies stop: the usual one
-	slowSpan     = 2.0   // seconds over which that part is counted
-	slowSlack    = 0.5   // late relays that prove nothing: the one to be copied is among them
-	tiny         = 1e-9  // guards divisions
+	// Delay before a second copy.
+	copyDelayQuantile     = 0.95  // a low quantile would copy much: each tier repeats whole subtrees
+	sketchAccuracy        = 0.02  // relative error, far below the spread of latencies
+	sketchRotationSeconds = 10.0  // sketches rotate at this interval
+	minCopyDelaySeconds   = 0.001 // lower bound of the delay
+	warmupGoalShare       = 0.5   // share of the response goal used before latencies are known: a copy may still be in time
+	warmupAnswers         = 20    // answers before the sketch is used
+
+	// Token bucket of second copies.
+	copiesPerCall    = 0.1  // second copies per received command
+	callSpanSeconds  = 10.0 // decay time of command and answer rates
+	copyBurstSeconds = 2.0  // refill time that fills the bucket, which holds at least one copy
+
+	// Circuit breakers for second copies.
+	breakerFailureShare    = 0.5  // failure share that opens the breaker
+	breakerMinOutcomes     = 20.0 // outcomes required before it may open
+	breakerSpanSeconds     = 10.0 // decay time of the outcome counts
+	breakerCooldownSeconds = 10.0 // time that it stays open
+	breakerTrials          = 5    // copies allowed before it closes again
+
+	// Backend weights and selection.
+	minWeight, maxWeight  = 0.1, 3.0 // a thirtieth of the best weight still shows when a backend recovers
+	weightStep            = 0.1      // added per fast answer: ten undo one halving at the mean weight
+	loadMargin            = 0.5      // commands below the mean load at which backends are skipped: keeps queues even
+	spillLatencyMultiple  = 1.5      // times the other zones' mean latency at which own-zone preference ends
+	ownZoneLoadMargin     = 1.0      // extra load allowed in the own zone if crossing zones is priced
+	connectBackoffSeconds = 2.0      // pause after a failed connection: the backend is down or full
+	homeCellFactor        = 60.0     // weight factor for the home cell of a command's key
+	ownZoneGrantFactor    = 3.0      // weight factor for the own zone when coordinators grant
+	pricedZoneFactor      = 30.0     // the same without coordinators if crossing is priced: a tenth still crosses
+
+	// Cell coordinators.
+	commandsPerBackend                           = 5.0      // in flight, all instances: fewer idle it, more overload it
+	failureLoad, failureSpanSeconds              = 2.0, 3.0 // commands that a first failure counts as, and for how long
+	answersPerFailure                            = 3.0      // offset one failure: many failures in many answers are no outage
+	reportLifetimeSeconds, reportIntervalSeconds = 1.0, 0.8 // validity and repeat interval of in-flight reports
+	maxGrantRequests                             = 2        // cells asked per command: more add to an overload
+	grantTimeoutSeconds                          = 0.04     // two round trips and a few ticks
+
+	// Backend list and window.
+	minWindowBackends                        = 4.0      // enough for copies and some failed backends
+	windowsPerBackend                        = 2.0      // windows per backend at least, given enough instances
+	minListRetrySeconds, maxListRetrySeconds = 1.0, 8.0 // doubling delay, with jitter, after a failed list
+	coldBudgetShare                          = 0.55     // share of the overload multiple sent by all to a cold backend
+	peakCapacitySeconds                      = 30.0     // decay time of the peak: after a loss each backend gets more traffic
+
+	// Admission control.
+	answerRateSeconds         = 2.0   // decay time of the answer rate: a few response times
+	zeroUtilityShare          = 0.7   // share of the limit open to commands of no utility; the rest depends on utility
+	minInFlightPerBackend     = 7.0   // always allowed, commands of all instances
+	initialInFlightPerBackend = 20.0  // at the start; if too high, cut within seconds
+	limitRootFactor           = 1.7   // multiple of the share, or of its square root, by which an instance may exceed it
+	fewInstances              = 4.0   // up to this many instances, one sees enough traffic to stay within its share
+	lateGoalShare             = 0.4   // share of the response goal from which an answer is late: half may be, whatever the tail
+	maxLateShare              = 0.5   // share of late answers that cuts the limit
+	lateLatencyMultiple       = 1.7   // times the typical latency from which an answer is late too: queues are growing
+	onTimeLatencyMultiple     = 1.5   // times the typical latency up to which no answer is late
+	maxOnTimeGoalShare        = 0.75  // share of the response goal from which every answer is late
+	typicalLatencyStep        = 0.005 // relative step per answer
+	typicalLatencyAnswers     = 30    // answers before it is known: the first to arrive are the cheap ones
+	lateSlackAnswers          = 1.0   // late answers that are not yet significant
+	lateSpanSeconds           = 2.0   // decay time of the late share
+	lateMinAnswers            = 6.0   // answers that the late share covers at least, however old
+	limitCutFactor            = 0.5   // share of the limit cut for each unit of excess late share
+	limitCutIntervalSeconds   = 0.5   // an answer reflects what was admitted some time before
+	limitRaisePerSecond       = 0.05  // relative growth: a faster rise overloads backends for a long time
+	baselineRootFactor        = 3.0   // multiple of the baseline's root allowed above it, for random variation and surges
+	baselineExtraCommands     = 2.0   // added to that: a small baseline says little
+	headroomExponent          = 0.25  // exponent of fewInstances/instances by which that headroom shrinks
+	minBaselinePerBackend     = 7.0   // commands of all instances that the baseline never forbids
+	baselineStep              = 0.005 // smoothing step per answer: slower than a burst can overload
+	maxMissShare              = 0.2   // share of missed goals from which the baseline limit shrinks
+	nestedShare               = 0.02  // share of nested commands from which others leave room for them
+	nestedRootFactor          = 0.5   // replaces baselineRootFactor in that case
+	nestedLimitFactor         = 2.0   // limit multiple for nested commands: their callers hold capacity already
+	groupSpanSeconds          = 5.0   // decay time of the group counts
+	groupRootSlack            = 1.0   // standard deviations of the failures attributed to chance: few prove little
+	groupExcessShare          = 0.25  // excess of a group's failure share over the rest's that limits the group
+	groupRestShare            = 0.25  // commands of the rest needed per command of the group: a basis for comparison
+	groupLimitCut             = 0.7   // factor on a group's limit per failure
+	groupLimitStep            = 0.1   // added to a group's limit per success: ten successes allow one more command
+	limitInUseShare           = 0.8   // share of the limit that must be in flight before it is raised
+	holdGoalShare             = 0.1   // share of the response goal that a command may be held
+	retryAfterGoalShare       = 0.8   // share of the response goal after which a declined client retries: still in time
+	allowanceBurstSeconds     = 2.0   // allowance that a customer may use at once
+	retriesPerCall            = 0.2   // retries after failures per received command: prevents retry storms
+	retryBurst                = 3.0   // retries that may be sent at once
+	copyBudgetShare           = 0.5   // share of an extra-relay budget open to copies: failed commands gain more
+	lateAnswerShare           = 0.15  // share of the unread-answer capacity for commands past their goal
+	expiryTicks               = 1.0   // ticks before the time limit at which a command is terminated
+	recheckSeconds            = 0.05  // interval at which held commands are rechecked without other events
+	slowRelayShare            = 0.05  // share of recent relays past the delay that stops copies: the expected one
+	slowSpanSeconds           = 2.0   // decay time of that share
+	slowSlackRelays           = 0.5   // slow relays that are not significant: the one to be copied is among them
+	epsilon                   = 1e-9  // avoids division by zero
 )
 
-// ---- Delay: the percentile after which a relay is late.
+// ---- Delay: the latency quantile after which a relay is overdue.
 
-func (d *delay) after(now float64) float64 {
+// lateAfter returns the seconds after which a relay is overdue. Without recent answers it keeps its last result.
+func (d *latencySketch) lateAfter(now float64) float64 {
 	d.rotate(now)
-	if q, err := d.quantile(percentile); err == nil {
-		d.last = max(q, minDelay)
+	if q, err := d.quantile(copyDelayQuantile); err == nil {
+		d.lastQuantile = max(q, minCopyDelaySeconds)
 	}
-	return d.last
+	return d.lastQuantile
 }
 
-// delay is how long a relay may be out before it is late, and whether that is learned. While its verb has few
-// answers those of all count, and while these are few, a part of the goal: hundreds would copy at once.
-func (b *Balancer) delay(v *verb) (float64, bool) {
-	for _, d := range []*delay{&v.delay, &b.anyDelay} {
+// copyDelay returns how long a relay may be pending before it is overdue, and whether that was learned from
+// answers. A verb with few answers uses the latencies of all verbs; while these are few too, the delay is a share
+// of the response goal, so that hundreds of new instances do not all send copies at once.
+func (b *Balancer) copyDelay(v *verb) (float64, bool) {
+	for _, d := range []*latencySketch{&v.latencies, &b.allLatencies} {
 		if d.answers >= warmupAnswers {
-			return d.after(b.now), true
+			return d.lateAfter(b.now), true
 		}
 	}
-	return max(minDelay, warmupPart*v.Goal), false
+	return max(minCopyDelaySeconds, warmupGoalShare*v.Goal), false
 }
 
-// ---- Breaker: blocks copies, never first relays.
+// ---- Circuit breaker: blocks second copies, never first relays.
 
+// breaker stops second copies while too many commands fail. After a cooldown it allows a few copies as trials.
 type breaker struct {
-	all, failed decaying
-	openUntil   float64 // 0 while closed
-	tried       int     // copies let through since it opened
-	ended, bad  int     // and their outcomes
+	all, failed               decayingSum
+	openUntil                 float64 // 0 while closed
+	trialsSent                int     // copies sent since it opened
+	trialsEnded, trialsFailed int     // outcomes of these copies
 }
 
-func (k *breaker) allows(now float64) bool {
-	return k.openUntil == 0 || now >= k.openUntil && k.tried < trials
+// allows reports whether a copy may be sent now.
+func (br *breaker) allows(now float64) bool {
+	return br.openUntil == 0 || now >= br.openUntil && br.trialsSent < breakerTrials
 }
 
-func (k *breaker) sent(now float64) {
-	if k.openUntil != 0 && now >= k.openUntil {
-		k.tried++
+// recordSent counts a copy as a trial if the breaker is open.
+func (br *breaker) recordSent(now float64) {
+	if br.openUntil != 0 && now >= br.openUntil {
+		br.trialsSent++
 	}
 }
 
-func (k *breaker) outcome(now float64, failed bool) {
-	k.all.add(now, breakerSpan, 1)
-	k.failed.add(now, breakerSpan, 0)
+// recordOutcome counts a command's outcome and opens or closes the breaker.
+func (br *breaker) recordOutcome(now float64, failed bool) {
+	br.all.add(now, breakerSpanSeconds, 1)
+	br.failed.add(now, breakerSpanSeconds, 0)
 	if failed {
-		k.failed.add(now, breakerSpan, 1)
+		br.failed.add(now, breakerSpanSeconds, 1)
 	}
 	switch {
-	case k.openUntil == 0:
-		if k.all.sum >= breakerOutcomes && k.failed.sum >= breakerShare*k.all.sum {
-			*k = breaker{openUntil: now + cooldown}
+	case br.openUntil == 0:
+		if br.all.sum >= breakerMinOutcomes && br.failed.sum >= breakerFailureShare*br.all.sum {
+			*br = breaker{openUntil: now + breakerCooldownSeconds}
 		}
-	case now >= k.openUntil:
-		k.ended++
+	case now >= br.openUntil:
+		br.trialsEnded++
 		if failed {
-			k.bad++
+			br.trialsFailed++
 		}
-		if k.bad > trials/2 {
-			*k = breaker{openUntil: now + cooldown}
-		} else if k.ended >= trials {
-			*k = breaker{}
+		if br.trialsFailed > breakerTrials/2 {
+			*br = breaker{openUntil: now + breakerCooldownSeconds}
+		} else if br.trialsEnded >= breakerTrials {
+			*br = breaker{}
 		}
 	}
 }
 
-// ---- Weights and pick.
+// ---- Backend weights and selection.
 
-// tag names the backend in notes, within its cell.
-func (k *backend) tag() uint16 { return uint16(k.spot >> 20) }
+// tag identifies the backend within its cell in peer messages.
+func (be *backend) tag() uint16 { return uint16(be.ringPosition >> 20) }
 
-// busy is what it has of our commands, and more the more of them it fails: one that fails at once looks idle.
-func (k *backend) busy(t float64) float64 {
-	return k.tried.weigh(float64(k.inFlight), t, failSpan, failLoad, failPer)
+// effectiveLoad returns the commands that this instance has in flight at the backend, increased by its recent
+// failures. Without that, a backend that fails at once would look idle.
+func (be *backend) effectiveLoad(t float64) float64 {
+	return be.outcomes.weightedLoad(float64(be.inFlight), t, failureSpanSeconds, failureLoad, answersPerFailure)
 }
 
-func (k *backend) slowed() { k.weight = max(weightMin, k.weight/2) }
+// lowerWeight halves the weight after a failed or slow relay.
+func (be *backend) lowerWeight() { be.weight = max(minWeight, be.weight/2) }
 
-func (k *backend) quick() {
-	k.weight, k.aside = min(weightMax, k.weight+weightGain), 0
+// raiseWeight raises the weight after a fast answer, which also ends an avoidance.
+func (be *backend) raiseWeight() {
+	be.weight, be.avoidUntil = min(maxWeight, be.weight+weightStep), 0
 }
 
-// may tells whether the rules allow relay n of the command at the backend, by all others that may have run.
-func (b *Balancer) may(c *command, k *backend, n int) bool {
+// mayRelay reports whether relay n of the command may go to the backend: the backend must be ready, and a repeat
+// must be safe given all other relays that may have run.
+func (b *Balancer) mayRelay(c *command, be *backend, n int) bool {
 	v := c.verb
 	for i, r := range c.relays {
-		if i != n && !r.neverRan && v.Effect != Pure && (v.Effect == Effectful || b.now > r.sent+v.DedupWindow-b.tick ||
-			v.Scope == ScopeZone && k.Zone != r.to.Zone || v.Scope == ScopeCell && k.Cell != r.to.Cell) {
+		if i != n && !r.neverRan && v.Effect != Pure && (v.Effect == Effectful || b.now > r.sentAt+v.DedupWindow-b.tick ||
+			v.Scope == ScopeZone && be.Zone != r.to.Zone || v.Scope == ScopeCell && be.Cell != r.to.Cell) {
 			return false
 		}
 	}
-	return k.State == Ready
+	return be.State == Ready
 }
 
-// Opened is told that the connection for a relay is up, and tells whether it may still be written: what
-// allowed it may have passed meanwhile, a window for repeats above all.
+// ConnectionOpened reports that the connection for a relay is up, and returns whether the command may still be
+// written. The reason that allowed it may have expired meanwhile, in particular the deduplication window.
 func (b *Balancer) ConnectionOpened(now float64, id uint64, n int) bool {
 	b.now = now
 	c, ok := b.commands[id]
-	return ok && !c.done && !c.streaming && n < len(c.relays) && c.relays[n].out && b.may(c, c.relays[n].to, n)
+	return ok && !c.done && !c.streaming && n < len(c.relays) && c.relays[n].pending && b.mayRelay(c, c.relays[n].to, n)
 }
 
-// pick draws a backend by weight, skipping those with far more of our commands than the mean, or nil.
-func (b *Balancer) pick(c *command, copying, asking bool) *backend {
-	count, all, pull := 0.0, 0.0, b.pull()
-	for _, k := range b.window {
-		part := 1 + pull*one(k.local > 0) // the mean is of where commands go
-		count, all = count+part*k.busy(b.now), all+part
-	}
-	far := max(count/max(1, all)-farSlack, farSlack)
-	// First what the weight rule and the skip leave of the window, then any of it, then any of the fleet: where
-	// all that is left was set aside for connections that failed, that says more of the network than of them.
-	home, from, whole := b.home(c), b.window, asking
-	share := func(k *backend) float64 {
-		s := k.weight * (k.near + pull*k.local)
-		if whole {
-			s = k.weight * k.Capacity
+// pick draws a backend by weight, skipping those with far more of this instance's commands than the mean. It
+// returns nil if there is none.
+func (b *Balancer) pick(c *command, isCopy, forGrant bool) *backend {
+	totalLoad, totalFactor, zoneFactor := 0.0, 0.0, b.ownZoneFactor()
+	for _, be := range b.window {
+		factor := 1 + zoneFactor*indicator(be.ownZoneShare > 0) // the mean is weighted by where commands go
+		totalLoad, totalFactor = totalLoad+factor*be.effectiveLoad(b.now), totalFactor+factor
+	}
+	maxLoad := max(totalLoad/max(1, totalFactor)-loadMargin, loadMargin)
+	// First pass: window backends that pass the load and avoidance checks. Second pass: any load. Third pass: the
+	// whole fleet, also backends avoided after failed connections: if these are all that is left, the network is
+	// the likelier cause.
+	home, pool, wholeFleet := b.homeCell(c), b.window, forGrant
+	share := func(be *backend) float64 {
+		s := be.weight * (be.windowShare + zoneFactor*be.ownZoneShare)
+		if wholeFleet {
+			s = be.weight * be.Capacity
 		}
-		if k.Cell == home {
-			s *= homePull
+		if be.Cell == home {
+			s *= homeCellFactor
 		}
-		if b.limits.PeerMessages && k.Zone == b.place.Zone {
-			s *= zonePull
+		if b.limits.PeerMessages && be.Zone == b.placement.Zone {
+			s *= ownZoneGrantFactor
 		}
 		return s
 	}
 	for pass := range 3 {
-		if whole = asking || pass == 2; whole {
-			from = b.fleet
+		if wholeFleet = forGrant || pass == 2; wholeFleet {
+			pool = b.fleet
 		}
 		total := 0.0
-		b.picks = b.picks[:0]
-		for _, k := range from {
-			if b.may(c, k, len(c.relays)) && !slices.Contains(c.asked, uint16(k.Cell)) && !c.triedOn(k) &&
-				(asking || b.coldAllows(k)) && (k.aside <= b.now || pass == 2) &&
-				(pass > 0 || k.busy(b.now) <= far+localSlack*one(k.local > 0)) {
-				b.picks = append(b.picks, k)
-				total += share(k)
+		b.candidates = b.candidates[:0]
+		for _, be := range pool {
+			if b.mayRelay(c, be, len(c.relays)) && !slices.Contains(c.askedCells, uint16(be.Cell)) && !c.triedOn(be) &&
+				(forGrant || b.coldAllows(be)) && (be.avoidUntil <= b.now || pass == 2) &&
+				(pass > 0 || be.effectiveLoad(b.now) <= maxLoad+ownZoneLoadMargin*indicator(be.ownZoneShare > 0)) {
+				b.candidates = append(b.candidates, be)
+				total += share(be)
 			}
 		}
-		at := b.chance() * total
-		for _, k := range b.picks {
-			if at -= share(k); at < 0 {
-				return k
+		draw := b.random() * total
+		for _, be := range b.candidates {
+			if draw -= share(be); draw < 0 {
+				return be
 			}
 		}
-		if copying {
-			break // a copy never goes where a first relay would not
+		if isCopy {
+			break // a copy only goes where a first relay would
 		}
 	}
 	return nil
 }
 
-// home is the cell that the command's key belongs to, the same at every instance, or -1: that of a backend
-// drawn by key and size, so that a change moves few keys. Once it had no room, any other will do.
-func (b *Balancer) home(c *command) int {
+// homeCell returns the cell that the command's key belongs to, or -1. All instances choose the same cell, that of
+// a backend drawn by key and capacity (rendezvous hashing), so that a change of the fleet moves few keys. After
+// the home cell refused a command, any other cell will do.
+func (b *Balancer) homeCell(c *command) int {
 	best, home := math.Inf(1), -1
-	if c.key == 0 || !b.limits.KeyAffinity || len(c.asked) > 0 {
+	if c.key == 0 || !b.limits.KeyAffinity || len(c.askedCells) > 0 {
 		return home
 	}
-	var text [16]byte
-	binary.LittleEndian.PutUint64(text[:], c.key)
-	for _, k := range b.fleet {
-		if k.State != Ready {
+	var buf [16]byte
+	binary.LittleEndian.PutUint64(buf[:], c.key)
+	for _, be := range b.fleet {
+		if be.State != Ready {
 			continue
 		}
-		binary.LittleEndian.PutUint64(text[8:], k.spot)
-		u := (float64(hash(text[:])>>11) + 1) / (1 << 53)
-		if at := -math.Log(u) / k.Capacity; at < best {
-			best, home = at, k.Cell
+		binary.LittleEndian.PutUint64(buf[8:], be.ringPosition)
+		u := (float64(hash(buf[:])>>11) + 1) / (1 << 53)
+		if score := -math.Log(u) / be.Capacity; score < best {
+			best, home = score, be.Cell
 		}
 	}
 	return home
 }
 
-// ---- Fleet: the list, drains and cold budgets.
+// ---- Backend list, draining and cold-start budgets.
 
-// Fleet is told the list, whole or as changes.
+// UpdateBackends applies the backend list, as a whole or as changes.
 func (b *Balancer) UpdateBackends(now float64, whole bool, entries []Entry) {
 	b.now = now
-	b.askWait = askFirst
-	mean := cmp.Or(b.sum(func(k *backend) float64 { return k.weight })/max(1, b.usable()), 1)
-	b.lists++
+	b.listRetryDelay = minListRetrySeconds
+	mean := cmp.Or(b.sumReady(func(be *backend) float64 { return be.weight })/max(1, b.readyCount()), 1)
+	b.listSeq++
 	for _, e := range entries {
-		spot := hash(e.ID[:])
-		at, known := slices.BinarySearchFunc(b.fleet, e.ID, func(k *backend, id BackendID) int {
-			return cmp.Or(cmp.Compare(k.spot, spot), slices.Compare(k.ID[:], id[:]))
+		position := hash(e.ID[:])
+		i, known := slices.BinarySearchFunc(b.fleet, e.ID, func(be *backend, id BackendID) int {
+			return cmp.Or(cmp.Compare(be.ringPosition, position), slices.Compare(be.ID[:], id[:]))
 		})
 		if !known {
-			b.fleet = slices.Insert(b.fleet, at,
-				&backend{spot: spot, weight: mean, Entry: Entry{StartedAt: math.Inf(-1)}})
+			b.fleet = slices.Insert(b.fleet, i,
+				&backend{ringPosition: position, weight: mean, Entry: Entry{StartedAt: math.Inf(-1)}})
 		}
-		k := b.fleet[at]
-		if e.State == Ready && (k.State == Gone || k.StartedAt != e.StartedAt) {
-			// A new process: nothing learned of the old one holds. Its budget starts at chance, or all
-			// instances would send their first command at once and push it over together.
-			k.weight, k.aside = mean, 0
-			k.budget = bucket{b.chance(), now}
+		be := b.fleet[i]
+		if e.State == Ready && (be.State == Gone || be.StartedAt != e.StartedAt) {
+			// A new process: nothing learned about the old one applies. Its budget starts at a random level;
+			// otherwise all instances would send their first command at once and overload it together.
+			be.weight, be.avoidUntil = mean, 0
+			be.coldBudget = tokenBucket{b.random(), now}
 		}
-		k.Entry, k.listed = e, b.lists
-		k.Capacity = cmp.Or(max(0, k.Capacity), 1) // 0: nothing said
-	}
-	// What a whole list leaves out is gone; what is gone and holds none of our commands is forgotten.
-	b.fleet = slices.DeleteFunc(b.fleet, func(k *backend) bool {
-		if whole && k.listed != b.lists {
-			k.State = Gone
+		be.Entry, be.listSeq = e, b.listSeq
+		be.Capacity = cmp.Or(max(0, be.Capacity), 1) // 0 means not specified
+	}
+	// Backends missing from a whole list are gone. A gone backend is dropped once it has none of this instance's
+	// commands.
+	b.fleet = slices.DeleteFunc(b.fleet, func(be *backend) bool {
+		if whole && be.listSeq != b.listSeq {
+			be.State = Gone
 		}
-		return k.State == Gone && k.inFlight == 0
+		return be.State == Gone && be.inFlight == 0
 	})
-	b.arrange()
-	b.dispatch()
+	b.rebuildWindow()
+	b.dispatchHeld()
 }
 
-// arrange lays this instance's window on the ring of usable backends. Of hundreds of instances each then
-// knows a few backends well, uses connections again, and each backend lies in its share of windows.
-func (b *Balancer) arrange() {
-	total, count := b.sum(func(k *backend) float64 { return k.Capacity }), b.usable()
-	width := min(1, (nearLeast+nearShared*count/b.living())/max(1, count)) * total
-	b.window, b.reach, b.laidFor = b.window[:0], max(width, tiny), b.living()
-	b.warm, b.warming = 0, b.warming[:0]
-	b.meanSize = total / max(1, count)
-	b.total = total
-	b.widest.sum = max(total, b.widest.read(b.now, coldMemory))
-	b.lay(width, total, func(k *backend) bool { return true }, func(k *backend, near float64) { k.near = near })
-	local := func(k *backend) bool {
-		return b.limits.CrossZonePriced && !b.limits.PeerMessages && k.Zone == b.place.Zone
-	}
-	total = b.sum(func(k *backend) float64 { return k.Capacity * one(local(k)) })
-	b.localReach = min(width, total)
-	b.lay(b.localReach, total, local, func(k *backend, near float64) { k.local = near })
-	for _, k := range b.fleet {
-		if k.State == Ready && b.isWarm(k) {
-			b.warm++
-		} else if k.State == Ready {
-			b.warming = append(b.warming, k)
+// rebuildWindow places this instance's window, the subset of backends that it uses, on the ring of ready backends.
+// With hundreds of instances, each one then knows a few backends well and reuses its connections, and each backend
+// is in its share of windows.
+func (b *Balancer) rebuildWindow() {
+	total, count := b.sumReady(func(be *backend) float64 { return be.Capacity }), b.readyCount()
+	width := min(1, (minWindowBackends+windowsPerBackend*count/b.activeInstances())/max(1, count)) * total
+	b.window, b.windowWidth, b.windowInstances = b.window[:0], max(width, epsilon), b.activeInstances()
+	b.warmCount, b.coldBackends = 0, b.coldBackends[:0]
+	b.meanCapacity = total / max(1, count)
+	b.totalCapacity = total
+	b.peakCapacity.sum = max(total, b.peakCapacity.read(b.now, peakCapacitySeconds))
+	b.placeWindow(width, total, func(be *backend) bool { return true },
+		func(be *backend, share float64) { be.windowShare = share })
+	inOwnZone := func(be *backend) bool {
+		return b.limits.CrossZonePriced && !b.limits.PeerMessages && be.Zone == b.placement.Zone
+	}
+	total = b.sumReady(func(be *backend) float64 { return be.Capacity * indicator(inOwnZone(be)) })
+	b.ownZoneWidth = min(width, total)
+	b.placeWindow(b.ownZoneWidth, total, inOwnZone, func(be *backend, share float64) { be.ownZoneShare = share })
+	for _, be := range b.fleet {
+		if be.State == Ready && b.isWarm(be) {
+			b.warmCount++
+		} else if be.State == Ready {
+			b.coldBackends = append(b.coldBackends, be)
 		}
-		if k.near+k.local > 0 {
-			b.window = append(b.window, k)
+		if be.windowShare+be.ownZoneShare > 0 {
+			b.window = append(b.window, be)
 		}
 	}
 }
 
-// lay lays a window of that width on the ring of usable backends that count, and tells each one's part in it.
-func (b *Balancer) lay(width, total float64, counts func(*backend) bool, put func(*backend, float64)) {
-	from := (float64(b.place.Index)+0.5)/b.siblings()*total - width/2
-	from -= math.Floor(from/max(total, tiny)) * total // the window may reach over the end of the ring
-	at := 0.0
-	for _, k := range b.fleet {
-		near := 0.0
-		if counts(k) && k.State == Ready {
-			for _, turn := range [2]float64{0, total} {
-				near += max(0, min(at+k.Capacity+turn, from+width)-max(at+turn, from))
+// placeWindow lays a window of that width on the ring of the ready backends that are included, and assigns each
+// backend its overlap with the window.
+func (b *Balancer) placeWindow(width, total float64, include func(*backend) bool, assign func(*backend, float64)) {
+	start := (float64(b.placement.Index)+0.5)/b.instances()*total - width/2
+	start -= math.Floor(start/max(total, epsilon)) * total // the window may wrap around the end of the ring
+	position := 0.0
+	for _, be := range b.fleet {
+		overlap := 0.0
+		if include(be) && be.State == Ready {
+			for _, offset := range [2]float64{0, total} {
+				overlap += max(0, min(position+be.Capacity+offset, start+width)-max(position+offset, start))
 			}
-			at += k.Capacity
+			position += be.Capacity
 		}
-		put(k, near)
+		assign(be, overlap)
 	}
 }
 
-// pull is how much more a backend of the own zone gets where crossing is priced: all the more the sooner the
-// zone answers against the others, nothing once these are clearly sooner: then the zone has too little.
-func (b *Balancer) pull() float64 {
-	own, others := b.zoneTook[1].read(b.now, callSpan), b.zoneTook[0].read(b.now, callSpan)
-	mean := (others + tiny) / (b.zoneEnded[0].read(b.now, callSpan) + tiny)
-	ratio := (own + mean) / (mean * (b.zoneEnded[1].read(b.now, callSpan) + 1))
-	return localPull * max(0, min(1, (spillAt-ratio)/(spillAt-1)))
+// ownZoneFactor returns how much more weight a backend of the own zone gets if crossing zones is priced. It is
+// lower the slower the own zone is compared with the others, and 0 once the others are clearly faster: then the
+// own zone lacks capacity.
+func (b *Balancer) ownZoneFactor() float64 {
+	own, others := b.zoneLatency[1].read(b.now, callSpanSeconds), b.zoneLatency[0].read(b.now, callSpanSeconds)
+	mean := (others + epsilon) / (b.zoneEnded[0].read(b.now, callSpanSeconds) + epsilon)
+	ratio := (own + mean) / (mean * (b.zoneEnded[1].read(b.now, callSpanSeconds) + 1))
+	return pricedZoneFactor * max(0, min(1, (spillLatencyMultiple-ratio)/(spillLatencyMultiple-1)))
 }
 
-// ListFailed says that a call for the list failed or the subscription ended: ask again, not all at once.
+// BackendListFailed reports that a request for the backend list failed or its subscription ended. It is repeated
+// after a random delay, so that not all instances ask at once.
 func (b *Balancer) BackendListFailed(now float64) {
 	b.now = now
-	if b.mustAsk && !b.asking {
-		b.asking = true
-		b.after(b.askWait*b.chance(), func() { b.asking = false; b.host.WatchBackends() })
-		b.askWait = min(askLast, 2*b.askWait)
+	if b.listOnRequest && !b.listRetryPending {
+		b.listRetryPending = true
+		b.startTimer(b.listRetryDelay*b.random(), func() { b.listRetryPending = false; b.host.WatchBackends() })
+		b.listRetryDelay = min(maxListRetrySeconds, 2*b.listRetryDelay)
 	}
 }
 
-// isWarm goes by the latest time at which the backend may have started.
-func (b *Balancer) isWarm(k *backend) bool {
-	return k.StartedAt <= 0 || b.now-k.StartedAt >= b.cold.WarmUp+b.cold.StartError
+// isWarm reports whether the backend is surely warm: it goes by the latest time at which it may have started.
+func (b *Balancer) isWarm(be *backend) bool {
+	return be.StartedAt <= 0 || b.now-be.StartedAt >= b.coldStart.WarmUp+b.coldStart.StartError
 }
 
-// part is how much of its work a backend can do for certain.
-func (b *Balancer) part(k *backend) float64 {
-	if b.isWarm(k) {
+// guaranteedCapacity returns the share of its full capacity that a backend has for certain.
+func (b *Balancer) guaranteedCapacity(be *backend) float64 {
+	if b.isWarm(be) {
 		return 1
 	}
-	return b.cold.InitialCapacity + (1-b.cold.InitialCapacity)*max(0, b.now-k.StartedAt-b.cold.StartError)/max(b.cold.WarmUp, tiny)
+	return b.coldStart.InitialCapacity + (1-b.coldStart.InitialCapacity)*
+		max(0, b.now-be.StartedAt-b.coldStart.StartError)/max(b.coldStart.WarmUp, epsilon)
 }
 
-// coldRate is how many commands a second this instance may send to a backend that has just started: the part
-// of its answers that the backend's place in the window is worth (what it sends may be a storm of refusals),
-// cut to what the backend can do for certain. Its own traffic stands for its part of everybody's.
-func (b *Balancer) coldRate(k *backend) float64 {
-	own := &b.carried
+// coldRate returns how many commands per second this instance may send to a backend that has just started. It is
+// the share of this instance's answers that the backend's part of the window stands for, limited to what the
+// backend can surely handle. Answers are counted because the commands sent may be a storm of refusals. This
+// instance's traffic stands for its share of everyone's.
+func (b *Balancer) coldRate(be *backend) float64 {
+	traffic := &b.answered
 	if !slices.ContainsFunc(b.window, b.isWarm) {
-		own = &b.came // nothing else to go by
+		traffic = &b.arrived // no warm backend whose answers could be counted
 	}
-	return coldPart * b.cold.OverloadMultiple * b.part(k) * own.rate(b.now, callSpan, b.start) *
-		(k.near + b.pull()*k.local) / (b.reach + b.pull()*b.localReach) *
-		min(1, b.total/max(tiny, b.widest.read(b.now, coldMemory)))
+	return coldBudgetShare * b.coldStart.OverloadMultiple * b.guaranteedCapacity(be) *
+		traffic.rate(b.now, callSpanSeconds, b.start) *
+		(be.windowShare + b.ownZoneFactor()*be.ownZoneShare) / (b.windowWidth + b.ownZoneFactor()*b.ownZoneWidth) *
+		min(1, b.totalCapacity/max(epsilon, b.peakCapacity.read(b.now, peakCapacitySeconds)))
+}
+
+// coldAllows reports whether the backend is warm or has a token of its cold-start budget.
+func (b *Balancer) coldAllows(be *backend) bool {
+	return b.isWarm(be) || be.coldBudget.read(b.now, b.coldRate(be), 1) >= 1
 }
 
-func (b *Balancer) coldAllows(k *backend) bool {
-	return b.isWarm(k) || k.budget.read(b.now, b.coldRate(k), 1) >= 1
+// ---- Admission control: commands in flight are limited, held briefly, and declined early.
+
+// inFlightShare returns this instance's share of the commands that may be in flight. Any beyond what backends
+// answer in time would only queue and overload them.
+func (b *Balancer) inFlightShare() float64 {
+	return b.inFlightPerBackend * b.warmEquivalents() / b.activeInstances()
 }
 
-// ---- Admission: own commands out are bounded, held briefly, declined early.
-
-// share is this instance's part of the commands that may be out. Beyond what backends answer in time they
-// only queue, and choke.
-func (b *Balancer) share() float64 { return b.level * b.warmth() / b.living() }
-
-// crowded tells that the command finds too many out here. One of many instances has few, by chance:
-// its bound lies above its share by roots of it, or all would decline while there is room, but by no more
-// than a multiple, or a thousand with one each would be a flood. What has little utility is shed first.
-func (b *Balancer) crowded(c *command) bool {
-	b.level = max(b.level, boundMin)
-	share := b.share()
-	chance := boundRoot * min(share, math.Sqrt(share*max(0, 1-fewInstances/b.living())))
-	bound, room := share+chance, 0.0
-	part := spareFirst + (1-spareFirst)*c.priority
-	if b.usual > 0 {
-		// Chance adds up by roots: many instances together need less room for it than each for itself.
-		room = (easeRoot*math.Sqrt(b.ease) + easeMore) * math.Pow(min(1, fewInstances/b.living()), easePower)
-		bound = min(bound, max(b.ease+room, easeLeast*b.warmth()/b.living()))
-		if b.nests.read(b.now, callSpan) > nestPart*b.came.read(b.now, callSpan) {
-			bound = min(bound, b.ease+nestRoot*math.Sqrt(b.ease)+1)
+// overLimit reports whether too many commands are in flight for this one to be sent. One of many instances has
+// only a few in flight, with random variation, so its limit exceeds its share by a multiple of the square root;
+// otherwise all instances would decline while there is capacity. The excess is at most a multiple of the share: a
+// thousand instances with one command each would be an overload. Commands of low utility are shed first.
+func (b *Balancer) overLimit(c *command) bool {
+	b.inFlightPerBackend = max(b.inFlightPerBackend, minInFlightPerBackend)
+	share := b.inFlightShare()
+	margin := limitRootFactor * min(share, math.Sqrt(share*max(0, 1-fewInstances/b.activeInstances())))
+	limit, headroom := share+margin, 0.0
+	utilityShare := zeroUtilityShare + (1-zeroUtilityShare)*c.priority
+	if b.typicalLatency > 0 {
+		// Random variation adds up by square roots: many instances together need less headroom than the sum of
+		// each one's.
+		headroom = (baselineRootFactor*math.Sqrt(b.baseline) + baselineExtraCommands) *
+			math.Pow(min(1, fewInstances/b.activeInstances()), headroomExponent)
+		limit = min(limit, max(b.baseline+headroom, minBaselinePerBackend*b.warmEquivalents()/b.activeInstances()))
+		if b.nestedCommands.read(b.now, callSpanSeconds) > nestedShare*b.arrived.read(b.now, callSpanSeconds) {
+			limit = min(limit, b.baseline+nestedRootFactor*math.Sqrt(b.baseline)+1)
 		}
-		missed := max(0, b.endedMiss-lateSlack) / max(1, b.ended)
-		bound *= 1 - max(0, missed-missFrom)
-		if missed < missFrom { // what is out at ease is no spare
-			part = max(part, min(1, (b.ease+room*part)/bound))
+		missedShare := max(0, b.endedMissed-lateSlackAnswers) / max(1, b.ended)
+		limit *= 1 - max(0, missedShare-maxMissShare)
+		if missedShare < maxMissShare { // the baseline itself is not spare capacity
+			utilityShare = max(utilityShare, min(1, (b.baseline+headroom*utilityShare)/limit))
 		}
 	}
 	if c.nested {
-		bound *= nestTimes
+		limit *= nestedLimitFactor
 	}
-	return float64(b.inFlight) >= bound*part
+	return float64(b.inFlight) >= limit*utilityShare
 }
 
-// apart tells that a sort of the command fares ill where the rest does not.
-func (c *command) apart() bool {
-	return c.sorts[0] != nil && c.sorts[0].most > 0 || c.sorts[1] != nil && c.sorts[1].most > 0
+// inLimitedGroup reports whether a group of the command is limited: it fails while the rest does not.
+func (c *command) inLimitedGroup() bool {
+	return c.groups[0] != nil && c.groups[0].limit > 0 || c.groups[1] != nil && c.groups[1].limit > 0
 }
 
-// sorted learns how the sorts of a command fare. One that fares ill while the rest does not, a lock, a spoilt
-// key, is no backend's fault and does so wherever it is sent: it may hold few places, fewer with each.
-func (b *Balancer) sorted(c *command, ill bool) {
-	b.sortEnded.add(b.now, sortSpan, 1)
-	b.sortBad.add(b.now, sortSpan, one(ill))
-	for _, k := range c.sorts {
-		if k == nil {
+// recordGroups updates the statistics of the command's groups. A group that fails while the rest does not, for
+// example because of a lock or a corrupt key, is not the backends' fault and fails on every backend. Its commands
+// in flight are limited, and the limit falls with each failure.
+func (b *Balancer) recordGroups(c *command, failed bool) {
+	b.allEnded.add(b.now, groupSpanSeconds, 1)
+	b.allFailed.add(b.now, groupSpanSeconds, indicator(failed))
+	for _, g := range c.groups {
+		if g == nil {
 			continue
 		}
-		k.ended.add(b.now, sortSpan, 1)
-		k.bad.add(b.now, sortSpan, one(ill))
-		rest := b.sortEnded.sum - k.ended.sum
-		apart := (k.bad.sum-sortSlack*math.Sqrt(k.bad.sum))/k.ended.sum - (b.sortBad.sum-k.bad.sum)/max(1, rest)
+		g.ended.add(b.now, groupSpanSeconds, 1)
+		g.failed.add(b.now, groupSpanSeconds, indicator(failed))
+		rest := b.allEnded.sum - g.ended.sum
+		excess := (g.failed.sum-groupRootSlack*math.Sqrt(g.failed.sum))/g.ended.sum - (b.allFailed.sum-g.failed.sum)/max(1, rest)
 		switch {
-		case ill && apart > sortApart && rest > sortRest*k.ended.sum:
-			if k.most == 0 {
-				k.most = float64(k.out)
+		case failed && excess > groupExcessShare && rest > groupRestShare*g.ended.sum:
+			if g.limit == 0 {
+				g.limit = float64(g.inFlight)
 			}
-			k.most = max(1, k.most*sortCut)
-		case !ill && k.most > 0:
-			if k.most += sortRaise; k.most > b.ease {
-				k.most = 0
+			g.limit = max(1, g.limit*groupLimitCut)
+		case !failed && g.limit > 0:
+			if g.limit += groupLimitStep; g.limit > b.baseline {
+				g.limit = 0
 			}
 		}
 	}
 }
 
-// settle moves the bound with the part of commands that end late or fail, since a lower tier that is crowded
-// declines: up slowly while it is in use, down at once.
-func (b *Balancer) settle(c *command, failed bool) {
-	goal, took, late := c.verb.Goal, b.now-c.came, 0.0
-	miss := failed || took > goal-b.tick
-	if b.sorted(c, miss); c.apart() || c.stood {
+// recordCompletion adjusts the limit by the share of commands that end late or fail; failures count because an
+// overloaded lower tier declines. The limit rises slowly while it is in use and falls at once.
+func (b *Balancer) recordCompletion(c *command, failed bool) {
+	goal, took, late := c.verb.Goal, b.now-c.receivedAt, 0.0
+	missed := failed || took > goal-b.tick
+	if b.recordGroups(c, missed); c.inLimitedGroup() || c.stalled {
 		return
 	}
-	slow := lateFrom * goal
-	if b.usual > 0 {
-		// What is usual is not late, also where half of the goal is needed with no queue at all.
-		slow = max(min(slow, stretch*b.usual), min(leeway*b.usual, lateTo*goal))
+	lateAfter := lateGoalShare * goal
+	if b.typicalLatency > 0 {
+		// A typical latency is not late, even if half of the goal is needed without any queue.
+		lateAfter = max(min(lateAfter, lateLatencyMultiple*b.typicalLatency),
+			min(onTimeLatencyMultiple*b.typicalLatency, maxOnTimeGoalShare*goal))
 	}
-	if failed || took > slow {
+	if failed || took > lateAfter {
 		late = 1
 	}
 	b.arrivals.RequestEnded(b.now, late == 1)
-	// An instance with an answer a second would forget each before the next came.
-	fade := max(math.Exp((b.settled-b.now)/lateSpan), 1-1/lateAnswers)
+	// An instance with one answer per second would otherwise forget each before the next arrives.
+	fade := max(math.Exp((b.completedAt-b.now)/lateSpanSeconds), 1-1/lateMinAnswers)
 	b.ended, b.endedLate = b.ended*fade+1, b.endedLate*fade+late
-	b.endedMiss = b.endedMiss*fade + one(miss)
-	excess := (b.endedLate-lateSlack)/b.ended - lateShare
-	tooLate, inUsed := excess > 0, float64(b.inFlight) >= inUse*b.share()
-	if late == 1 && tooLate && b.now >= b.cutAt+cutEvery {
-		b.level *= (1 - cut*excess) * min(1, float64(b.inFlight+1)/b.share())
-		b.cutAt = b.now
-	} else if b.endedLate+math.Sqrt(b.ended) <= lateShare*b.ended && inUsed {
-		// Only where the part is surely under: few answers prove little, and a bound raised in error chokes.
-		b.level *= 1 + raise*min(cutEvery, b.now-b.settled)
-	}
-	if b.easy++; b.endedMiss-lateSlack < missFrom*b.ended {
-		b.ease += max(easeStep, 1/b.easy) * (float64(b.inFlight) - b.ease)
-	}
-	b.settled = b.now
-	// The median of a fleet at ease: it hardly follows what comes with our own crowding.
+	b.endedMissed = b.endedMissed*fade + indicator(missed)
+	excess := (b.endedLate-lateSlackAnswers)/b.ended - maxLateShare
+	tooLate, limitInUse := excess > 0, float64(b.inFlight) >= limitInUseShare*b.inFlightShare()
+	if late == 1 && tooLate && b.now >= b.limitCutAt+limitCutIntervalSeconds {
+		b.inFlightPerBackend *= (1 - limitCutFactor*excess) * min(1, float64(b.inFlight+1)/b.inFlightShare())
+		b.limitCutAt = b.now
+	} else if b.endedLate+math.Sqrt(b.ended) <= maxLateShare*b.ended && limitInUse {
+		// Raise only if the late share is significantly below the maximum: few answers are not significant, and a
+		// limit raised in error overloads backends.
+		b.inFlightPerBackend *= 1 + limitRaisePerSecond*min(limitCutIntervalSeconds, b.now-b.completedAt)
+	}
+	if b.baselineSamples++; b.endedMissed-lateSlackAnswers < maxMissShare*b.ended {
+		b.baseline += max(baselineStep, 1/b.baselineSamples) * (float64(b.inFlight) - b.baseline)
+	}
+	b.completedAt = b.now
+	// The typical latency follows the median of an unloaded fleet, and hardly the queueing caused by our own load.
 	switch {
-	case b.usual == 0 && b.anyDelay.answers >= usualAnswers:
-		b.usual, _ = b.anyDelay.quantile(0.5)
+	case b.typicalLatency == 0 && b.allLatencies.answers >= typicalLatencyAnswers:
+		b.typicalLatency, _ = b.allLatencies.quantile(0.5)
 	case failed:
-	case took < b.usual:
-		b.usual *= 1 - usualStep
-	case tooLate || inUsed:
-		b.usual *= 1 + usualStep/4
+	case took < b.typicalLatency:
+		b.typicalLatency *= 1 - typicalLatencyStep
+	case tooLate || limitInUse:
+		b.typicalLatency *= 1 + typicalLatencyStep/4
 	default:
-		b.usual *= 1 + usualStep
+		b.typicalLatency *= 1 + typicalLatencyStep
 	}
 }
 
-// over takes a token of the customer's share and tells whether there was none.
-func (b *Balancer) over(customer int) bool {
-	if b.place.Tier > 0 || customer >= len(b.customers) {
-		return false // lower tiers see calls, not the clients' commands
+// overAllowance takes a token of the customer's allowance and reports whether there was none.
+func (b *Balancer) overAllowance(customer int) bool {
+	if b.placement.Tier > 0 || customer >= len(b.customers) {
+		return false // lower tiers receive calls, not the clients' commands
 	}
-	rate := b.customers[customer].Allowance / b.siblings()
-	t := &b.shares[customer]
-	if t.read(b.now, rate, max(1, rate*shareBurst)) < 1 {
+	rate := b.customers[customer].Allowance / b.instances()
+	bucket := &b.allowances[customer]
+	if bucket.read(b.now, rate, max(1, rate*allowanceBurstSeconds)) < 1 {
 		return true
 	}
-	t.tokens--
+	bucket.tokens--
 	return false
 }
 
-// try sends the command's first relay where there is room, or asks where there is, and tells whether it did.
-func (b *Balancer) try(c *command) bool {
+// tryFirstRelay sends the command's first relay if there is capacity, or requests a grant, and reports whether it
+// did either.
+func (b *Balancer) tryFirstRelay(c *command) bool {
 	if !b.limits.PeerMessages {
-		return !b.crowded(c) && b.send(c)
+		return !b.overLimit(c) && b.sendFirstRelay(c)
 	}
-	if c.asking > 0 || b.now < c.askedAt+recheck {
+	if c.requestID > 0 || b.now < c.askedAt+recheckSeconds {
 		return false
 	}
-	c.asked = c.asked[:0]
-	return b.ask(c)
+	c.askedCells = c.askedCells[:0]
+	return b.requestGrant(c)
 }
 
-func (b *Balancer) send(c *command) bool {
-	k := b.pick(c, false, false)
-	if k != nil {
-		b.release(c)
-		b.relay(c, k)
+// sendFirstRelay picks a backend without a grant and reports whether there was one.
+func (b *Balancer) sendFirstRelay(c *command) bool {
+	be := b.pick(c, false, false)
+	if be != nil {
+		b.removeHeld(c)
+		b.sendRelay(c, be)
 	}
-	return k != nil
+	return be != nil
 }
 
-// release takes a command out of those held.
-func (b *Balancer) release(c *command) {
+// removeHeld removes a command from the held ones.
+func (b *Balancer) removeHeld(c *command) {
 	if c.held {
 		c.held = false
 		b.held = slices.DeleteFunc(b.held, func(x *command) bool { return x == c })
 	}
 }
 
-// hold keeps a command for a moment, highest utility first, and declines at once what can't be sent in time.
+// hold keeps a command for a short time, highest utility first, and declines at once what cannot be sent in time.
 func (b *Balancer) hold(c *command) {
 	if c.held {
-		b.after(recheck, b.dispatch)
+		b.startTimer(recheckSeconds, b.dispatchHeld)
 		return
 	}
 	c.held = true
@@ -585,23 +622,24 @@
 		return cmp.Or(cmp.Compare(y.priority, x.priority), cmp.Compare(x.seq, y.seq))
 	})
 	b.held = slices.Insert(b.held, at, c)
-	longest := holdShare * c.verb.Goal
-	room := int(b.answers.rate(b.now, rateSpan, b.start)*longest) + 1
-	for len(b.held) > room {
+	maxHold := holdGoalShare * c.verb.Goal
+	maxHeld := int(b.recentAnswers.rate(b.now, answerRateSeconds, b.start)*maxHold) + 1
+	for len(b.held) > maxHeld {
 		b.giveUp(b.held[len(b.held)-1])
 	}
-	b.after(longest, func() {
+	b.startTimer(maxHold, func() {
 		if c.held {
 			b.giveUp(c)
 		}
 	})
-	b.after(recheck, b.dispatch) // cold budgets fill without anything happening
+	b.startTimer(recheckSeconds, b.dispatchHeld) // cold-start budgets refill without any event
 }
 
-func (b *Balancer) dispatch() {
+// dispatchHeld tries to send the held commands, highest priority first.
+func (b *Balancer) dispatchHeld() {
 	for i := 0; i < len(b.held); {
 		c := b.held[i]
-		if !b.try(c) && !b.limits.PeerMessages && b.crowded(c) {
+		if !b.tryFirstRelay(c) && !b.limits.PeerMessages && b.overLimit(c) {
 			return
 		}
 		if i < len(b.held) && b.held[i] == c {
@@ -610,142 +648,149 @@
 	}
 }
 
-// ---- Keepers: for each cell one instance counts what all have out at its backends, and gives leave to send.
+// ---- Cell coordinators: for each cell one instance counts all commands in flight at its backends and grants
+// relays.
 
-// load is for its keeper how much a backend has to do, failures counted, as a part of what it may have.
-func (b *Balancer) load(k *backend) float64 {
-	out := k.tally.tried.weigh(k.tally.sum(b.now, noteLife), b.now, failSpan, failLoad, failPer)
-	return out / (room * b.part(k) * k.Capacity / b.meanSize)
+// usageRatio is used by a backend's coordinator: the backend's load, failures included, relative to what it may
+// have.
+func (b *Balancer) usageRatio(be *backend) float64 {
+	load := be.usage.outcomes.weightedLoad(be.usage.inFlight(b.now, reportLifetimeSeconds), b.now, failureSpanSeconds,
+		failureLoad, answersPerFailure)
+	return load / (commandsPerBackend * b.guaranteedCapacity(be) * be.Capacity / b.meanCapacity)
 }
 
-// grant is the keeper's: it names the least busy backend of the cell that has room for a command of the
-// priority. That counts as out from now on, since others ask before it is.
-func (b *Balancer) grant(cell uint16, to int, priority float64) (best *backend) {
-	least := spareFirst + (1-spareFirst)*priority
-	for _, k := range b.fleet {
-		if uint16(k.Cell) == cell && k.State == Ready {
-			if load := b.load(k) + b.chance()*tiny; load < least {
-				best, least = k, load
+// grant is used by a cell's coordinator: it returns the least loaded backend of the cell with capacity for a
+// command of that priority, or nil. The grant counts as in flight at once, since others ask before the command is
+// sent.
+func (b *Balancer) grant(cell uint16, from int, priority float64) (best *backend) {
+	lowest := zeroUtilityShare + (1-zeroUtilityShare)*priority
+	for _, be := range b.fleet {
+		if uint16(be.Cell) == cell && be.State == Ready {
+			if load := b.usageRatio(be) + b.random()*epsilon; load < lowest {
+				best, lowest = be, load
 			}
 		}
 	}
 	if best != nil {
-		best.tally.grant(b.now, to, b.now+patience)
+		best.usage.reserve(b.now, from, b.now+grantTimeoutSeconds)
 	}
 	return best
 }
 
-// report tells the backend's keeper what this instance has out there.
-func (b *Balancer) report(k *backend, flag byte) {
-	n := note{noteOut, uint16(k.Cell), k.tag(), byte(min(255, k.inFlight)), flag, k.turn()}
-	if at := b.keeper(n.cell); b.limits.PeerMessages && at != b.place.Index {
-		b.tell(at, n)
+// reportInFlight reports to the backend's coordinator what this instance has in flight there.
+func (b *Balancer) reportInFlight(be *backend, flag byte) {
+	m := message{messageInFlight, uint16(be.Cell), be.tag(), byte(min(255, be.inFlight)), flag, be.nextSequence()}
+	if to := b.coordinator(m.cell); b.limits.PeerMessages && to != b.placement.Index {
+		b.sendMessage(to, m)
 	} else if b.limits.PeerMessages {
-		k.tally.note(b.now, at, n, failSpan)
+		be.usage.record(b.now, to, m, failureSpanSeconds)
 	}
 }
 
-// remind repeats what is out while a relay lasts: notes get lost, and a keeper soon forgets what it heard.
-func (b *Balancer) remind(c *command, n int) {
-	if r := &c.relays[n]; r.out && b.limits.PeerMessages {
-		b.report(r.to, flagNone)
-		b.after(noteAgain, func() { b.remind(c, n) })
+// repeatReport repeats the report while a relay is pending: messages get lost, and reports expire soon.
+func (b *Balancer) repeatReport(c *command, n int) {
+	if r := &c.relays[n]; r.pending && b.limits.PeerMessages {
+		b.reportInFlight(r.to, flagNone)
+		b.startTimer(reportIntervalSeconds, func() { b.repeatReport(c, n) })
 	}
 }
 
-// Received is told what a sibling had to say.
-func (b *Balancer) MessageReceived(now float64, from int, text []byte) {
+// MessageReceived handles a message from a peer.
+func (b *Balancer) MessageReceived(now float64, from int, data []byte) {
 	b.now = now
-	n, ok := b.hear(from, text)
+	m, ok := b.acceptMessage(from, data)
 	if !ok {
 		return
 	}
-	var k *backend
-	if i := slices.IndexFunc(b.fleet, func(k *backend) bool {
-		return uint16(k.Cell) == n.cell && k.tag() == n.tag && (n.kind != noteGrant || n.flag >= flagYes)
+	var be *backend
+	if i := slices.IndexFunc(b.fleet, func(be *backend) bool {
+		return uint16(be.Cell) == m.cell && be.tag() == m.tag && (m.kind != messageGrant || m.flag >= flagGranted)
 	}); i >= 0 {
-		k = b.fleet[i]
-	}
-	switch { // who asks, or tells, has found out that this one is the keeper
-	case n.kind == noteAsk:
-		reply, knows := note{kind: noteGrant, cell: n.cell, turn: n.turn}, b.knows(n.cell)
-		if k := b.grant(n.cell, from, float64(n.amount)/255); k != nil && knows {
-			reply.tag, reply.flag = k.tag(), flagYes
-		} else if k != nil {
-			reply.tag, reply.flag = k.tag(), flagPerhaps
+		be = b.fleet[i]
+	}
+	switch { // a peer that asks or reports has chosen this instance as the coordinator
+	case m.kind == messageRequest:
+		reply, usageKnown := message{kind: messageGrant, cell: m.cell, sequence: m.sequence}, b.knowsUsage(m.cell)
+		if be := b.grant(m.cell, from, float64(m.amount)/255); be != nil && usageKnown {
+			reply.tag, reply.flag = be.tag(), flagGranted
+		} else if be != nil {
+			reply.tag, reply.flag = be.tag(), flagTentative
 		}
-		b.tell(from, reply)
-	case n.kind == noteOut && k != nil:
-		k.tally.note(now, from, n, failSpan)
-	case n.kind == noteGrant:
-		i := slices.IndexFunc(b.waiting, func(c *command) bool {
-			return c.askedOf == from && c.asked[len(c.asked)-1] == n.cell
+		b.sendMessage(from, reply)
+	case m.kind == messageInFlight && be != nil:
+		be.usage.record(now, from, m, failureSpanSeconds)
+	case m.kind == messageGrant:
+		i := slices.IndexFunc(b.awaitingGrant, func(c *command) bool {
+			return c.coordinator == from && c.askedCells[len(c.askedCells)-1] == m.cell
 		})
 		if i >= 0 {
-			b.granted(b.waiting[i], k, n.flag != flagPerhaps)
-		} else if k != nil {
-			b.report(k, flagSent) // too late: not taken
+			b.handleGrant(b.awaitingGrant[i], be, m.flag != flagTentative)
+		} else if be != nil {
+			b.reportInFlight(be, flagSent) // the grant came too late and is not used
 		}
 	}
 }
 
-// ask draws a cell for the command that was not asked yet, and has its keeper say where in it there is room.
-func (b *Balancer) ask(c *command) bool {
-	k := b.pick(c, false, true)
-	if k == nil || !b.limits.PeerMessages || len(c.asked) >= asksMost {
+// requestGrant draws a cell that was not yet asked for the command, and asks its coordinator for a backend with
+// capacity.
+func (b *Balancer) requestGrant(c *command) bool {
+	be := b.pick(c, false, true)
+	if be == nil || !b.limits.PeerMessages || len(c.askedCells) >= maxGrantRequests {
 		return false
 	}
-	cell := uint16(k.Cell)
-	c.askedAt, c.asked = b.now, append(c.asked, cell)
-	at := b.keeper(cell)
-	if at == b.place.Index {
-		b.granted(c, b.grant(cell, at, c.priority), b.knows(cell))
+	cell := uint16(be.Cell)
+	c.askedAt, c.askedCells = b.now, append(c.askedCells, cell)
+	to := b.coordinator(cell)
+	if to == b.placement.Index {
+		b.handleGrant(c, b.grant(cell, to, c.priority), b.knowsUsage(cell))
 		return true
 	}
-	b.asks++
-	n := b.asks
-	c.asking, c.askedOf, b.waiting = n, at, append(b.waiting, c)
-	b.question(at, note{kind: noteAsk, cell: cell, amount: byte(255 * c.priority), turn: turn(n)})
-	b.after(patience, func() {
-		if c.asking != n {
+	b.lastRequest++
+	requestID := b.lastRequest
+	c.requestID, c.coordinator, b.awaitingGrant = requestID, to, append(b.awaitingGrant, c)
+	b.sendRequest(to, message{kind: messageRequest, cell: cell, amount: byte(255 * c.priority),
+		sequence: sequenceByte(requestID)})
+	b.startTimer(grantTimeoutSeconds, func() {
+		if c.requestID != requestID {
 			return
 		}
-		b.unheard(at, c.askedAt) // a message was lost, or the keeper is
-		if b.answered(c); b.ask(c) {
+		b.grantTimedOut(to, c.askedAt) // a message was lost, or the coordinator is down
+		if b.endGrantWait(c); b.requestGrant(c) {
 			return
 		}
-		// After the last the instance goes by what it knows.
-		if c.asked = c.asked[:0]; b.crowded(c) || !b.send(c) {
+		// After the last request timed out, the instance decides by its own knowledge.
+		if c.askedCells = c.askedCells[:0]; b.overLimit(c) || !b.sendFirstRelay(c) {
 			b.hold(c)
 		}
 	})
 	return true
 }
 
-// granted sends a command where its keeper said, or asks another, or holds it. One that does not yet know all
-// that is out is believed as far as the own bound goes.
-func (b *Balancer) granted(c *command, k *backend, knows bool) {
-	b.answered(c)
-	if k != nil && (knows || !b.crowded(c)) && b.may(c, k, len(c.relays)) && !c.triedOn(k) {
-		b.release(c)
-		b.relay(c, k)
+// handleGrant sends the command to the granted backend, asks the next coordinator, or holds the command. The grant
+// of a coordinator that does not yet know all usage counts only within this instance's own limit.
+func (b *Balancer) handleGrant(c *command, be *backend, usageKnown bool) {
+	b.endGrantWait(c)
+	if be != nil && (usageKnown || !b.overLimit(c)) && b.mayRelay(c, be, len(c.relays)) && !c.triedOn(be) {
+		b.removeHeld(c)
+		b.sendRelay(c, be)
 		return
 	}
-	if k != nil {
-		b.report(k, flagSent) // not taken
+	if be != nil {
+		b.reportInFlight(be, flagSent) // the grant is not used
 	}
-	if !b.ask(c) {
+	if !b.requestGrant(c) {
 		b.hold(c)
 	}
 }
 
-// ---- Life of a command.
+// ---- Command life cycle.
 
-func (c *command) triedOn(k *backend) bool {
-	return slices.ContainsFunc(c.relays, func(r relay) bool { return r.to == k })
+// triedOn reports whether the command has had a relay to the backend.
+func (c *command) triedOn(be *backend) bool {
+	return slices.ContainsFunc(c.relays, func(r relay) bool { return r.to == be })
 }
 
-// Command is told of a command that is now owed exactly one final answer before it expires.
+// CommandReceived adds a command, which from now on is owed exactly one final answer before it expires.
 func (b *Balancer) CommandReceived(now float64, id uint64, verb, customer int, expires float64, key uint64) {
 	b.now = now
 	if _, ok := b.commands[id]; ok {
@@ -753,308 +798,319 @@
 	}
 	v := b.verbs[verb]
 	b.seq++
-	// Where the time told may be off its true end shows by itself: what is out times out then.
+	// If the deadline may be inaccurate, the true one shows by itself: relays time out then.
 	expires = max(expires, min(expires+b.limits.DeadlineError, now+v.TimeLimit))
-	c := &command{id: id, seq: b.seq, verb: v, key: key, came: now, expires: expires}
-	c.priority = v.Utility / max(b.topUtil, tiny)
-	b.keyed.add(now, callSpan, one(key != 0))
-	c.nested = key == 0 && b.keyed.sum > b.came.read(now, callSpan)/2
-	b.nests.add(now, callSpan, one(c.nested))
-	if b.over(customer) {
+	c := &command{id: id, seq: b.seq, verb: v, key: key, receivedAt: now, expiresAt: expires}
+	c.priority = v.Utility / max(b.maxUtility, epsilon)
+	b.keyedCommands.add(now, callSpanSeconds, indicator(key != 0))
+	c.nested = key == 0 && b.keyedCommands.sum > b.arrived.read(now, callSpanSeconds)/2
+	b.nestedCommands.add(now, callSpanSeconds, indicator(c.nested))
+	if b.overAllowance(customer) {
 		c.priority *= b.overage
 	}
 	b.commands[id] = c
-	c.sorts[0] = b.table.of(b.mark(customer)<<1|1, now, sortSpan)
+	c.groups[0] = b.groups.lookup(b.customerID(customer)<<1|1, now, groupSpanSeconds)
 	if key != 0 {
-		c.sorts[1] = b.table.of(key<<1, now, sortSpan)
+		c.groups[1] = b.groups.lookup(key<<1, now, groupSpanSeconds)
 	}
-	b.arrived()
-	b.taken.add(now, b.limits.ExtraRelays.Span, 1)
-	v.calls.add(now, callSpan, 1)
-	b.after(expires-now-expiryTicks*b.tick, func() { b.expire(c) })
+	b.countArrival()
+	b.budgetCommands.add(now, b.limits.ExtraRelays.Span, 1)
+	v.calls.add(now, callSpanSeconds, 1)
+	b.startTimer(expires-now-expiryTicks*b.tick, func() { b.expire(c) })
 	if b.limits.MaxUnreadAnswers > 0 {
-		b.after(v.Goal, func() { b.linger(c) })
+		b.startTimer(v.Goal, func() { b.goalPassed(c) })
 	}
 	if v.LateUtility == 0 {
-		// What can earn nothing any more only takes capacity from what can.
-		b.after(min(v.Goal, expires-now), func() {
+		// A command that can no longer earn any utility would only take capacity from others.
+		b.startTimer(min(v.Goal, expires-now), func() {
 			if !c.done && !c.streaming {
-				b.settle(c, false)
+				b.recordCompletion(c, false)
 				b.giveUp(c)
 			}
 		})
 	}
-	for _, k := range c.sorts {
-		if k != nil && k.most > 0 && float64(k.out) >= k.most {
+	for _, g := range c.groups {
+		if g != nil && g.limit > 0 && float64(g.inFlight) >= g.limit {
 			b.giveUp(c)
 			return
 		}
 	}
-	if len(b.held) > 0 && b.held[0].priority >= c.priority && !c.nested || !b.try(c) && !c.held && !c.done {
+	if len(b.held) > 0 && b.held[0].priority >= c.priority && !c.nested || !b.tryFirstRelay(c) && !c.held && !c.done {
 		b.hold(c)
 	}
 }
 
-// linger is called when a goal has passed: late answers hold a part of few places, and the oldest makes way.
-func (b *Balancer) linger(c *command) {
-	if c.done || c.out == 0 {
+// goalPassed is called when a command's response goal has passed. Late answers may hold only a small part of the
+// capacity for unread answers; beyond it the oldest is given up.
+func (b *Balancer) goalPassed(c *command) {
+	if c.done || c.pendingRelays == 0 {
 		return
 	}
-	b.past = append(b.past, c)
-	for float64(len(b.past)) > max(1, pastPart*float64(b.limits.MaxUnreadAnswers)) {
-		b.settle(b.past[0], false)
-		b.giveUp(b.past[0])
+	b.lateCommands = append(b.lateCommands, c)
+	for float64(len(b.lateCommands)) > max(1, lateAnswerShare*float64(b.limits.MaxUnreadAnswers)) {
+		b.recordCompletion(b.lateCommands[0], false)
+		b.giveUp(b.lateCommands[0])
 	}
 }
 
-func (b *Balancer) relay(c *command, k *backend) {
+// sendRelay sends the command's next relay to the backend and starts its timers.
+func (b *Balancer) sendRelay(c *command, be *backend) {
 	v := c.verb
 	n := len(c.relays)
 	if n > 0 {
-		b.further.add(b.now, b.limits.ExtraRelays.Span, 1)
+		b.extraRelays.add(b.now, b.limits.ExtraRelays.Span, 1)
 	} else {
-		c.places(1)
+		c.countInGroups(1)
 	}
-	r := relay{to: k, sent: b.now, out: true, counts: 1}
-	r.delay, r.learned = b.delay(v)
-	c.relays, c.asked = append(c.relays, r), c.asked[:0]
-	c.out++
-	k.inFlight++
+	r := relay{to: be, sentAt: b.now, pending: true, inFlight: 1}
+	r.delay, r.delayLearned = b.copyDelay(v)
+	c.relays, c.askedCells = append(c.relays, r), c.askedCells[:0]
+	c.pendingRelays++
+	be.inFlight++
 	b.inFlight++
-	b.report(k, flagSent)
-	k.budget.tokens-- // counts only while it is cold
-	b.relayed.add(b.now, slowSpan, 1)
-	b.host.Relay(c.id, k.ID)
+	b.reportInFlight(be, flagSent)
+	be.coldBudget.tokens-- // only limits while the backend is cold
+	b.relaysSent.add(b.now, slowSpanSeconds, 1)
+	b.host.Relay(c.id, be.ID)
 	if b.limits.PeerMessages {
-		b.after(noteAgain, func() { b.remind(c, n) })
+		b.startTimer(reportIntervalSeconds, func() { b.repeatReport(c, n) })
 	}
 	if !v.Stream {
-		b.after(r.delay, func() { b.overdue(c, n) })
+		b.startTimer(r.delay, func() { b.relayOverdue(c, n) })
 	}
 }
 
-// overdue is called when the delay passes: an unanswered relay counts against its backend now, since a
-// hung one never answers, and a second copy goes out where that is allowed.
-func (b *Balancer) overdue(c *command, n int) {
+// relayOverdue is called when a relay's delay has passed. A pending relay now counts against its backend, since a
+// hung one never answers, and a second copy is sent if allowed.
+func (b *Balancer) relayOverdue(c *command, n int) {
 	r, v := &c.relays[n], c.verb
-	if !r.out || r.loser || c.streaming {
+	if !r.pending || r.loser || c.streaming {
 		return
 	}
-	if r.learned && !c.apart() {
+	if r.delayLearned && !c.inLimitedGroup() {
 		r.late = true
-		r.to.slowed()
-		b.late.add(b.now, slowSpan, 1)
+		r.to.lowerWeight()
+		b.relaysLate.add(b.now, slowSpanSeconds, 1)
 	}
-	if c.done || c.out > 1 || c.apart() || !b.mayCopy(c, v) {
+	if c.done || c.pendingRelays > 1 || c.inLimitedGroup() || !b.mayCopy(c, v) {
 		return
 	}
-	if k := b.pick(c, true, false); k != nil {
-		v.copies.tokens--
-		v.breaker.sent(b.now)
-		b.service.sent(b.now)
-		b.relay(c, k)
+	if be := b.pick(c, true, false); be != nil {
+		v.copyBudget.tokens--
+		v.breaker.recordSent(b.now)
+		b.serviceBreaker.recordSent(b.now)
+		b.sendRelay(c, be)
 	}
 }
 
+// mayCopy reports whether the command may get a second copy: it is safe to repeat, the limits and budgets allow
+// it, and neither a breaker nor slowness of most relays forbids it.
 func (b *Balancer) mayCopy(c *command, v *verb) bool {
-	refill := copyShare * v.calls.rate(b.now, callSpan, b.start)
-	tokens := v.copies.read(b.now, refill, max(1, copyBurst*refill))
+	refill := copiesPerCall * v.calls.rate(b.now, callSpanSeconds, b.start)
+	tokens := v.copyBudget.read(b.now, refill, max(1, copyBurstSeconds*refill))
 	return v.Effect != Effectful && b.limits.SecondCopies && len(c.relays) < b.limits.MaxRelays &&
-		tokens-float64(v.losers) >= 1 && b.affords(copyPart) && v.breaker.allows(b.now) &&
-		b.service.allows(b.now) && !b.allSlow()
+		tokens-float64(v.pendingLosers) >= 1 && b.withinBudget(copyBudgetShare) && v.breaker.allows(b.now) &&
+		b.serviceBreaker.allows(b.now) && !b.mostRelaysSlow()
 }
 
-// affords tells whether one relay more beyond a command's first keeps to that part of a budget. What may
-// lie in the window counts in full, what may not is left out, and an event may be a tick older than told.
-func (b *Balancer) affords(part float64) bool {
-	f := b.limits.ExtraRelays
-	from := b.now - f.Span
-	all := f.Free + f.PerCommand*b.taken.least(from+b.tick)
-	return f.Span == 0 || b.further.most(from-b.tick)+1 <= max(min(1, all), part*all)
+// withinBudget reports whether one more relay beyond a command's first stays within that share of the extra-relay
+// budget. What may be inside the window counts in full for relays and not at all for commands, because an event
+// may be a tick older than reported.
+func (b *Balancer) withinBudget(share float64) bool {
+	budget := b.limits.ExtraRelays
+	windowStart := b.now - budget.Span
+	allowed := budget.Free + budget.PerCommand*b.budgetCommands.lowerBound(windowStart+b.tick)
+	return budget.Span == 0 || b.extraRelays.upperBound(windowStart-b.tick)+1 <= max(min(1, allowed), share*allowed)
 }
 
-// allSlow tells that relays run late all over: the percentile is stale, and copies would only add load.
-func (b *Balancer) allSlow() bool {
-	return b.late.read(b.now, slowSpan)-slowSlack > slowShare*b.relayed.read(b.now, slowSpan)
+// mostRelaysSlow reports whether relays are slow everywhere: the delay quantile is stale, and copies would only
+// add load.
+func (b *Balancer) mostRelaysSlow() bool {
+	return b.relaysLate.read(b.now, slowSpanSeconds)-slowSlackRelays > slowRelayShare*b.relaysSent.read(b.now, slowSpanSeconds)
 }
 
-// Started is told that a stream has begun: the command now belongs to that relay.
+// StreamStarted reports that a stream has begun: the command is bound to that relay from now on.
 func (b *Balancer) StreamStarted(now float64, id uint64, n int) {
 	b.now = now
-	if c, ok := b.commands[id]; ok && !c.done && !c.streaming && n < len(c.relays) && c.relays[n].out {
+	if c, ok := b.commands[id]; ok && !c.done && !c.streaming && n < len(c.relays) && c.relays[n].pending {
 		r := &c.relays[n]
-		c.streaming, r.counts = true, 0 // what its client takes slowly is no work for the backend
+		c.streaming, r.inFlight = true, 0 // a slow client is no load for the backend
 		r.to.inFlight--
 		b.inFlight--
 		b.cancelOthers(c, n)
-		b.dispatch()
+		b.dispatchHeld()
 	}
 }
 
-// Departed is told that the client is gone: nothing is owed, and what is out is called back.
+// ClientDisconnected reports that the client is gone: no answer is owed, and pending relays are cancelled.
 func (b *Balancer) ClientDisconnected(now float64, id uint64) {
 	b.now = now
 	if c, ok := b.commands[id]; ok {
-		b.end(c)
-		b.dispatch()
+		b.finish(c)
+		b.dispatchHeld()
 	}
 }
 
-// Outcome is told how a relay ended; final says that the command has had its answer.
+// RelayEnded reports how a relay ended; final says that the command has had its answer.
 func (b *Balancer) RelayEnded(now float64, id uint64, n int, result Result, took float64, final bool, _ LoadReport) {
 	b.now = now
 	c, ok := b.commands[id]
-	if !ok || n >= len(c.relays) || !c.relays[n].out {
+	if !ok || n >= len(c.relays) || !c.relays[n].pending {
 		return
 	}
 	r, v := &c.relays[n], c.verb
-	r.out, r.neverRan = false, result.NeverRan()
-	c.out--
-	r.to.inFlight -= r.counts
-	b.inFlight -= r.counts
+	r.pending, r.neverRan = false, result.NeverRan()
+	c.pendingRelays--
+	r.to.inFlight -= r.inFlight
+	b.inFlight -= r.inFlight
 	if r.loser {
-		v.losers--
+		v.pendingLosers--
 	}
-	if result == Answered || !c.apart() {
-		b.judge(r, result, took)
+	if result == Answered || !c.inLimitedGroup() {
+		b.scoreBackend(r, result, took)
 	}
 	flag := flagNone
 	if result != Answered && result != Cancelled && result != NotSent {
 		flag = flagFailed
 	}
-	b.report(r.to, flag)
+	b.reportInFlight(r.to, flag)
 	winner := !c.done && result != Cancelled && result != NotSent
-	if winner && (result == Answered || c.out == 0) {
-		v.breaker.outcome(now, result != Answered)
-		b.service.outcome(now, result != Answered)
+	if winner && (result == Answered || c.pendingRelays == 0) {
+		v.breaker.recordOutcome(now, result != Answered)
+		b.serviceBreaker.recordOutcome(now, result != Answered)
 	}
 	switch {
 	case c.done:
-		b.forget(c)
+		b.removeIfDone(c)
 	case final || result == Answered:
 		if result == Answered {
-			b.answers.add(now, rateSpan, 1)
-			b.carried.add(now, callSpan, 1)
+			b.recentAnswers.add(now, answerRateSeconds, 1)
+			b.answered.add(now, callSpanSeconds, 1)
 		}
-		if result == Answered && !c.streaming && !c.stood { // a stream's time is its length's and the client's
-			// From the first relay on: a winning copy must not hide how slow the first one was.
-			v.delay.learn(now, now-c.relays[0].sent)
-			b.anyDelay.learn(now, now-c.relays[0].sent)
+		if result == Answered && !c.streaming && !c.stalled { // a stream's duration depends on its length and its client
+			// Measured from the first relay: a faster copy must not hide how slow the first relay was.
+			v.latencies.add(now, now-c.relays[0].sentAt)
+			b.allLatencies.add(now, now-c.relays[0].sentAt)
 		}
 		if !c.streaming {
-			b.settle(c, false)
+			b.recordCompletion(c, false)
 		}
-		b.end(c)
-	case result == TimedOut && c.out == 0 && b.limits.DeadlineError > 0:
-		b.expire(c) // its true limit, whatever was told
-	case c.out == 0:
-		b.again(c)
+		b.finish(c)
+	case result == TimedOut && c.pendingRelays == 0 && b.limits.DeadlineError > 0:
+		b.expire(c) // the true deadline, whatever was reported
+	case c.pendingRelays == 0:
+		b.retry(c)
 	}
-	b.dispatch()
+	b.dispatchHeld()
 }
 
-// judge applies the weight rule to the backend of a relay that ended.
-func (b *Balancer) judge(r *relay, result Result, took float64) {
-	r.to.tried.note(b.now, failSpan, result)
-	if at := int(one(r.to.Zone == b.place.Zone)); result != Cancelled && result != NotSent {
-		b.zoneTook[at].add(b.now, callSpan, took)
-		b.zoneEnded[at].add(b.now, callSpan, 1)
+// scoreBackend updates the weight of the backend whose relay ended.
+func (b *Balancer) scoreBackend(r *relay, result Result, took float64) {
+	r.to.outcomes.record(b.now, failureSpanSeconds, result)
+	if zone := int(indicator(r.to.Zone == b.placement.Zone)); result != Cancelled && result != NotSent {
+		b.zoneLatency[zone].add(b.now, callSpanSeconds, took)
+		b.zoneEnded[zone].add(b.now, callSpanSeconds, 1)
 	}
 	switch result {
 	case Answered:
 		if took <= r.delay {
-			r.to.quick()
-		} else if r.learned && !r.late {
-			r.to.slowed()
+			r.to.raiseWeight()
+		} else if r.delayLearned && !r.late {
+			r.to.lowerWeight()
 		}
 	case Errored, Full, TimedOut, Reset, ConnectFailed:
-		r.to.slowed()
-		if result == ConnectFailed { // down, or out of connections: each try costs the whole connect limit
-			r.to.aside = b.now + asideFor
+		r.to.lowerWeight()
+		if result == ConnectFailed { // down or out of connections: each attempt costs the whole connect timeout
+			r.to.avoidUntil = b.now + connectBackoffSeconds
 		}
 	}
 }
 
-// again sends a command whose relays have all failed elsewhere, or gives it up.
-func (b *Balancer) again(c *command) {
-	rate := retryShare * b.came.rate(b.now, callSpan, b.start)
-	if !c.apart() && len(c.relays) < b.limits.MaxRelays && c.expires > b.now+2*b.tick &&
-		b.affords(spareFirst+(1-spareFirst)*c.priority) && b.retries.read(b.now, rate, max(retryBurst, rate)) >= 1 {
-		if k := b.pick(c, false, false); k != nil {
-			b.retries.tokens--
-			b.relay(c, k)
+// retry sends a command whose relays have all failed to another backend, or gives it up.
+func (b *Balancer) retry(c *command) {
+	refill := retriesPerCall * b.arrived.rate(b.now, callSpanSeconds, b.start)
+	if !c.inLimitedGroup() && len(c.relays) < b.limits.MaxRelays && c.expiresAt > b.now+2*b.tick &&
+		b.withinBudget(zeroUtilityShare+(1-zeroUtilityShare)*c.priority) &&
+		b.retryBudget.read(b.now, refill, max(retryBurst, refill)) >= 1 {
+		if be := b.pick(c, false, false); be != nil {
+			b.retryBudget.tokens--
+			b.sendRelay(c, be)
 			return
 		}
 	}
-	b.settle(c, true)
+	b.recordCompletion(c, true)
 	b.giveUp(c)
 }
 
-// mayDecline tells whether trying again is harmless whenever the client comes back: a receipted one only if
-// all of its backends will still know it at the end of the client's time, and of the wait that it is told.
+// mayDecline reports whether a retry by the client is harmless whenever it comes. A receipted command may be
+// declined only if all backends still remember it when the client's time limit and the advised wait have passed.
 func (b *Balancer) mayDecline(c *command) bool {
 	v := c.verb
 	return v.Effect == Pure || !slices.ContainsFunc(c.relays, func(r relay) bool {
 		return !r.neverRan && (v.Effect == Effectful || v.Scope != ScopeAll ||
-			c.expires+b.comeBack(v) > r.sent+v.DedupWindow-b.tick)
+			c.expiresAt+b.retryAfter(v) > r.sentAt+v.DedupWindow-b.tick)
 	})
 }
 
-// comeBack is when a declined client is told to come back, 0 where nothing is said.
-func (b *Balancer) comeBack(v *verb) float64 { return min(b.limits.MaxRetryAfter, comeBack*v.Goal) }
+// retryAfter returns the advised wait before a declined client retries, 0 for none.
+func (b *Balancer) retryAfter(v *verb) float64 {
+	return min(b.limits.MaxRetryAfter, retryAfterGoalShare*v.Goal)
+}
 
-// giveUp ends a command at once, by declining it where that promise holds.
+// giveUp ends a command at once: it is declined if a retry is harmless, and otherwise terminated.
 func (b *Balancer) giveUp(c *command) {
 	if b.mayDecline(c) {
-		b.host.Decline(c.id, b.comeBack(c.verb))
+		b.host.Decline(c.id, b.retryAfter(c.verb))
 	} else {
 		b.host.Terminate(c.id)
 	}
-	b.end(c)
+	b.finish(c)
 }
 
-// expire terminates a command that nothing ended before its time limit.
+// expire terminates a command that has not ended before its time limit.
 func (b *Balancer) expire(c *command) {
 	if !c.done && !c.streaming {
-		b.settle(c, false)
+		b.recordCompletion(c, false)
 		b.host.Terminate(c.id)
-		b.end(c)
-		b.dispatch()
+		b.finish(c)
+		b.dispatchHeld()
 	}
 }
 
+// cancelOthers marks the pending relays as losers, except number keep, and cancels them where that is possible.
 func (b *Balancer) cancelOthers(c *command, keep int) {
 	for i := range c.relays {
 		r := &c.relays[i]
-		if !r.out || r.loser || i == keep {
+		if !r.pending || r.loser || i == keep {
 			continue
 		}
 		r.loser = true
-		c.verb.losers++
+		c.verb.pendingLosers++
 		if b.limits.CancelRelays {
 			b.host.Cancel(c.id, i)
 		}
 	}
 }
 
-// end settles a command that has had its final answer; it is kept until its last relay is in.
-func (b *Balancer) end(c *command) {
+// finish marks a command as finally answered. It is kept until its last relay has ended.
+func (b *Balancer) finish(c *command) {
 	if c.done {
 		return
 	}
 	c.done = true
 	if len(c.relays) > 0 {
-		c.places(-1)
+		c.countInGroups(-1)
 	}
-	b.past = slices.DeleteFunc(b.past, func(x *command) bool { return x == c })
-	b.release(c)
-	b.answered(c)
+	b.lateCommands = slices.DeleteFunc(b.lateCommands, func(x *command) bool { return x == c })
+	b.removeHeld(c)
+	b.endGrantWait(c)
 	b.cancelOthers(c, -1)
-	b.forget(c)
+	b.removeIfDone(c)
 }
 
-func (b *Balancer) forget(c *command) {
-	if c.done && c.out == 0 {
+// removeIfDone forgets a command that is finished and has no pending relay.
+func (b *Balancer) removeIfDone(c *command) {
+	if c.done && c.pendingRelays == 0 {
 		delete(b.commands, c.id)
 	}
 }
--- a/balance/host.go
+++ b/balance/host.go
@@ -1,30 +1,31 @@
-// This file owns the interface between the Balancer and a front, and the plain types that cross it. It must never
-// hold a decision, nor a word of any wire.
+// This file contains the interface between the Balancer and a front, and the plain types that cross it. It holds
+// no decisions and no wire formats.
 package balance
 
-// BackendID is what a front calls a backend: on the bench its address and port, on sockets made from its name.
+// BackendID identifies a backend to the front: on the bench by its address and port, on sockets by a value derived
+// from its name.
 type BackendID [6]byte
 
-// Host carries out what the Balancer decides, at once and in the order of the calls.
+// Host carries out the Balancer's decisions, at once and in the order of the calls.
 type Host interface {
 	// Relay sends a command to a backend. A command's relays are numbered from 0 in the order sent.
 	Relay(cmd uint64, to BackendID)
-	// Cancel gives up waiting for one relay.
+	// Cancel stops waiting for one relay.
 	Cancel(cmd uint64, relay int)
-	// Decline ends a command with the promise that trying again is harmless; comeBack, in seconds,
-	// says when, 0 says nothing.
-	Decline(cmd uint64, comeBack float64)
+	// Decline ends a command with the promise that a retry is harmless. retryAfter is the advised wait in seconds;
+	// 0 gives no advice.
+	Decline(cmd uint64, retryAfter float64)
 	// Terminate ends a command without any promise.
 	Terminate(cmd uint64)
-	// WakeAfter asks for a Wake with this token in so many seconds.
+	// StartTimer requests a call of TimerFired with this token after the given time.
 	StartTimer(seconds float64, token uint64)
-	// Watch subscribes to changes of the list; Fleet or ListFailed follows.
+	// WatchBackends subscribes to changes of the backend list; UpdateBackends or BackendListFailed follows.
 	WatchBackends()
-	// Send sends a few bytes to a sibling by its number; they may be lost.
-	SendToPeer(to int, text []byte)
+	// SendToPeer sends a short message to another instance of the tier by its index. The message may be lost.
+	SendToPeer(to int, data []byte)
 }
 
-// Effect says what a second run of a command would do.
+// Effect describes what running a command twice would do.
 type Effect int
 
 const (
@@ -33,7 +34,7 @@
 	Effectful               // must never run twice
 )
 
-// Scope is the group of backends that drops the repeats of a receipted command.
+// Scope is the group of backends that drops repeats of a receipted command.
 type Scope int
 
 const (
@@ -42,7 +43,7 @@
 	ScopeCell
 )
 
-// Verb is one kind of command; times are in seconds.
+// Verb describes one kind of command. Times are in seconds.
 type Verb struct {
 	Effect        Effect
 	Scope         Scope
@@ -50,91 +51,91 @@
 	Goal          float64 // response goal
 	TimeLimit     float64
 	Utility       float64
-	LateUtility   float64 // part of the utility that an answer past the goal still earns
+	LateUtility   float64 // share of the utility that an answer past the goal still earns
 	Stream        bool
-	PreviousIndex int // its place among the verbs before these, -1 if it is new
+	PreviousIndex int // index of the same verb in the previous settings, -1 if it is new
 }
 
-// Customer is one of those who share the service.
+// Customer is one of those that share the service.
 type Customer struct {
-	Allowance     float64 // commands a second within its share, all proxies together
-	PreviousIndex int     // its place among the customers before these, -1 if it is new
+	Allowance     float64 // commands per second within its share, over all proxies
+	PreviousIndex int     // index of the same customer in the previous settings, -1 if it is new
 }
 
-// Place is where an instance stands.
+// Placement is an instance's position in the deployment.
 type Placement struct {
-	Index     int // its number among its siblings
-	Instances int // instances of this tier
-	Tier      int // the tier it sends to, 0 is the clients' own
-	Zone      int // its own
+	Index     int // index among the instances of this tier
+	Instances int // number of instances of this tier
+	Tier      int // tier that it sends to; 0 receives the clients' own commands
+	Zone      int // index of its own zone
 }
 
-// Limits is what an instance may do.
+// Limits describes what an instance may do.
 type Limits struct {
-	MaxRelays        int // for one command
-	SecondCopies     bool
-	CancelRelays     bool
-	MaxRetryAfter    float64 // longest wait that clients can be told, 0 where they are told nothing
-	PeerMessages     bool    // may tell its siblings something
-	KeyAffinity      bool    // backends do less for a key that their cell met lately
-	CrossZonePriced  bool    // what crosses zones is priced
-	MaxUnreadAnswers int     // answers that may wait for their clients to read them, 0: nothing is said
-	DeadlineError    float64 // seconds by which the time that a command expires may be off, either way
-	ExtraRelays      RelayBudget
-	FixedInstances   bool // shares go by all siblings there should be, whoever is there
+	MaxRelays        int         // relays per command
+	SecondCopies     bool        // a late relay may be repeated at another backend
+	CancelRelays     bool        // a pending relay can be cancelled
+	MaxRetryAfter    float64     // longest wait in seconds that clients can be advised, 0 if they cannot be advised
+	PeerMessages     bool        // the instance may send messages to its peers
+	KeyAffinity      bool        // backends do less work for a key that their cell has handled recently
+	CrossZonePriced  bool        // traffic across zones has a price
+	MaxUnreadAnswers int         // answers that may wait for their clients to read them, 0 if not specified
+	DeadlineError    float64     // seconds by which a command's reported deadline may be wrong, either way
+	ExtraRelays      RelayBudget // limit on relays beyond each command's first
+	FixedInstances   bool        // shares are computed from the configured number of instances, whether they run or not
 }
 
-// Budget bounds the relays of one instance beyond each command's first in any window.
+// RelayBudget limits an instance's relays beyond each command's first within any window.
 type RelayBudget struct {
-	Free       float64 // so many
-	PerCommand float64 // and so many for each command that came in the window
-	Span       float64 // seconds of the window, 0: no bound is stated
+	Free       float64 // relays allowed regardless of traffic
+	PerCommand float64 // additional relays per command received in the window
+	Span       float64 // length of the window in seconds, 0 for no limit
 }
 
-// Cold is the rule on backends that have just started.
+// ColdStart is the rule for backends that have just started.
 type ColdStart struct {
-	InitialCapacity  float64 // part of its capacity that a backend starts with, or more
+	InitialCapacity  float64 // least share of its full capacity that a backend starts with
 	WarmUp           float64 // seconds until it is warm at the latest
-	OverloadMultiple float64 // of its present capacity, at which it falls over
-	StartError       float64 // seconds by which the time of a start may be off, either way
+	OverloadMultiple float64 // multiple of its current capacity at which it fails
+	StartError       float64 // seconds by which a reported start may be wrong, either way
 }
 
-// State is what the list says of a backend.
+// State is a backend's state in the backend list.
 type State int
 
 const (
-	Ready State = iota
-	Draining
+	Ready    State = iota
+	Draining       // gets no new commands
 	Gone
 )
 
-// Entry is a line of the list.
+// Entry is one backend in the backend list.
 type Entry struct {
 	ID         BackendID
 	Zone, Cell int
 	State      State
 	Capacity   float64
-	StartedAt  float64 // clock time, 0 is long ago
+	StartedAt  float64 // clock reading, 0 if long ago
 }
 
-// Result is how a relay ended.
+// Result describes how a relay ended.
 type Result int
 
 const (
-	Answered Result = iota
-	Errored
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	NotSent
+	Answered      Result = iota
+	Errored              // the backend answered with an error
+	Full                 // the backend refused the command without running it
+	TimedOut             // no answer within the time limit
+	ConnectFailed        // the connection could not be established
+	Reset                // the connection was lost
+	Cancelled            // given up by Cancel
+	NotSent              // never written to a connection
 )
 
-// NeverRan tells whether the result proves that the relay did nothing.
+// NeverRan reports whether the result proves that the relay had no effect.
 func (r Result) NeverRan() bool { return r == Full || r == ConnectFailed || r == NotSent }
 
-// Load is what a backend reports of itself; a figure below 0 was not reported.
+// LoadReport is what a backend reports about itself. A value below 0 was not reported.
 type LoadReport struct {
 	Active, Waiting, CPU, Latency float64
 }
--- a/balance/instance.go
+++ b/balance/instance.go
@@ -1,89 +1,94 @@
-// This file owns how an instance starts, the settings that it goes by and its timers. It must never decide what becomes
-// of a command, nor forget what was learned when the settings change.
+// This file creates an instance, applies its settings and runs its timers. It makes no decisions about commands,
+// and a change of settings must not discard what was learned.
 package balance
 
-// verb is a kind of command as the settings have it; learnt is what outlives them.
+// verb is a kind of command as configured. Its verbState outlives changes of the settings.
 type verb struct {
 	Verb
-	*learnt
+	*verbState
 }
 
-type learnt struct {
-	delay   delay
-	calls   decaying
-	copies  bucket
-	losers  int // losing relays that are still out
-	breaker breaker
+// verbState is what was learned about a verb.
+type verbState struct {
+	latencies     latencySketch
+	calls         decayingSum
+	copyBudget    tokenBucket
+	pendingLosers int // losing copies that are still pending
+	breaker       breaker
 }
 
-// New starts an instance that knows nothing yet; Turn must follow, before anything else.
+// New creates an instance without any learned state. Configure must be called before any other method.
 func New(host Host, seed uint64, now float64) *Balancer {
 	return &Balancer{
-		host: host, seed: seed, now: now, start: now, askWait: askFirst, level: boundFirst,
-		commands: map[uint64]*command{}, wakes: map[uint64]func(){},
-		retries: bucket{retryBurst, now}, anyDelay: newDelay(now), life: newLife(now, seed),
+		host: host, seed: seed, now: now, start: now, listRetryDelay: minListRetrySeconds,
+		inFlightPerBackend: initialInFlightPerBackend,
+		commands:           map[uint64]*command{}, timers: map[uint64]func(){},
+		retryBudget: tokenBucket{retryBurst, now}, allLatencies: newLatencySketch(now), incarnation: newIncarnation(now, seed),
 	}
 }
 
-// Turn has the instance go by these settings from now on. What was learned stays, also of a verb or customer that
-// goes on under another number; a command that is open keeps the verb it came with.
-func (b *Balancer) Configure(now, tick float64, place Placement, verbs []Verb, customers []Customer,
-	overage float64, limits Limits, cold ColdStart, mustAsk bool) {
-	ask := mustAsk && !b.mustAsk
+// Configure applies new settings. Learned state is kept, also for a verb or customer that continues under another
+// index. Open commands keep the verb that they arrived with.
+func (b *Balancer) Configure(now, tick float64, placement Placement, verbs []Verb, customers []Customer,
+	overage float64, limits Limits, coldStart ColdStart, listOnRequest bool) {
+	subscribe := listOnRequest && !b.listOnRequest
 	if limits.ExtraRelays.Span > b.limits.ExtraRelays.Span && b.seq > 0 {
-		b.further.add(now, limits.ExtraRelays.Span, limits.ExtraRelays.Free) // what went before was not counted that far back
+		// Earlier relays were not counted over this longer window.
+		b.extraRelays.add(now, limits.ExtraRelays.Span, limits.ExtraRelays.Free)
 	}
-	b.now, b.tick, b.place, b.overage, b.limits, b.cold = now, tick, place, overage, limits, cold
-	b.mustAsk, b.topUtil = mustAsk, 0
-	oldVerbs, oldShares, oldMarks := b.verbs, b.shares, b.marks
-	b.verbs, b.customers, b.shares, b.marks = nil, customers, nil, nil
+	b.now, b.tick, b.placement, b.overage, b.limits, b.coldStart = now, tick, placement, overage, limits, coldStart
+	b.listOnRequest, b.maxUtility = listOnRequest, 0
+	oldVerbs, oldAllowances, oldCustomerIDs := b.verbs, b.allowances, b.customerIDs
+	b.verbs, b.customers, b.allowances, b.customerIDs = nil, customers, nil, nil
 	for _, v := range verbs {
-		l := &learnt{copies: bucket{0, now}, delay: newDelay(now)}
+		state := &verbState{copyBudget: tokenBucket{0, now}, latencies: newLatencySketch(now)}
 		if v.PreviousIndex >= 0 && v.PreviousIndex < len(oldVerbs) {
-			l = oldVerbs[v.PreviousIndex].learnt
+			state = oldVerbs[v.PreviousIndex].verbState
 		}
-		b.topUtil = max(b.topUtil, v.Utility)
-		b.verbs = append(b.verbs, &verb{v, l})
+		b.maxUtility = max(b.maxUtility, v.Utility)
+		b.verbs = append(b.verbs, &verb{v, state})
 	}
 	for _, c := range customers {
-		b.lastMark++
-		share, mark := bucket{max(1, c.Allowance*shareBurst), now}, b.lastMark
-		if c.PreviousIndex >= 0 && c.PreviousIndex < len(oldShares) {
-			share, mark = oldShares[c.PreviousIndex], oldMarks[c.PreviousIndex]
+		b.lastCustomerID++
+		allowance, id := tokenBucket{max(1, c.Allowance*allowanceBurstSeconds), now}, b.lastCustomerID
+		if c.PreviousIndex >= 0 && c.PreviousIndex < len(oldAllowances) {
+			allowance, id = oldAllowances[c.PreviousIndex], oldCustomerIDs[c.PreviousIndex]
 		}
-		b.shares, b.marks = append(b.shares, share), append(b.marks, mark)
+		b.allowances, b.customerIDs = append(b.allowances, allowance), append(b.customerIDs, id)
 	}
-	b.view.Resize(max(1, place.Instances))
-	b.arrange()
-	if ask {
+	b.peers.Resize(max(1, placement.Instances))
+	b.rebuildWindow()
+	if subscribe {
 		b.BackendListFailed(now)
 	}
-	b.dispatch()
+	b.dispatchHeld()
 }
 
-// mark is a customer's own for good: its place among the others changes with the settings, and what was learned of one must
-// never be held against who has its place now. Those without a name share 0.
-func (b *Balancer) mark(customer int) uint64 {
-	if customer >= len(b.marks) {
+// customerID returns a permanent identifier of the customer. Its index changes with the settings, and what was
+// learned about one customer must never apply to another that takes over its index. Customers that are not
+// configured share 0.
+func (b *Balancer) customerID(customer int) uint64 {
+	if customer >= len(b.customerIDs) {
 		return 0
 	}
-	return b.marks[customer]
+	return b.customerIDs[customer]
 }
 
-// Verbs is the number of verbs it was started with.
+// VerbCount returns the number of configured verbs.
 func (b *Balancer) VerbCount() int { return len(b.verbs) }
 
-func (b *Balancer) after(seconds float64, what func()) {
-	b.tokens++
-	b.wakes[b.tokens] = what
-	b.host.StartTimer(max(0, seconds), b.tokens)
+// startTimer calls the function after the given time.
+func (b *Balancer) startTimer(seconds float64, callback func()) {
+	b.lastTimer++
+	b.timers[b.lastTimer] = callback
+	b.host.StartTimer(max(0, seconds), b.lastTimer)
 }
 
-// Wake is told that a time asked for has come.
+// TimerFired reports that a requested timer has expired.
 func (b *Balancer) TimerFired(now float64, token uint64) {
 	b.now = now
-	if what, ok := b.wakes[token]; ok {
-		delete(b.wakes, token)
-		what()
+	if callback, ok := b.timers[token]; ok {
+		delete(b.timers, token)
+		callback()
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,115 +1,118 @@
-// This file owns what an instance remembers: of a backend, of a relay, of a command, and of all together. It must never
-// hold a decision, nor a figure that one goes by.
+// This file contains the state of an instance: of backends, relays, commands, and the whole. It holds no decisions
+// and no constants that they depend on.
 package balance
 
 import "sandpass/internal/membership"
 
+// backend is what an instance knows about a backend.
 type backend struct {
 	Entry
-	spot     uint64  // place on the ring, the same at every instance
-	listed   int     // number of the last list that named it
-	near     float64 // part of its arc that lies in this instance's window
-	local    float64 // and in its window on the own zone's ring, where crossing is priced
-	weight   float64
-	inFlight int
-	tried    tries
-	aside    float64 // no commands before this time
-	budget   bucket  // commands that may go to it while it is cold
+	ringPosition uint64  // hash of the ID, the same at every instance
+	listSeq      int     // sequence number of the last list with this backend
+	windowShare  float64 // part of its arc on the ring that is in this instance's window
+	ownZoneShare float64 // the same on the ring of the own zone, used if crossing zones is priced
+	weight       float64
+	inFlight     int
+	outcomes     outcomeCounts
+	avoidUntil   float64     // avoided until this time after a failed connection
+	coldBudget   tokenBucket // commands that it may get while it is cold
 
-	said  int   // words to its keeper
-	tally tally // what all instances have out here, at its keeper alone
+	reportSeq int          // sequence number of the last report to its coordinator
+	usage     backendUsage // usage by all instances, at its coordinator only
 }
 
+// relay is one attempt to run a command at a backend.
 type relay struct {
-	to                  *backend
-	sent, delay         float64 // when, and after how long it is late
-	learned             bool    // that was learned
-	out, late, neverRan bool
-	loser               bool // its command has had its answer
-	counts              int  // 1, or 0 once it is a stream
+	to                      *backend
+	sentAt, delay           float64 // send time, and seconds until it is overdue
+	delayLearned            bool    // the delay is learned, not a default
+	pending, late, neverRan bool
+	loser                   bool // the command has had its answer from another relay
+	inFlight                int  // 1, or 0 once it is a stream
 }
 
+// command is a command that is open or has pending relays.
 type command struct {
 	id                    uint64
 	seq                   uint64
 	verb                  *verb
-	key                   uint64 // what it is about, 0 if nothing is said
-	came, expires         float64
-	priority              float64 // its utility against the highest, 0 to 1
+	key                   uint64 // key that the command is about, 0 if none
+	receivedAt, expiresAt float64
+	priority              float64 // utility relative to the highest, 0 to 1
 	relays                []relay
-	out                   int
-	sorts                 [2]*sort
+	pendingRelays         int
+	groups                [2]*commandGroup
 	held, done, streaming bool
-	nested                bool     // a call from below, which whoever waits for it needs answered first
-	asked                 []uint16 // cells whose keepers were asked for it
+	nested                bool     // a call by a lower tier, whose caller waits for the answer
+	askedCells            []uint16 // cells whose coordinators were asked
 	askedAt               float64
-	asking                int  // number of what was asked last, 0 while nothing is
-	askedOf               int  // and the keeper
-	stood                 bool // its instance stood still meanwhile
+	requestID             int  // number of the pending grant request, 0 if none
+	coordinator           int  // instance that was asked
+	stalled               bool // the process was stalled while it was open
 }
 
-// duty is a cell whose own keeper does not answer others.
-type duty struct{ since, last float64 }
+// takeover is the state of a cell that this instance coordinates in place of another.
+type takeover struct{ since, lastUsed float64 }
 
-// Balancer is one instance. Make it with New.
+// Balancer makes the decisions of one instance. Create it with New.
 type Balancer struct {
-	host             Host
-	now, start, tick float64
-	seed, draws      uint64
-	place            Placement
-	limits           Limits
-	cold             ColdStart
-	overage          float64
-	mustAsk          bool
+	host              Host
+	now, start, tick  float64
+	seed, randomDraws uint64
+	placement         Placement
+	limits            Limits
+	coldStart         ColdStart
+	overage           float64
+	listOnRequest     bool
 
-	verbs         []*verb
-	customers     []Customer
-	shares        []bucket
-	marks         []uint64 // of the customers, whatever their places
-	lastMark      uint64
-	service       breaker
-	anyDelay      delay      // of all verbs together
-	fleet         []*backend // by id
-	meanSize      float64
-	waiting       []*command // for what keepers say
-	asks          int
-	picks, window []*backend  // window: those this instance keeps to
-	total         float64     // size of all usable backends
-	widest        decaying    // and the most that it was lately, fading
-	reach         float64     // width of the window
-	localReach    float64     // and of that on the own zone's ring
-	zoneTook      [2]decaying // seconds that relays to other zones, and to the own one, took lately
-	zoneEnded     [2]decaying // and how many
-	warm          float64     // usable backends that were warm when the window was laid
-	warming       []*backend  // and those that were not
-	commands      map[uint64]*command
-	held          []*command
-	wakes         map[uint64]func()
-	tokens        uint64
-	seq           uint64
-	lists         int // lists seen
-	inFlight      int
-	topUtil       float64
+	verbs              []*verb
+	customers          []Customer
+	allowances         []tokenBucket
+	customerIDs        []uint64 // permanent identifiers by index
+	lastCustomerID     uint64
+	serviceBreaker     breaker
+	allLatencies       latencySketch // of all verbs
+	fleet              []*backend    // sorted by ring position
+	meanCapacity       float64
+	awaitingGrant      []*command // for a coordinator's grant
+	lastRequest        int
+	candidates, window []*backend     // window: the subset that this instance uses
+	totalCapacity      float64        // capacity of all ready backends
+	peakCapacity       decayingSum    // decaying peak of totalCapacity
+	windowWidth        float64        // width of the window
+	ownZoneWidth       float64        // width of the window on the own zone's ring
+	zoneLatency        [2]decayingSum // seconds that recent relays took, to other zones and to the own one
+	zoneEnded          [2]decayingSum // and their number
+	warmCount          float64        // ready backends that were warm when the window was built
+	coldBackends       []*backend     // ready backends that were not
+	commands           map[uint64]*command
+	held               []*command
+	timers             map[uint64]func()
+	lastTimer          uint64
+	seq                uint64
+	listSeq            int // sequence number of the latest list
+	inFlight           int
+	maxUtility         float64
 
-	came, carried, answers      decaying
-	keyed, nests                decaying // of those that came, with a key
-	usual                       float64  // median latency in seconds of a fleet at ease, 0 while not known
-	ended, endedLate, endedMiss float64  // commands that ended, late ones of them, and those past their goal or failed, fading
-	level                       float64  // commands out for each warm backend, by all instances
-	ease, easy                  float64  // own commands out while answers come in time
-	cutAt, settled              float64
-	relayed, late               decaying
-	retries                     bucket
-	past                        []*command // late ones whose answers may hold a place, in the order of their goals
-	taken, further              window     // commands that came, and relays beyond their first, for a stated budget
-	table                       sorts
-	sortEnded, sortBad          decaying
-	asking                      bool
-	askWait                     float64
-	life                        uint64 // of this process, higher than those before it
-	view                        membership.PeerView
-	duties                      map[uint16]duty // cells that it keeps in another's place
-	arrivals                    membership.ArrivalEstimator
-	alive                       float64 // siblings believed to be there, 0 before the first command
-	laidFor                     float64 // and how many they were when the window was laid
+	arrived, answered, recentAnswers decayingSum
+	keyedCommands, nestedCommands    decayingSum // received commands with a key, and nested ones
+	typicalLatency                   float64     // median latency in seconds of an unloaded fleet, 0 while unknown
+	ended, endedLate, endedMissed    float64     // decaying counts: all, late, and past their goal or failed
+	inFlightPerBackend               float64     // commands in flight allowed per warm backend, all instances
+	baseline, baselineSamples        float64     // own commands in flight while answers are in time, and its samples
+	limitCutAt, completedAt          float64
+	relaysSent, relaysLate           decayingSum
+	retryBudget                      tokenBucket
+	lateCommands                     []*command     // past their goal but not answered, oldest goal first
+	budgetCommands, extraRelays      slidingCounter // commands and extra relays counted for the relay budget
+	groups                           groupTable
+	allEnded, allFailed              decayingSum
+	listRetryPending                 bool
+	listRetryDelay                   float64
+	incarnation                      uint64 // of this process, higher than those before it
+	peers                            membership.PeerView
+	takeovers                        map[uint16]takeover // cells that it coordinates in place of another instance
+	arrivals                         membership.ArrivalEstimator
+	activeEstimate                   float64 // estimate of running instances, 0 before the first command
+	windowInstances                  float64 // activeInstances when the window was built
 }
