--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -1,5 +1,6 @@
-// This file owns the clients' side: their connections, the commands read from them and the one answer that each is
-// owed. It must never relay anything, nor read a second command of a connection before the first has its answer.
+// This file handles client connections: reading commands and writing exactly one answer to each. It relays nothing itself, and
+// reads a connection's next command only after the previous one is answered.
+
 package proxy
 
 import (
@@ -17,112 +18,114 @@
 )
 
 const (
-	opening         = 2.35     // seconds from connecting to a whole first head: it may take 2, and within 3 all must hear or be closed
-	slowest         = 2.35     // seconds for any later head, from its first byte
-	unread          = 0.3      // seconds more for one of which something waits to be read
-	untaken         = 6.0      // seconds in which nothing of an answer is taken
-	resting         = 30.0     // seconds that a connection may rest between commands; opening another costs little
-	minIdleSeconds  = 2.0      // seconds of rest after which a connection may go though others will soon be due
-	patienceUsual   = 0.1      // seconds that a connection has to send or to close, before it makes way where there is no room
-	patiencePressed = 0.02     // the same of a silent one while the backlog is not empty for longer than pressedFrom
-	pressedFrom     = 0.05     // seconds
-	linger          = 1.0      // seconds for the other side to read the last answer and close
-	drained         = 64 << 20 // bytes of a body too large that are thrown away meanwhile, so that the answer is not reset
-	crowd           = 4        // the clients' part by which connections that will soon be due are many
-	looked          = 8        // connections looked at in each state for one to make way
-	longestID       = 128      // bytes of a Req-Id
-	waitMost        = 86400.0  // seconds: no client waits longer
-
-	retryElsewhere = 0.05 // seconds after which who was rejected may come again: to another proxy, or with a new request
-	retryOverload  = 0.5  // and where this one has more than it may hold: some answers' time
+	firstHeadTimeoutSeconds   = 2.35     // from connecting; a client may take 2 s, and must be answered or closed within 3 s
+	headTimeoutSeconds        = 2.35     // for later heads, from the first byte
+	unreadGraceSeconds        = 0.3      // extension if the connection has unread data
+	writeStallSeconds         = 6.0      // without progress in writing an answer
+	idleTimeoutSeconds        = 30.0     // between commands; a new connection is cheap
+	minIdleSeconds            = 2.0      // before an idle connection may be evicted while many others will soon time out
+	silentGraceSeconds        = 0.1      // in which a connection must send or close, before it may be evicted
+	pressedSilentGraceSeconds = 0.02     // the same for a silent connection while the listener is under pressure
+	backlogPressureSeconds    = 0.05     // the listener is under pressure once its backlog has been non-empty this long
+	lingerSeconds             = 1.0      // for the client to read the last answer and close
+	maxDiscardBytes           = 64 << 20 // discarded of an oversized body: unread data at the close would reset the answer
+	crowdDivisor              = 4        // more than quota/crowdDivisor connections that will soon time out are many
+	maxEvictionChecks         = 8        // connections examined per state
+	maxReqIDBytes             = 128
+	maxDeadlineSeconds        = 86400.0 // largest accepted Req-Deadline
+
+	retrySoonSeconds     = 0.05 // Retry-After for a retry at another proxy or with a new request
+	retryOverloadSeconds = 0.5  // Retry-After over a limit: the time of several answers
 )
 
-// state is what goes on on a client's connection. Each state has a list, in the order of entering it.
+// connState is the state of a client connection. Connections are listed per state, in the order in which they entered it.
 type connState int
 
 const (
-	stateClosing connState = iota // the last answer is written
-	stateSilent                   // nothing has come yet
-	stateSending                  // a command has begun
-	stateIdle                     // between commands
-	stateBusy                     // a command is read and not answered, or its answer has not left
+	stateClosing connState = iota // the last answer has been written
+	stateSilent                   // no data of a command has arrived yet
+	stateSending                  // part of a command has arrived
+	stateIdle                     // between two commands
+	stateBusy                     // a command is unanswered, or its answer is not fully sent
 	stateCount
 )
 
+// clientConns holds all client connections.
 type clientConns struct {
 	byState        [stateCount]list.List
 	count          int
-	awaitingAnswer int // connections that are owed an answer
-	quota, limit   int // of these there may be so many, and open so many
+	awaitingAnswer int // connections with an unanswered command
+	quota, limit   int // maximum of awaitingAnswer and of count, respectively
 }
 
-// client is one connection of a client.
+// clientConn is a connection from a client.
 type clientConn struct {
-	p             *Proxy
-	conn          *loop.Conn
-	msg           http1.Message
-	cmd           *command // read and not answered
-	state         connState
-	place         *list.Element // in the state's list
-	since         float64       // when it entered the state; when it connected, until its first command is whole
-	invited       bool          // was told to send the body
-	used          bool          // has had a whole command
-	headAt        float64       // when the head was whole, 0 while it is not
-	came          float64       // by when the latest bytes had come
-	bodyStreaming bool          // its command is passed on as it comes and is not whole
-	bodyLink      *backendConn  // where it goes on to, nil before and after
-	passed        bool          // its bytes are consumed
-	holds         bool          // is not read until the backend has taken what there is
-	lastProgress  float64       // when the last of it came
-	answerChunked bool          // its answer is passed on in chunks
-	keepAlive     bool          // and the connection stays open after it
-	closed        bool          // closed
+	p              *Proxy
+	conn           *loop.Conn
+	msg            http1.Message
+	cmd            *command // the unanswered command, or nil
+	state          connState
+	element        *list.Element // in the list of its state
+	since          float64       // when the state was entered; until the first command is complete, when it connected
+	sentContinue   bool          // 100 Continue was sent
+	hadCommand     bool          // at least one command was accepted
+	headCompleteAt float64       // when the head was complete; 0 before
+	receivedAt     float64       // when the latest bytes had arrived at the latest
+	bodyStreaming  bool          // the body is streamed to the backend and not complete
+	bodyLink       *backendConn  // backend connection that the body is streamed to, or nil
+	consumed       bool          // the command's bytes were consumed from the read buffer
+	readPaused     bool          // until the backend has taken the pending data
+	lastProgress   float64       // when body data last arrived
+	answerChunked  bool          // the streamed answer uses chunked encoding
+	keepAlive      bool          // the connection stays open after the streamed answer
+	closed         bool
 }
 
-// enter is the one place where a connection's state changes.
-func (c *clientConn) enter(s connState) {
+// setState is the only function that changes a connection's state.
+func (c *clientConn) setState(s connState) {
 	all := &c.p.clients
-	if c.place != nil {
-		all.byState[c.state].Remove(c.place)
+	if c.element != nil {
+		all.byState[c.state].Remove(c.element)
 	}
-	if c.state = s; s != stateSending || c.used {
-		c.since = c.p.loop.Now() // a trickle before the first command renews nothing
+	if c.state = s; s != stateSending || c.hadCommand {
+		c.since = c.p.loop.Now() // data before the first complete command does not extend its time limit
 	}
-	c.place = all.byState[s].PushBack(c)
+	c.element = all.byState[s].PushBack(c)
 }
 
-// roomForClient tells whether one more connection may be taken from the backlog.
-func (p *Proxy) roomForClient() bool { return p.clients.count < p.clients.limit || p.evictClient() }
+// canAcceptClient reports whether one more connection may be accepted. It evicts another if necessary.
+func (p *Proxy) canAcceptClient() bool { return p.clients.count < p.clients.limit || p.evictClient() }
 
-// patience is how long a silent connection has to send something before it makes way: little while others wait to be
-// accepted, of whom each may have sent a request whose time is running. What has sent one is never closed so.
-func (p *Proxy) patience() float64 {
-	if p.listener != nil && p.listener.BacklogWait() > pressedFrom {
-		return patiencePressed
+// silentGrace returns the seconds in which a silent connection must send something before it may be evicted. It is short while
+// connections wait to be accepted, because each may have sent a request whose time limit is running. A connection with
+// unread data is never evicted.
+func (p *Proxy) silentGrace() float64 {
+	if p.listener != nil && p.listener.BacklogWait() > backlogPressureSeconds {
+		return pressedSilentGraceSeconds
 	}
-	return patienceUsual
+	return silentGraceSeconds
 }
 
-// makeWay closes a connection in favour of one with something to say: one that has had its last answer, one that says
-// nothing or is long about it, then the one that has rested longest. Where many of the former will soon be due, only one
-// that has rested for a while goes: the usual clients come back to theirs, and those who asked once and stay must not
-// leave the few places between them to the silent.
+// evictClient closes one connection to make room for another and reports whether it did. It tries connections that have
+// had their last answer, then silent and slow ones, then the one that has been idle longest. While many closing, silent or
+// slow connections will soon be closed anyway, an idle one is evicted only after minIdleSeconds, since regular clients reuse
+// theirs. It is evicted then, because idle clients that sent one command and stay must not leave only a few places for others.
 func (p *Proxy) evictClient() bool {
-	now, others := p.loop.Now(), 0
+	now, evictable := p.loop.Now(), 0
 	for s := stateClosing; s <= stateIdle; s++ {
-		least := patienceUsual
+		minAge := silentGraceSeconds
 		if s == stateSilent {
-			least = p.patience()
+			minAge = p.silentGrace()
 		}
 		if s < stateIdle {
-			others += p.clients.byState[s].Len()
-		} else if least = 0; others > p.clients.quota/crowd {
-			least = minIdleSeconds
+			evictable += p.clients.byState[s].Len()
+		} else if minAge = 0; evictable > p.clients.quota/crowdDivisor {
+			minAge = minIdleSeconds
 		}
 		e := p.clients.byState[s].Front()
-		for i := 0; e != nil && i < looked; i, e = i+1, e.Next() {
+		for i := 0; e != nil && i < maxEvictionChecks; i, e = i+1, e.Next() {
 			c := e.Value.(*clientConn)
-			if now-c.since > least && !c.conn.HasUnsent() && (c.conn.IsIdle() || s == stateClosing && c.conn.PeerClosed()) {
+			if now-c.since > minAge && !c.conn.HasUnsent() && (c.conn.IsIdle() || s == stateClosing && c.conn.PeerClosed()) {
 				c.close()
 				return true
 			}
@@ -131,57 +134,59 @@
 	return false
 }
 
-// accept takes a connection. Past the clients' part it takes the place of another where one can go; what is left past
-// it stays free of commands, so that there is always room for one more to be declined.
-func (p *Proxy) accept(conn *loop.Conn) loop.Handler {
+// acceptClient accepts a connection. Past the quota it evicts another if one can be closed. No command past the quota is
+// accepted, so that there is always room to decline one more.
+func (p *Proxy) acceptClient(conn *loop.Conn) loop.Handler {
 	if p.clients.count >= p.clients.quota {
 		p.evictClient()
 	}
 	c := &clientConn{p: p, conn: conn}
 	p.clients.count++
-	c.enter(stateSilent)
+	c.setState(stateSilent)
 	return c
 }
 
-// idle tells that nothing is under way on the connection, also nothing that waits to be read: closing it then would
-// lose a command that counts as taken.
+// isIdle reports whether the connection has no open command, no unsent data and no unread data. A command in unread data
+// counts as accepted, and closing the connection would lose it.
 func (c *clientConn) idle() bool { return c.cmd == nil && !c.conn.HasUnsent() && c.conn.IsIdle() }
 
-// close is the one place where a client's connection is given back.
+// close is the only function that closes a client connection and removes it from the lists.
 func (c *clientConn) close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.p.clients.byState[c.state].Remove(c.place)
+	c.p.clients.byState[c.state].Remove(c.element)
 	c.p.clients.count--
 	c.conn.Close()
 }
 
+// OnConnect does nothing: accepted connections are already established.
 func (c *clientConn) OnConnect(*loop.Conn) {}
 
+// OnFlushed continues after all pending output was sent: it closes, resumes the streamed answer or reads the next command.
 func (c *clientConn) OnFlushed(*loop.Conn) {
 	switch {
 	case c.state == stateClosing:
 		c.conn.CloseWrite()
 	case c.cmd != nil && c.cmd.answerConn != nil:
-		c.cmd.answerConn.goOn()
+		c.cmd.answerConn.resumeAnswer()
 	default:
-		c.proceed()
+		c.resumeReading()
 	}
 }
 
-// leftUnseen tells that the client has gone and the loop, being late, has not come to that: a process that stood still, or
-// one with little of its core, finds timers and others' failures due before it has read who left. Nothing more is begun for
-// such a client. A loop that is in time is told soon enough.
+// disconnectPending reports whether the client has disconnected and the loop, running late, has not processed that yet. After a
+// stall of the process, or with little CPU time, timers and other failures are due before disconnections have been read.
+// Nothing new is started for such a client. A loop that is on time learns of the disconnection soon enough.
 func (c *clientConn) disconnectPending() bool { return c.p.loop.Lagging() && c.conn.PeerClosed() }
 
-// Down says that the client has gone away.
+// OnDisconnect handles the disconnection of the client: its command, if any, is given up.
 func (c *clientConn) OnDisconnect(*loop.Conn, error) {
 	if c.closed {
 		return
 	}
-	cmd, feed := c.cmd, c.bodyLink
+	cmd, bodyConn := c.cmd, c.bodyLink
 	if cmd != nil {
 		c.cmd, c.bodyLink = nil, nil
 		c.p.clients.awaitingAnswer--
@@ -191,27 +196,28 @@
 	c.close()
 	if cmd != nil {
 		c.p.balancer.ClientDisconnected(c.p.loop.Now(), cmd.id)
-		if feed != nil {
-			feed.closeAndReport(balance.NotSent) // not written to its end, so it never ran, and never will
+		if bodyConn != nil {
+			bodyConn.closeAndReport(balance.NotSent) // not completely written, so it has not run and never will
 		}
 		cmd.cancelUnwritten()
 		c.p.removeIfFinished(cmd)
 	}
 }
 
+// OnData handles newly arrived data.
 func (c *clientConn) OnData(*loop.Conn) {
-	c.came = min(c.conn.ReceivedAt(), c.p.loop.IterationStart()-c.waited())
+	c.receivedAt = min(c.conn.ReceivedAt(), c.p.loop.IterationStart()-c.queuedSeconds())
 	switch {
 	case c.state == stateClosing:
 	case c.bodyLink != nil:
-		c.feedOn()
+		c.forwardBody()
 	default:
-		c.next()
+		c.readCommand()
 	}
 }
 
-// next reads the command at hand, if it is whole.
-func (c *clientConn) next() {
+// readCommand parses the buffered data and handles the command once it is complete or must be streamed.
+func (c *clientConn) readCommand() {
 	if !c.msg.HeadComplete() {
 		c.conn.Consume(http1.LeadingBlankLines(c.conn.Unconsumed()))
 	}
@@ -220,82 +226,82 @@
 		return
 	}
 	if c.state != stateSending {
-		c.enter(stateSending)
+		c.setState(stateSending)
 	}
-	whole, err := c.msg.ParseCommand(in)
-	if c.headAt == 0 && c.msg.HeadComplete() {
-		c.headAt = c.p.loop.Now()
+	complete, err := c.msg.ParseCommand(in)
+	if c.headCompleteAt == 0 && c.msg.HeadComplete() {
+		c.headCompleteAt = c.p.loop.Now()
 	}
-	var f *http1.ProtocolError
+	var protocolErr *http1.ProtocolError
 	switch {
-	case errors.As(err, &f):
-		c.rejectInvalid(f.Status, f.Text)
-	case whole:
-		c.command(in)
-	case c.tooLong():
+	case errors.As(err, &protocolErr):
+		c.rejectInvalid(protocolErr.Status, protocolErr.Text)
+	case complete:
+		c.handleCommand(in)
+	case c.shouldStreamBody():
 		c.bodyStreaming = true
-		c.command(in)
+		c.handleCommand(in)
 	case c.conn.ReadBufferFull():
 		c.p.overLimitCount++
-		c.reject("no memory for more commands\n", retryOverload, false)
-	case c.msg.HeadComplete() && !c.invited && len(in) == c.msg.HeadSize() &&
+		c.reject("no memory for more commands\n", retryOverloadSeconds, false)
+	case c.msg.HeadComplete() && !c.sentContinue && len(in) == c.msg.HeadSize() &&
 		strings.EqualFold(string(c.msg.Get(in, "Expect")), "100-continue"):
-		c.invited = true
+		c.sentContinue = true
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
-// own are the fields that say what a command is: none may come twice, or be meant for this connection alone.
-var own = []string{"Req-Id", "Req-Kind", "Req-Owner", "Req-Deadline", "Req-Retry", "Req-Extra", "Idempotency-Key"}
+// commandHeaders describe the command itself: each may occur only once and must not be named in Connection.
+var commandHeaders = []string{"Req-Id", "Req-Kind", "Req-Owner", "Req-Deadline", "Req-Retry", "Req-Extra", "Idempotency-Key"}
 
-// understand reads what the Balancer needs out of a whole command; a fault says why it is none. Verbs differ in what
-// may be repeated, so field, path and method must say the same.
-func (c *clientConn) understand(in, path []byte) (verb, customer int, wait float64, f *http1.ProtocolError) {
+// parseCommand extracts what the Balancer needs from a command, or returns an error if it is invalid. Verbs differ in
+// whether they may be repeated, so header, path and method must agree.
+func (c *clientConn) parseCommand(in, path []byte) (verb, customer int, timeLimit float64, protocolErr *http1.ProtocolError) {
 	p := c.p
-	no := func(status int, text string) (int, int, float64, *http1.ProtocolError) {
+	invalid := func(status int, text string) (int, int, float64, *http1.ProtocolError) {
 		return 0, 0, 0, &http1.ProtocolError{Status: status, Text: text}
 	}
-	for _, name := range own {
+	for _, name := range commandHeaders {
 		if c.msg.CountFields(in, name) > 1 || c.msg.IsConnectionOption(in, name) {
-			return no(400, "a field that says what the command is comes twice or is named in Connection")
+			return invalid(400, "a field that says what the command is comes twice or is named in Connection")
 		}
 	}
 	kind, _, _ := bytes.Cut(path[1:], []byte("/"))
 	verb, known := p.verbIndex[string(kind)]
-	if said := c.msg.Get(in, "Req-Kind"); !known || said != nil && !bytes.Equal(said, kind) {
-		return no(404, "the verb is unknown, or not the same in path and Req-Kind")
+	if kindField := c.msg.Get(in, "Req-Kind"); !known || kindField != nil && !bytes.Equal(kindField, kind) {
+		return invalid(404, "the verb is unknown, or not the same in path and Req-Kind")
 	}
 	v := &p.names.Verbs[verb]
 	if get := string(c.msg.Method(in)) == "GET"; get != v.Pure || get && (c.bodyStreaming || len(c.msg.Body(in)) > 0) {
-		return no(400, "a GET without a body is for verbs that may be repeated, a POST for the others")
+		return invalid(400, "a GET without a body is for verbs that may be repeated, a POST for the others")
 	}
 	id := c.msg.Get(in, "Req-Id")
-	if len(id) == 0 || len(id) > longestID {
-		return no(400, "a Req-Id is needed")
+	if len(id) == 0 || len(id) > maxReqIDBytes {
+		return invalid(400, "a Req-Id is needed")
 	}
 	if p.commandsByReqID[string(id)] != nil {
-		return no(409, "a command with this Req-Id is open")
+		return invalid(409, "a command with this Req-Id is open")
 	}
 	if v.Receipted && len(c.msg.Get(in, "Idempotency-Key")) == 0 {
-		return no(400, "this verb needs an Idempotency-Key")
+		return invalid(400, "this verb needs an Idempotency-Key")
 	}
-	wait = v.TimeLimit
+	timeLimit = v.TimeLimit
 	if text := c.msg.Get(in, "Req-Deadline"); text != nil {
-		w, err := strconv.ParseFloat(string(text), 64)
-		if err != nil || len(bytes.Trim(text, "0123456789.")) > 0 || w > waitMost {
-			return no(400, "malformed Req-Deadline")
+		seconds, err := strconv.ParseFloat(string(text), 64)
+		if err != nil || len(bytes.Trim(text, "0123456789.")) > 0 || seconds > maxDeadlineSeconds {
+			return invalid(400, "malformed Req-Deadline")
 		}
-		wait = min(w, wait)
+		timeLimit = min(seconds, timeLimit)
 	}
 	customer, known = p.customerIndex[string(c.msg.Get(in, "Req-Owner"))]
 	if !known {
 		customer = len(p.names.Customers)
 	}
-	return verb, customer, wait, nil
+	return verb, customer, timeLimit, nil
 }
 
-// command hands a whole command to the Balancer, or answers at once what is not one.
-func (c *clientConn) command(in []byte) {
+// handleCommand passes a command to the Balancer, or answers at once if it is invalid or can't be accepted.
+func (c *clientConn) handleCommand(in []byte) {
 	p := c.p
 	path, _, _ := bytes.Cut(c.msg.Target(in), []byte("?"))
 	method := string(c.msg.Method(in))
@@ -313,46 +319,47 @@
 		c.reply(503, "not ready\n", c.msg.KeepAlive)
 		return
 	}
-	verb, customer, wait, f := c.understand(in, path)
-	if f != nil {
-		c.rejectInvalid(f.Status, f.Text)
+	verb, customer, timeLimit, protocolErr := c.parseCommand(in, path)
+	if protocolErr != nil {
+		c.rejectInvalid(protocolErr.Status, protocolErr.Text)
 		return
 	}
 	p.receivedCount++
 	if p.shutdown.rejecting {
-		c.turnAway("this proxy has ended\n")
+		c.declineAndClose("this proxy has ended\n")
 		return
 	}
-	if p.awaitsDiscovery() { // who asks already found this process under the address of the one before it
+	if p.discoveryPending() { // the client reached this process at the address of its predecessor
 		p.declinedCount++
 		c.reject("the list is not known yet\n", p.discoveryDeadline-p.loop.Now(), c.msg.KeepAlive)
 		return
 	}
 	if p.clients.awaitingAnswer >= p.clients.quota || len(p.commands) >= p.network.MaxOpenRequests {
 		p.overLimitCount++
-		c.reject("too many commands\n", retryOverload, false)
+		c.reject("too many commands\n", retryOverloadSeconds, false)
 		return
 	}
-	expires := c.came + wait
-	if expires <= p.loop.Now() && wait > 0 {
+	expires := c.receivedAt + timeLimit
+	if expires <= p.loop.Now() && timeLimit > 0 {
 		p.declinedCount++
-		c.reject("its time was up before it was read\n", retryElsewhere, c.msg.KeepAlive)
+		c.reject("its time was up before it was read\n", retrySoonSeconds, c.msg.KeepAlive)
 		return
 	}
-	c.conn.Pause() // the command stays where it is until it has its answer
-	p.lastID++
-	cmd := &command{id: p.lastID, requestID: string(c.msg.Get(in, "Req-Id")), client: c, timeLimit: wait, expires: expires}
-	c.cmd, c.used = cmd, true
-	c.enter(stateBusy)
+	c.conn.Pause() // the command stays in the read buffer until it is answered
+	p.lastCommandID++
+	cmd := &command{id: p.lastCommandID, requestID: string(c.msg.Get(in, "Req-Id")), client: c,
+		timeLimit: timeLimit, expires: expires}
+	c.cmd, c.hadCommand = cmd, true
+	c.setState(stateBusy)
 	p.commandsByReqID[cmd.requestID] = cmd
 	p.clients.awaitingAnswer++
 	p.commands[cmd.id] = cmd
 	cmd.timer = p.loop.After(cmd.expires-p.loop.Now(), func() { p.timeOutCommand(cmd) })
-	p.balancer.CommandReceived(p.loop.Now(), cmd.id, verb, customer, cmd.expires, keyOf(c.msg.Get(in, "Req-Extra")))
+	p.balancer.CommandReceived(p.loop.Now(), cmd.id, verb, customer, cmd.expires, resourceKey(c.msg.Get(in, "Req-Extra")))
 }
 
-// keyOf is a number for what a command is about, the same at every proxy, 0 if nothing is said.
-func keyOf(extra []byte) uint64 {
+// resourceKey returns a hash of the resource that a command names, the same at every proxy, or 0 if it names none.
+func resourceKey(extra []byte) uint64 {
 	for part := range bytes.SplitSeq(extra, []byte(",")) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(part), []byte("="))
 		if string(name) == "resource" && len(value) > 0 {
@@ -364,20 +371,22 @@
 	return 0
 }
 
-var phrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+// reasonPhrases maps each status that the proxy sends to its HTTP reason phrase.
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// head begins an answer in the scratch space.
+// responseHead writes the start of a response head into the scratch buffer. The caller adds fields and the empty line.
 func (p *Proxy) responseHead(status, length int, keep bool) []byte {
-	return p.headOf(status, length, false, keep)
+	return p.responseHeadFramed(status, length, false, keep)
 }
 
-// headOf is the same for an answer whose length may not be known, -1, and which then goes in chunks or ends by a close.
-func (p *Proxy) headOf(status, length int, chunked, keep bool) []byte {
+// responseHeadFramed is like responseHead for a body whose length may be unknown (-1). Such a body is chunked or ends with
+// the connection.
+func (p *Proxy) responseHeadFramed(status, length int, chunked, keep bool) []byte {
 	h := append(p.scratch[:0], "HTTP/1.1 "...)
 	h = strconv.AppendInt(h, int64(status), 10)
-	h = append(append(h, ' '), phrases[status]...)
+	h = append(append(h, ' '), reasonPhrases[status]...)
 	if length >= 0 {
 		h = append(h, "\r\nContent-Length: "...)
 		h = strconv.AppendInt(h, int64(length), 10)
@@ -390,12 +399,12 @@
 	return append(h, "\r\n"...)
 }
 
-// reply answers what the Balancer has not seen.
+// reply answers a request that was not passed to the Balancer.
 func (c *clientConn) reply(status int, text string, keep bool) { c.replyWith(status, text, 0, keep) }
 
-// replyWith is the same with when to retry, in seconds, where that is above 0.
+// replyWith is like reply with a Retry-After in seconds, if that is above 0.
 func (c *clientConn) replyWith(status int, text string, retryAfter float64, keep bool) {
-	keep = keep && !c.p.closes() && !c.bodyStreaming
+	keep = keep && !c.p.closesAfterAnswer() && !c.bodyStreaming
 	h := appendRetryAfter(c.p.responseHead(status, len(text), keep), retryAfter)
 	h = append(append(h, "\r\n"...), text...)
 	c.p.scratch = h
@@ -403,40 +412,41 @@
 	c.finishAnswer(keep)
 }
 
-// turnAway declines what has not been relayed, so that it is harmless to repeat, and closes.
-func (c *clientConn) turnAway(text string) {
+// declineAndClose declines a command that was not relayed, so a retry is harmless, and closes the connection.
+func (c *clientConn) declineAndClose(text string) {
 	c.p.declinedCount++
-	c.reject(text, retryElsewhere, false)
+	c.reject(text, retrySoonSeconds, false)
 }
 
-// reject declines a request that has gone nowhere, so that it is harmless to repeat after so many seconds.
-func (c *clientConn) reject(text string, after float64, keep bool) {
-	c.replyWith(503, text, min(max(after, retryElsewhere), c.p.network.MaxRetryAfter), keep)
+// reject declines a request that was not relayed, so a retry is harmless. retryAfter is in seconds.
+func (c *clientConn) reject(text string, retryAfter float64, keep bool) {
+	c.replyWith(503, text, min(max(retryAfter, retrySoonSeconds), c.p.network.MaxRetryAfter), keep)
 }
 
-// bad answers what can't be understood and closes.
+// rejectInvalid answers an invalid request and closes the connection.
 func (c *clientConn) rejectInvalid(status int, text string) {
 	c.p.invalidCount++
 	c.reply(status, text+"\n", false)
 }
 
-// answered ends a command on its connection: the next one is read on the next turn, or the connection is closed.
+// finishAnswer ends the current command after its answer was written. The next command is read on the next turn of the loop, or
+// the connection is closed.
 func (c *clientConn) finishAnswer(keep bool) {
 	if c.cmd != nil {
 		c.p.clients.awaitingAnswer--
 	}
 	c.cmd, c.bodyLink = nil, nil
 	if keep {
-		c.enter(stateBusy)
-		if !c.passed {
+		c.setState(stateBusy)
+		if !c.consumed {
 			c.conn.Consume(c.msg.Size())
 		}
 		c.msg.Reset()
-		c.invited, c.headAt, c.bodyStreaming, c.passed = false, 0, false, false
-		c.p.loop.Post(c.proceed)
+		c.sentContinue, c.headCompleteAt, c.bodyStreaming, c.consumed = false, 0, false, false
+		c.p.loop.Post(c.resumeReading)
 		return
 	}
-	c.enter(stateClosing)
+	c.setState(stateClosing)
 	c.p.loop.Post(func() {
 		if c.closed {
 			return
@@ -444,41 +454,41 @@
 		if !c.conn.HasUnsent() {
 			c.conn.CloseWrite()
 		}
-		c.conn.Discard(drained)
+		c.conn.Discard(maxDiscardBytes)
 	})
-	c.lingerOn()
+	c.closeAfterLinger()
 }
 
-// proceed goes on to the next command once the answer to the last has left: a client that sends and does not read
-// must not have its answers pile up here.
-func (c *clientConn) proceed() {
+// resumeReading reads the next command once the previous answer is sent, so that the answers for a client that sends without
+// reading do not accumulate.
+func (c *clientConn) resumeReading() {
 	if c.closed || c.state != stateBusy || c.cmd != nil || c.conn.HasUnsent() {
 		return
 	}
-	if c.used {
-		c.enter(stateIdle)
+	if c.hadCommand {
+		c.setState(stateIdle)
 	} else {
-		c.enter(stateSilent) // whoever only asks whether this proxy is ready is no usual client
+		c.setState(stateSilent) // a client that only checks readiness is evicted like a silent one
 	}
 	c.conn.Resume()
 	if len(c.conn.Unconsumed()) > 0 {
-		c.next()
+		c.readCommand()
 	}
 }
 
-// lingerOn closes the connection once the answer has left and the other side had time to read it: closing with bytes
-// unread would reset the connection under the answer.
-func (c *clientConn) lingerOn() {
-	c.p.loop.After(linger, func() {
-		if !c.closed && c.conn.HasUnsent() && c.p.loop.Now()-max(c.since, c.conn.LastSentAt()) < untaken {
-			c.lingerOn()
+// closeAfterLinger closes the connection once the answer is sent and the client has had time to read it. Closing with unread
+// data would reset the connection before the client has read the answer.
+func (c *clientConn) closeAfterLinger() {
+	c.p.loop.After(lingerSeconds, func() {
+		if !c.closed && c.conn.HasUnsent() && c.p.loop.Now()-max(c.since, c.conn.LastSentAt()) < writeStallSeconds {
+			c.closeAfterLinger()
 			return
 		}
 		c.close()
 	})
 }
 
-// appendRetryAfter adds when to retry to a head, where that is said.
+// appendRetryAfter adds a Retry-After field to a head if seconds is above 0.
 func appendRetryAfter(h []byte, seconds float64) []byte {
 	if seconds <= 0 {
 		return h
@@ -487,8 +497,8 @@
 	return append(strconv.AppendFloat(h, seconds, 'f', 3, 64), "\r\n"...)
 }
 
-// give passes a backend's answer on, or the Balancer's own when from is nil.
-func (p *Proxy) answerClient(cmd *command, status int, comeBack float64, from *backendConn) {
+// answerClient answers a command with the response read from a backend, or without a body if source is nil.
+func (p *Proxy) answerClient(cmd *command, status int, retryAfter float64, source *backendConn) {
 	c := cmd.client
 	if c == nil || cmd.done {
 		return
@@ -498,30 +508,31 @@
 		return
 	}
 	cmd.done, cmd.client = true, nil
-	p.snapshot.countEnded(from != nil)
-	keep := c.msg.KeepAlive && !p.closes() && !c.bodyStreaming
+	p.snapshot.countEnded(source != nil)
+	keep := c.msg.KeepAlive && !p.closesAfterAnswer() && !c.bodyStreaming
 	var body []byte
-	if from != nil {
-		in := from.conn.Unconsumed()
-		body = from.msg.Body(in)
-		p.scratch = from.msg.AppendFields(p.responseHead(status, len(body), keep), in)
+	if source != nil {
+		in := source.conn.Unconsumed()
+		body = source.msg.Body(in)
+		p.scratch = source.msg.AppendFields(p.responseHead(status, len(body), keep), in)
 	} else {
-		p.scratch = appendRetryAfter(p.responseHead(status, 0, keep), comeBack)
+		p.scratch = appendRetryAfter(p.responseHead(status, 0, keep), retryAfter)
 	}
 	p.scratch = append(p.scratch, "\r\n"...)
 	c.conn.Write(p.scratch, body)
 	c.finishAnswer(keep)
 }
 
-// sweepClients ends connections that have stood too long in one state; a command out is timed on its own. One of which
-// something waits to be read gets a little longer: it may be a whole command.
+// sweepClients closes connections that have been in one state for too long. An open command has its own timer. A connection
+// with unread data gets slightly longer, since that may complete a command.
 func (p *Proxy) sweepClients(now float64) {
-	for s, most := range [stateCount]float64{stateClosing: math.Inf(1), stateSilent: opening, stateSending: slowest, stateIdle: resting,
-		stateBusy: untaken} {
+	for s, maxSeconds := range [stateCount]float64{stateClosing: math.Inf(1), stateSilent: firstHeadTimeoutSeconds,
+		stateSending: headTimeoutSeconds, stateIdle: idleTimeoutSeconds, stateBusy: writeStallSeconds} {
 		for e := p.clients.byState[s].Front(); e != nil; {
 			c := e.Value.(*clientConn)
 			e = e.Next()
-			if c.cmd != nil || now < c.until(most) || connState(s) != stateBusy && now < c.until(most)+unread && !c.conn.IsIdle() {
+			if c.cmd != nil || now < c.stateDeadline(maxSeconds) ||
+				connState(s) != stateBusy && now < c.stateDeadline(maxSeconds)+unreadGraceSeconds && !c.conn.IsIdle() {
 				continue
 			}
 			if connState(s) == stateSending {
@@ -533,21 +544,22 @@
 	}
 }
 
-// until is when the connection has stood too long in a state in which it may stand so many seconds. What moves may go on: a
-// body at its least rate, an answer as long as some of it is taken.
-func (c *clientConn) until(most float64) float64 {
+// stateDeadline returns when the connection has been in its state for too long, given the state's limit in seconds. A body that
+// arrives at the minimum rate and an answer of which some was taken extend it.
+func (c *clientConn) stateDeadline(maxSeconds float64) float64 {
 	switch {
 	case c.state == stateBusy:
-		return max(c.since, c.conn.LastSentAt()) + most
-	case c.state == stateSending && c.headAt > 0:
-		rate := max(c.since+most, c.headAt+bodyGrace+float64(len(c.conn.Unconsumed()))/leastRate)
-		return min(rate, max(c.since, c.came)+most)
+		return max(c.since, c.conn.LastSentAt()) + maxSeconds
+	case c.state == stateSending && c.headCompleteAt > 0:
+		byRate := max(c.since+maxSeconds, c.headCompleteAt+bodyGraceSeconds+
+			float64(len(c.conn.Unconsumed()))/minBodyBytesPerSecond)
+		return min(byRate, max(c.since, c.receivedAt)+maxSeconds)
 	}
-	return c.since + most
+	return c.since + maxSeconds
 }
 
-// each calls f for every connection; f may close it.
-func (s *clientConns) each(f func(*clientConn)) {
+// forEach calls f for every connection. f may close that connection.
+func (s *clientConns) forEach(f func(*clientConn)) {
 	for i := range s.byState {
 		for e := s.byState[i].Front(); e != nil; {
 			c := e.Value.(*clientConn)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -1,5 +1,6 @@
-// This file owns the drain that operators ask for and the way in which resting connections are shed. It must never end
-// the process, close the listener, or close a connection on which something waits to be read.
+// This file implements the drain that operators request, and the gradual closing of idle connections. A drain never ends the
+// process, closes the listener or closes a connection with unread data.
+
 package proxy
 
 import (
@@ -8,31 +9,31 @@
 )
 
 const (
-	drainNoticeSeconds = 0.4  // seconds until the front has seen the no (0.1) and sends nobody new (0.2), and some to spare
-	drainSpread        = 1.6  // seconds after the call by which what rested is closed: each close may cross a command
-	drainNewcomer      = 0.5  // seconds that a new connection has to say something meanwhile
-	drainLastHead      = 2.0  // seconds after the call from which a command that is still coming is declined: it would be young at 4 s
-	drainLast          = 3.0  // the same where some of it waits to be read
-	shedEvery          = 0.05 // seconds between looks at what rests
+	drainNoticeSeconds       = 0.4 // until readiness checks see 503 (0.1 s) and no new clients are sent (0.2 s), and a margin
+	drainSpreadSeconds       = 1.6 // from the call until all idle connections are closed: each close may cross a command
+	drainSilentSeconds       = 0.5 // for a new connection to send something meanwhile
+	drainIncompleteSeconds   = 2.0 // after the call, incomplete commands are declined: they would still be new at 4 s
+	drainUnreadSeconds       = 3.0 // the same for commands with unread data
+	idleCloseIntervalSeconds = 0.05
 )
 
-// drain is what operators said of this proxy.
+// drain is the state of the drain that operators requested.
 type drain struct {
 	active    bool
 	startedAt float64
 }
 
-// quiesce begins the drain; a second call changes nothing.
+// startDrain begins the drain. A second call changes nothing.
 func (p *Proxy) startDrain() {
 	if p.drain.active {
 		return
 	}
 	p.drain = drain{true, p.loop.Now()}
 	log.Printf("msg=drain open=%d clients=%d", len(p.commands), p.clients.count)
-	p.drainOn(p.drain.startedAt)
+	p.stepDrain(p.drain.startedAt)
 }
 
-// resume ends the drain.
+// endDrain ends the drain.
 func (p *Proxy) endDrain() {
 	if p.drain.active {
 		p.drain = drain{}
@@ -40,45 +41,47 @@
 	}
 }
 
-// drainOn closes what rests, as long as this drain lasts.
-func (p *Proxy) drainOn(since float64) {
-	if !p.drain.active || p.drain.startedAt != since {
+// stepDrain closes idle connections and schedules itself again while this drain lasts.
+func (p *Proxy) stepDrain(startedAt float64) {
+	if !p.drain.active || p.drain.startedAt != startedAt {
 		return
 	}
-	t := p.loop.Now() - since
-	p.closeIdleGradually(t, drainNoticeSeconds, drainSpread)
-	if t > drainLastHead {
+	elapsed := p.loop.Now() - startedAt
+	p.closeIdleGradually(elapsed, drainNoticeSeconds, drainSpreadSeconds)
+	if elapsed > drainIncompleteSeconds {
 		for e := p.clients.byState[stateSending].Front(); e != nil; {
 			c := e.Value.(*clientConn)
-			if e = e.Next(); t > drainLast || c.conn.IsIdle() {
-				c.turnAway("this proxy is being drained\n")
+			if e = e.Next(); elapsed > drainUnreadSeconds || c.conn.IsIdle() {
+				c.declineAndClose("this proxy is being drained\n")
 			}
 		}
 	}
-	p.loop.After(shedEvery, func() { p.drainOn(since) })
+	p.loop.After(idleCloseIntervalSeconds, func() { p.stepDrain(startedAt) })
 }
 
-// closes tells whether answers end their connection now.
-func (p *Proxy) closes() bool {
-	return p.shutdown.closingConns || p.handover.successorServes || p.drain.active && p.loop.Now()-p.drain.startedAt >= drainNoticeSeconds
+// closesAfterAnswer reports whether a connection is closed after its next answer.
+func (p *Proxy) closesAfterAnswer() bool {
+	return p.shutdown.closingConns || p.handover.successorServes ||
+		p.drain.active && p.loop.Now()-p.drain.startedAt >= drainNoticeSeconds
 }
 
-// shed closes a part of the connections that rest, so that all are closed by until; t is how far it is.
-func (p *Proxy) closeIdleGradually(t, from, until float64) {
-	if t < from {
+// closeIdleGradually closes a share of the idle connections, so that all are closed at until. elapsed, from and until are seconds
+// since the start of the drain or handover.
+func (p *Proxy) closeIdleGradually(elapsed, from, until float64) {
+	if elapsed < from {
 		return
 	}
-	now, resting := p.loop.Now(), []*clientConn(nil)
-	p.clients.each(func(c *clientConn) {
-		if (c.state == stateIdle || c.state == stateSilent && now-c.since > drainNewcomer) && c.idle() {
-			resting = append(resting, c)
+	now, idle := p.loop.Now(), []*clientConn(nil)
+	p.clients.forEach(func(c *clientConn) {
+		if (c.state == stateIdle || c.state == stateSilent && now-c.since > drainSilentSeconds) && c.idle() {
+			idle = append(idle, c)
 		}
 	})
-	n := len(resting)
-	if left := until - t; left > shedEvery {
-		n = int(math.Ceil(float64(n) * shedEvery / left))
+	n := len(idle)
+	if left := until - elapsed; left > idleCloseIntervalSeconds {
+		n = int(math.Ceil(float64(n) * idleCloseIntervalSeconds / left))
 	}
-	for _, c := range resting[:n] {
+	for _, c := range idle[:n] {
 		c.close()
 	}
 }
--- a/internal/proxy/helper_test.go
+++ b/internal/proxy/helper_test.go
@@ -28,24 +28,26 @@
   {"name": "order", "effect": "deduplicated", "key_scope": "cell", "window_ms": 5000, "response_goal_ms": 2500,
    "time_limit_ms": 3000, "utility": 5, "overdue_utility": 0.5, "stream": false}]}`
 
-// toy is a backend that does with each command what its story says; it counts connections and commands.
+// fakeBackend is a backend that passes each command to a handler function. It counts connections and commands.
 type fakeBackend struct {
 	net.Listener
 	conns, commands atomic.Int32
-	openConns       atomic.Int32 // connections whose end it has not read yet
-	connEnded       chan bool    // a connection was ended by the proxy while a command was out
+	openConns       atomic.Int32 // connections whose end has not been read yet
+	connEnded       chan bool    // the proxy closed a connection while hang was serving a command
 	mu              sync.Mutex
 	lastRequest     *http.Request
 }
 
-func newFakeBackend(t *testing.T, do func(b *fakeBackend, c net.Conn, r *http.Request)) *fakeBackend {
+// newFakeBackend starts a fake backend on a free port.
+func newFakeBackend(t *testing.T, handle func(b *fakeBackend, c net.Conn, r *http.Request)) *fakeBackend {
 	t.Helper()
-	return newFakeBackendAt(t, "127.0.0.1:0", do)
+	return newFakeBackendAt(t, "127.0.0.1:0", handle)
 }
 
-func newFakeBackendAt(t *testing.T, at string, do func(b *fakeBackend, c net.Conn, r *http.Request)) *fakeBackend {
+// newFakeBackendAt starts a fake backend on the given address.
+func newFakeBackendAt(t *testing.T, addr string, handle func(b *fakeBackend, c net.Conn, r *http.Request)) *fakeBackend {
 	t.Helper()
-	l, err := net.Listen("tcp", at)
+	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,14 +72,14 @@
 					}
 					body, err := io.ReadAll(r.Body)
 					if err != nil {
-						return // it broke off: no whole command came
+						return // the connection ended before the command was complete
 					}
 					r.Body = io.NopCloser(strings.NewReader(string(body)))
 					b.commands.Add(1)
 					b.mu.Lock()
 					b.lastRequest = r
 					b.mu.Unlock()
-					do(b, c, r)
+					handle(b, c, r)
 				}
 			}()
 		}
@@ -85,40 +87,45 @@
 	return b
 }
 
+// respondWith answers each command with a fixed text.
 func respondWith(text string) func(*fakeBackend, net.Conn, *http.Request) {
 	return func(_ *fakeBackend, c net.Conn, _ *http.Request) { io.WriteString(c, text) }
 }
 
+// echo answers 200 with the body of the command after "echo:".
 func echo(_ *fakeBackend, c net.Conn, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Of: %s\r\n\r\necho:%s", len(body)+5, r.URL.Path, body)
 }
 
-// hang answers nothing and tells when its connection ends.
+// hang sends no answer and reports when its connection ends.
 func hang(b *fakeBackend, c net.Conn, _ *http.Request) {
 	c.Read(make([]byte, 1))
 	b.connEnded <- true
 }
 
-// fall breaks the connection without an answer.
+// resetConn resets the connection without an answer.
 func resetConn(_ *fakeBackend, c net.Conn, _ *http.Request) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
+// jsonObject is an endpoint of a list, or a whole list.
 type jsonObject map[string]any
 
+// readyEndpoint describes a ready backend of zone a.
 func readyEndpoint(name string, b net.Listener) jsonObject {
 	return jsonObject{"name": name, "address": b.Addr().String(), "zone": "a", "group": 1, "status": "ready", "weight": 1,
 		"since_ms": 0}
 }
 
-func endpointList(index int, snapshot bool, lines ...jsonObject) string {
-	text, _ := json.Marshal(jsonObject{"index": index, "snapshot": snapshot, "endpoints": lines})
+// endpointList encodes an update of the endpoint list.
+func endpointList(index int, snapshot bool, endpoints ...jsonObject) string {
+	text, _ := json.Marshal(jsonObject{"index": index, "snapshot": snapshot, "endpoints": endpoints})
 	return string(text)
 }
 
-// running is a proxy under test.
+// testProxy is a proxy whose loop runs in a goroutine of the test.
 type testProxy struct {
 	*Proxy
 	shutdownRequested atomic.Bool
@@ -126,13 +133,13 @@
 	loopCalls         chan func()
 }
 
-// config is a configuration; discovery may be nil.
+// testConfig returns a configuration. discovery may be nil.
 func testConfig(known string, discovery net.Listener, settings string) *Config {
-	at := "127.0.0.1:1" // nobody listens there
+	discoveryAddr := "127.0.0.1:1" // nothing listens there
 	if discovery != nil {
-		at = discovery.Addr().String()
+		discoveryAddr = discovery.Addr().String()
 	}
-	l := &Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: at, Seed: "8c1f", Settings: json.RawMessage(settings)}
+	l := &Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discoveryAddr, Seed: "8c1f", Settings: json.RawMessage(settings)}
 	if known != "" {
 		l.KnownEndpoints = json.RawMessage(known)
 	}
@@ -140,7 +147,7 @@
 	return l
 }
 
-// launch makes a proxy that knows the list given.
+// newTestProxy creates a proxy with the given descriptor limit and known endpoint list.
 func newTestProxy(t *testing.T, sockets int, known string, discovery net.Listener) *Proxy {
 	t.Helper()
 	l := testConfig(known, discovery, settingsText)
@@ -152,13 +159,14 @@
 	return p
 }
 
+// runProxy runs a proxy until the end of the test.
 func runProxy(t *testing.T, p *Proxy) *testProxy {
 	t.Helper()
 	return runProxyWithHook(t, p, func() {})
 }
 
-// runHeld runs it with a hook of the test's, which is called first in every turn, on the loop, and may hold it.
-func runProxyWithHook(t *testing.T, p *Proxy, hold func()) *testProxy {
+// runProxyWithHook is like runProxy with a function that is called on the loop in every turn, and may block it.
+func runProxyWithHook(t *testing.T, p *Proxy, hook func()) *testProxy {
 	t.Helper()
 	r := &testProxy{Proxy: p, runResult: make(chan error, 1), loopCalls: make(chan func(), 1)}
 	go func() {
@@ -168,7 +176,7 @@
 				f()
 			default:
 			}
-			hold()
+			hook()
 			return r.shutdownRequested.Load()
 		})
 	}()
@@ -176,10 +184,10 @@
 	return r
 }
 
-// end asks the proxy to end, as SIGTERM does.
+// requestShutdown requests a graceful shutdown, as SIGTERM does.
 func (r *testProxy) requestShutdown() { r.shutdownRequested.Store(true); r.WakeUp() }
 
-// do has f run on the proxy's own loop.
+// onLoop runs f on the proxy's loop and waits for it, unless the proxy stops first.
 func (r *testProxy) onLoop(f func()) {
 	done := make(chan bool)
 	select {
@@ -191,17 +199,17 @@
 	r.WakeUp()
 	select {
 	case <-done:
-	case err := <-r.runResult: // it ended meanwhile: nobody will do it
+	case err := <-r.runResult: // the proxy stopped, so f will not run
 		r.runResult <- err
 	}
 }
 
-// settled closes what rests and waits until the backends have read all that was ever sent to them: only then do their counts
-// say what did not run.
-func (r *testProxy) awaitBackendsRead(t *testing.T, all ...*fakeBackend) {
+// awaitBackendsRead closes idle backend connections and waits until the backends have read all data that was sent to them. Only
+// then are their counts final.
+func (r *testProxy) awaitBackendsRead(t *testing.T, backends ...*fakeBackend) {
 	t.Helper()
-	for _, b := range all {
-		r.await(t, "all was read", func() bool {
+	for _, b := range backends {
+		r.await(t, "all data is read", func() bool {
 			for _, x := range r.backends.byName {
 				x.closeIdle()
 			}
@@ -210,12 +218,13 @@
 	}
 }
 
-// caller is a client's connection.
+// testClient is a connection of a client to the proxy.
 type testClient struct {
 	net.Conn
 	in *bufio.Reader
 }
 
+// dial opens a connection to the proxy.
 func (r *testProxy) dial(t *testing.T) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Addr().String())
@@ -229,6 +238,7 @@
 
 var ids atomic.Int64
 
+// requestText returns a command's head with a new Req-Id and these additional fields.
 func requestText(verb string, fields ...string) string {
 	method := "POST"
 	if verb == "look" {
@@ -238,7 +248,7 @@
 		"Req-Deadline: 2.5\r\n%s\r\n", method, verb, ids.Add(1), verb, strings.Join(fields, ""))
 }
 
-// read is the next answer; 0 means that the connection ended instead.
+// readAnswer reads the next answer. Status 0 means that the connection ended instead.
 func (c *testClient) readAnswer() (status int, body string, header http.Header) {
 	rsp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -254,11 +264,13 @@
 	return rsp.StatusCode, string(b), rsp.Header
 }
 
-func (c *testClient) roundTrip(what string) (int, string, http.Header) {
-	io.WriteString(c, what)
+// roundTrip sends a request and reads the next answer.
+func (c *testClient) roundTrip(request string) (int, string, http.Header) {
+	io.WriteString(c, request)
 	return c.readAnswer()
 }
 
+// parseUpdate decodes an update of the endpoint list.
 func parseUpdate(t *testing.T, text string) *endpointUpdate {
 	t.Helper()
 	var l endpointUpdate
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -1,5 +1,6 @@
-// This file joins the Balancer to the sockets: it carries out what the Balancer asks of its Host. It must never call
-// the Balancer from inside these methods; what is known at once is reported on the next turn.
+// This file implements balance.Host: the Balancer's decisions are carried out on the sockets. These methods must not call
+// the Balancer; a result that is known at once is reported on the next turn of the loop.
+
 package proxy
 
 import (
@@ -8,14 +9,14 @@
 	"sandpass/balance"
 )
 
-// Relay sends a command to a backend.
-func (p *Proxy) Relay(id uint64, to balance.BackendID) {
+// Relay sends a command to a backend. If it can no longer be sent, the relay is reported as not begun.
+func (p *Proxy) Relay(id uint64, backendID balance.BackendID) {
 	cmd := p.commands[id]
 	if cmd == nil {
 		return
 	}
 	p.relayCount++
-	r := &relay{cmd: cmd, index: len(cmd.relays), backend: p.backends.byID[to], sentAt: p.loop.Now()}
+	r := &relay{cmd: cmd, index: len(cmd.relays), backend: p.backends.byID[backendID], sentAt: p.loop.Now()}
 	cmd.relays = append(cmd.relays, r)
 	cmd.openRelays++
 	if cmd.client == nil || cmd.streamed || r.backend == nil || r.backend.state != balance.Ready {
@@ -23,55 +24,57 @@
 		return
 	}
 	if c := cmd.client; c.disconnectPending() {
-		p.loop.Post(func() { c.OnDisconnect(c.conn, io.EOF) }) // before the relay's end is told, which would begin another
+		// Before the outcome is reported, since that would start another relay.
+		p.loop.Post(func() { c.OnDisconnect(c.conn, io.EOF) })
 		p.reportNextTurn(r, balance.NotSent)
 		return
 	}
 	p.sendRelay(r)
 }
 
-// Cancel gives up waiting for a relay by closing its connection.
-func (p *Proxy) Cancel(id uint64, n int) {
+// Cancel gives up a relay and closes its connection.
+func (p *Proxy) Cancel(id uint64, index int) {
 	cmd := p.commands[id]
-	if cmd == nil || n >= len(cmd.relays) || cmd.relays[n].ended {
+	if cmd == nil || index >= len(cmd.relays) || cmd.relays[index].ended {
 		return
 	}
-	r := cmd.relays[n]
+	r := cmd.relays[index]
 	r.conn.close()
 	p.reportNextTurn(r, balance.Cancelled)
 }
 
-// Decline ends a command with the promise that trying again is harmless.
-func (p *Proxy) Decline(id uint64, comeBack float64) {
+// Decline answers a command with 503: it has not run, so a retry is harmless. retryAfter is in seconds.
+func (p *Proxy) Decline(id uint64, retryAfter float64) {
 	if cmd := p.commands[id]; cmd != nil {
 		p.declinedCount++
-		p.answerClient(cmd, 503, comeBack, nil)
-		p.forgetLater(cmd)
+		p.answerClient(cmd, 503, retryAfter, nil)
+		p.removeNextTurn(cmd)
 	}
 }
 
-// Terminate ends a command without any promise.
+// Terminate answers a command with 502: it may have run.
 func (p *Proxy) Terminate(id uint64) {
 	if cmd := p.commands[id]; cmd != nil {
 		p.terminatedCount++
 		p.answerClient(cmd, 502, 0, nil)
-		p.forgetLater(cmd)
+		p.removeNextTurn(cmd)
 	}
 }
 
-// settled forgets an ended command once the Balancer has asked for all it wants of it.
-func (p *Proxy) forgetLater(cmd *command) {
+// removeNextTurn removes an ended command on the next turn, after the Balancer has made all its calls for it.
+func (p *Proxy) removeNextTurn(cmd *command) {
 	p.loop.Post(func() { p.removeIfFinished(cmd) })
 }
 
-// WakeAfter asks for a Wake.
+// StartTimer schedules a timer event of the Balancer.
 func (p *Proxy) StartTimer(seconds float64, token uint64) {
-	if p.wake == nil {
-		p.wake = func(token uint64) { p.balancer.TimerFired(p.loop.Now(), token) } // made once, not for each command
+	if p.timerFired == nil {
+		// Created once to avoid an allocation per command.
+		p.timerFired = func(token uint64) { p.balancer.TimerFired(p.loop.Now(), token) }
 	}
-	p.loop.AfterToken(seconds, p.wake, token)
+	p.loop.AfterToken(seconds, p.timerFired, token)
 }
 
-// Watch has nothing to do: the watch on the list is kept up from the start, since the agent that answers it is on
-// the proxy's own machine.
+// WatchBackends does nothing: the proxy keeps its watch on the endpoint list open from the start, since the discovery agent is on
+// the same machine.
 func (p *Proxy) WatchBackends() {}
--- a/internal/proxy/large_test.go
+++ b/internal/proxy/large_test.go
@@ -11,35 +11,37 @@
 	"time"
 )
 
-const scaleCount = 2000
+const scaleCount = 2000 // backends, peers or connections
 
-// throng is a list of so many backends, of which the first is this one and the others listen nowhere.
-func throng(index int, n int, status string, b net.Listener) string {
-	var lines []jsonObject
+// manyEndpoints returns a list of n endpoints. The first is b, nothing listens at the others.
+func manyEndpoints(index int, n int, status string, b net.Listener) string {
+	var endpoints []jsonObject
 	for i := range n {
-		l := jsonObject{"name": fmt.Sprintf("s-%08x", i), "address": fmt.Sprintf("127.%d.%d.1:9000", 1+i/250, i%250), "zone": "a", "group": i / 8,
+		l := jsonObject{"name": fmt.Sprintf("s-%08x", i), "address": fmt.Sprintf("127.%d.%d.1:9000", 1+i/250, i%250),
+			"zone": "a", "group": i / 8,
 			"type": "m2", "status": status, "weight": 1, "since_ms": 0}
 		if i == 0 {
 			l["address"], l["status"] = b.Addr().String(), "ready"
 		}
-		lines = append(lines, l)
+		endpoints = append(endpoints, l)
 	}
-	return endpointList(index, true, lines...)
+	return endpointList(index, true, endpoints...)
 }
 
-func indented(text string) string {
+// indentJSON indents JSON text over many lines.
+func indentJSON(text string) string {
 	var b bytes.Buffer
 	json.Indent(&b, []byte(text), "", "  ")
 	return b.String() + "\n"
 }
 
-// A list of 2,000, indented over tens of thousands of lines and cut anywhere, was taken for a broken watch at its first line:
-// the proxy never had a list. Half of it goes and comes back.
-func TestTwoThousandBackendsAndSiblings(t *testing.T) {
+// Guards against taking the first line of an indented list for a broken watch: a list of 2,000 backends, indented over tens of
+// thousands of lines and split anywhere, was never received. Half of the backends are then removed and added again.
+func TestTwoThousandBackendsAndPeers(t *testing.T) {
 	t.Parallel()
 	b := newFakeBackend(t, echo)
 	step := make(chan bool)
-	pieces := func(c net.Conn, text string) {
+	writeInPieces := func(c net.Conn, text string) {
 		for size := 1; len(text) > 0; size = size*3%20011 + 1 {
 			n := min(size, len(text))
 			writeChunk(c, text[:n])
@@ -47,11 +49,11 @@
 		}
 	}
 	d := fakeDiscovery(t, func(_ int, c net.Conn, _ *http.Request) {
-		pieces(c, indented(throng(1, scaleCount, "ready", b)))
+		writeInPieces(c, indentJSON(manyEndpoints(1, scaleCount, "ready", b)))
 		<-step
-		pieces(c, indented(throng(2, scaleCount/2, "ready", b)))
+		writeInPieces(c, indentJSON(manyEndpoints(2, scaleCount/2, "ready", b)))
 		<-step
-		pieces(c, throng(3, scaleCount, "ready", b)+"\n\n")
+		writeInPieces(c, manyEndpoints(3, scaleCount, "ready", b)+"\n\n")
 		<-step
 	})
 	defer close(step)
@@ -64,20 +66,21 @@
 	}
 	r := runProxy(t, p)
 	for i, want := range []int{scaleCount, scaleCount / 2, scaleCount} {
-		r.await(t, fmt.Sprintf("%d are listed", want), func() bool { return r.backends.readyCount == want })
+		r.await(t, fmt.Sprintf("%d backends are listed", want), func() bool { return r.backends.readyCount == want })
 		if i < 2 {
 			step <- true
 		}
 	}
 	if status, _, _ := r.dial(t).roundTrip("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
-		t.Errorf("ready says %d", status)
+		t.Errorf("readiness is %d", status)
 	}
 }
 
-// A configuration that knows as many, and the same names as siblings' addresses, is a start like any other.
-func TestAConfigurationThatKnowsTwoThousand(t *testing.T) {
+// A proxy starts with 2,000 known endpoints and as many peers.
+func TestConfigWithTwoThousandKnownEndpoints(t *testing.T) {
 	t.Parallel()
-	l := testConfig(throng(1, scaleCount, "ready", newFakeBackend(t, echo)), nil, strings.Replace(settingsText, `"siblings": 1`, fmt.Sprintf(`"siblings": %d`, scaleCount), 1))
+	l := testConfig(manyEndpoints(1, scaleCount, "ready", newFakeBackend(t, echo)), nil,
+		strings.Replace(settingsText, `"siblings": 1`, fmt.Sprintf(`"siblings": %d`, scaleCount), 1))
 	began := time.Now()
 	p, err := New(l)
 	if err != nil {
@@ -85,57 +88,59 @@
 	}
 	t.Logf("started in %v", time.Since(began))
 	r := runProxy(t, p)
-	r.await(t, "all are listed", func() bool { return r.backends.readyCount == scaleCount && r.ready() })
+	r.await(t, "all backends are listed", func() bool { return r.backends.readyCount == scaleCount && r.ready() })
 }
 
-// More than the listener's backlog of connections at once, each with a command: each has its answer, served or declined.
+// More connections at once than the listener's backlog, each with a command: each command is answered or declined.
 func TestTwoThousandConnectionsAtOnce(t *testing.T) {
 	t.Parallel()
 	b := newFakeBackend(t, echo)
-	l := testConfig(endpointList(1, true, readyEndpoint("s-a", b)), nil, strings.Replace(settingsText, `"max_open": 1000`, `"max_open": 20000`, 1))
+	l := testConfig(endpointList(1, true, readyEndpoint("s-a", b)), nil,
+		strings.Replace(settingsText, `"max_open": 1000`, `"max_open": 20000`, 1))
 	l.Limits.Sockets, l.Limits.MemoryMB = 6*scaleCount, 512
 	p, err := New(l)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := runProxy(t, p)
-	r.await(t, "it takes clients", r.ready)
-	var all []*testClient
+	r.await(t, "the proxy is ready", r.ready)
+	var clients []*testClient
 	for range scaleCount {
-		all = append(all, r.dial(t))
+		clients = append(clients, r.dial(t))
 	}
-	for _, c := range all {
+	for _, c := range clients {
 		if _, err := c.Write([]byte(requestText("look"))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got := map[int]int{}
-	for _, c := range all {
+	statusCounts := map[int]int{}
+	for _, c := range clients {
 		status, _, _ := c.readAnswer()
-		got[status]++
+		statusCounts[status]++
 	}
-	if got[200]+got[503] != scaleCount {
-		t.Errorf("%v", got)
+	if statusCounts[200]+statusCounts[503] != scaleCount {
+		t.Errorf("%v", statusCounts)
 	}
 }
 
-// BenchmarkListOfTwoThousand is the turn of the loop in which the last piece of such a list comes: all of it is decoded, taken and told
-// to the Balancer.
+// BenchmarkListOfTwoThousand measures the turn of the loop in which the last part of such a list arrives: the list is decoded,
+// applied and passed to the Balancer.
 func BenchmarkListOfTwoThousand(b *testing.B) {
-	quiet, err := net.Listen("tcp", "127.0.0.1:0")
+	unusedListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer quiet.Close()
+	defer unusedListener.Close()
 	for _, siblings := range []int{1, scaleCount} {
 		b.Run(fmt.Sprintf("siblings=%d", siblings), func(b *testing.B) {
-			p, err := New(testConfig("", nil, strings.Replace(settingsText, `"siblings": 1`, fmt.Sprintf(`"siblings": %d`, siblings), 1)))
+			p, err := New(testConfig("", nil,
+				strings.Replace(settingsText, `"siblings": 1`, fmt.Sprintf(`"siblings": %d`, siblings), 1)))
 			if err != nil {
 				b.Fatal(err)
 			}
 			p.watch.Reset()
-			text := []byte(indented(throng(1, scaleCount, "ready", quiet)))
-			last := len(text) - 4096 // what a read brings
+			text := []byte(indentJSON(manyEndpoints(1, scaleCount, "ready", unusedListener)))
+			last := len(text) - 4096 // size of one read
 			for b.Loop() {
 				b.StopTimer()
 				if err := p.watch.Feed(text[:last]); err != nil {
@@ -147,7 +152,7 @@
 				}
 			}
 			if p.backends.readyCount != scaleCount {
-				b.Fatalf("%d are listed", p.backends.readyCount)
+				b.Fatalf("%d backends are listed", p.backends.readyCount)
 			}
 		})
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,7 @@
-// Package proxy is the front for the platform's protocol: it carries commands between clients, the Balancer and
-// backends on one loop. This file owns the proxy's life: its parts, the descriptor budget and readiness.
-// It must never decide where a command goes or whether it is given up; that is the Balancer's.
+// Package proxy implements the front: it accepts commands from clients, relays them to backends and returns the answers, all
+// on one event loop. The Balancer alone decides which backend a command goes to and when it is given up.
+//
+// This file contains the proxy's life cycle: configuration, construction, reload, the descriptor budget and readiness.
 package proxy
 
 import (
@@ -27,66 +28,66 @@
 )
 
 const (
-	baseDescriptors       = 16   // standard ones, loop, listener, signals, discovery, Go's own, and some to spare
-	sweepIntervalSeconds  = 0.25 // seconds between looks at what has stood too long
-	reloadPause           = 0.05 // seconds between tries of a reload for which the system lacks something
-	reloadRetryFor        = 3.0  // and in which it is tried: it counts 4 s after SIGHUP
-	summaryEvery          = 10.0 // seconds between lines in the log
-	discoveryGraceSeconds = 0.5  // seconds that discovery has to say what is new before the known list will do
-	readBufferShare       = 0.25 // of the memory that grown read buffers may fill: as much again waits for the collector
-	spareShare            = 6    // one in so many descriptors is for clients past their part: silent ones, and who is declined
+	baseDescriptors            = 16 // standard streams, event loop, listener, signals, discovery, the Go runtime, and a margin
+	sweepIntervalSeconds       = 0.25
+	reloadRetryIntervalSeconds = 0.05 // between attempts after a transient system error
+	reloadRetryTimeoutSeconds  = 3.0  // a reload must be in force 4 s after SIGHUP
+	summaryIntervalSeconds     = 10.0
+	discoveryGraceSeconds      = 0.5  // wait for discovery before the known list is used
+	readBufferShare            = 0.25 // of the memory limit; as much again may await garbage collection
+	spareDivisor               = 6    // 1/spareDivisor of the descriptors is for silent and declined clients past the quota
 )
 
-// Launch is a proxy's configuration as the operators write it.
+// Config is the configuration that a proxy is started or reloaded with.
 type Config struct {
 	Name      string           `json:"name"`
 	Listen    string           `json:"listen"`
 	Discovery string           `json:"discovery"`
-	Ops       string           `json:"ops"` // where operators call, if they can
-	Socket    string           `json:"-"`   // the inherited descriptor that listens, if there is one
-	State     operator.State   `json:"-"`   // where it keeps what it knows, in the operators' own file
-	Control   operator.Control `json:"-"`   // where it has its configuration from beside this, in the same file
+	Ops       string           `json:"ops"` // address of the admin endpoint; empty: none
+	Socket    string           `json:"-"`   // number of an inherited listening descriptor; empty: none
+	State     operator.State   `json:"-"`   // snapshot folder, from the operator file
+	Control   operator.Control `json:"-"`   // control replicas that supply configuration, from the operator file
 	Seed      string           `json:"seed"`
 	Limits    struct {
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	Peers          []string        `json:"peers"` // addresses of all peers by number, this one's too, for messages
+	Peers          []string        `json:"peers"` // message addresses of all peers by index, including this proxy
 	KnownEndpoints json.RawMessage `json:"known"`
 	Settings       json.RawMessage `json:"settings"`
 }
 
-// Read decodes a configuration.
+// ParseConfig decodes a configuration from JSON.
 func ParseConfig(text []byte) (*Config, error) {
-	var l Config
-	if err := json.Unmarshal(text, &l); err != nil {
+	var config Config
+	if err := json.Unmarshal(text, &config); err != nil {
 		return nil, err
 	}
-	return &l, nil
+	return &config, nil
 }
 
-// Heed takes what the operators say in a file of their own, if there is one.
-func (l *Config) LoadOperatorFile(path string) error {
+// LoadOperatorFile adds the settings of the operator file at path. An empty path changes nothing.
+func (c *Config) LoadOperatorFile(path string) error {
 	if path == "" {
 		return nil
 	}
 	f, err := operator.Read(path)
 	if err == nil {
-		l.State, l.Control = f.State, f.Control
+		c.State, c.Control = f.State, f.Control
 	}
 	return err
 }
 
-// Proxy is one front with its Balancer.
+// Proxy is one front: its Balancer, its connections and their event loop.
 type Proxy struct {
 	loop          *loop.Loop
 	balancer      *balance.Balancer
-	wake          func(uint64) // tells it that a time has come
+	timerFired    func(uint64) // calls the Balancer's timer event
 	names         settings.Names
 	verbIndex     map[string]int
 	customerIndex map[string]int
 	network       settings.NetworkSettings
-	startConfig   *Config // as it was started
+	startConfig   *Config // configuration at the start
 
 	listener *loop.Listener
 	clients  clientConns
@@ -102,49 +103,49 @@
 	startTimes        startTimes
 	snapshot          snapshotState
 	commands          map[uint64]*command
-	commandsByReqID   map[string]*command // the same by their Req-Id
-	lastID            uint64
-	scratch           []byte // heads are put together here
+	commandsByReqID   map[string]*command // open commands by Req-Id
+	lastCommandID     uint64
+	scratch           []byte // reused buffer for message heads
 	shutdown          shutdownState
-	discoveryDeadline float64                // until when the first message of discovery is waited for
-	signal            func() bool            // tells that the end was asked for
-	reloaded          atomic.Pointer[Config] // a configuration to turn to
-	reloading         *Config                // the one turned to last, or being tried
+	discoveryDeadline float64                // the known list is used from here on, even without discovery's first message
+	shutdownSignaled  func() bool            // reports whether shutdown was requested
+	pendingConfig     atomic.Pointer[Config] // set by Reload, applied on the loop
+	lastReload        *Config                // the configuration applied last, or being retried
 	seed              uint64
-	draws             uint64
-	memory            [1]metrics.Sample
+	randomCounter     uint64
+	memorySample      [1]metrics.Sample
 
-	receivedCount, answeredCount, declinedCount, terminatedCount, departedCount, invalidCount, brokenOffCount int // since the last summary
+	// Counters since the last summary line.
+	receivedCount, answeredCount, declinedCount, terminatedCount, departedCount, invalidCount, brokenOffCount int
 	relayCount, overLimitCount                                                                                int
 }
 
-// New makes a proxy from its configuration, listening and ready to run. What the kernel lacks for a moment it waits for, 20 s
-// at most.
-func New(l *Config) (*Proxy, error) { return NewContext(context.Background(), l) }
+// New creates a proxy that listens and is ready to run. It retries transient system errors for at most 20 s.
+func New(config *Config) (*Proxy, error) { return NewContext(context.Background(), config) }
 
-// NewContext is New for a process that may be asked to end meanwhile: once the context ends it waits no longer, and the
-// error is ErrStopped.
-func NewContext(ctx context.Context, l *Config) (*Proxy, error) {
-	control, l, err := newControl(l)
+// NewContext is like New but stops retrying when ctx ends; the error then wraps ErrStopped.
+func NewContext(ctx context.Context, config *Config) (*Proxy, error) {
+	control, config, err := newControl(config)
 	if err != nil {
 		return nil, err
 	}
-	p, known, err := prepare(l)
+	p, known, err := prepare(config)
 	if err != nil {
 		return nil, err
 	}
 	p.control = control
-	at, err := netip.ParseAddrPort(l.Listen)
+	listenAddr, err := netip.ParseAddrPort(config.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	if err := startStep(ctx, func() error { p.loop, err = loop.New(); return err }); err != nil {
+	if err := retryTransient(ctx, func() error { p.loop, err = loop.New(); return err }); err != nil {
 		return nil, err
 	}
 	p.loop.OnStall = p.afterStall
-	p.watch.Client = watch.New(p.loop, endpointWatcher{p}, watch.Config{Servers: []netip.AddrPort{p.watch.addr}, MaxObjectBytes: maxEndpointUpdateBytes, Random: p.pseudoRandom})
+	p.watch.Client = watch.New(p.loop, endpointWatcher{p}, watch.Config{Servers: []netip.AddrPort{p.watch.addr},
+		MaxObjectBytes: maxEndpointUpdateBytes, Random: p.pseudoRandom})
 	p.limitMemory(1)
-	if p.balancer, _, err = settings.NewBalancer(p, p.seed, p.loop.Now(), l.Settings); err != nil {
+	if p.balancer, _, err = settings.NewBalancer(p, p.seed, p.loop.Now(), config.Settings); err != nil {
 		return nil, err
 	}
 	if known != nil {
@@ -153,23 +154,25 @@
 	if err := p.restoreSnapshot(known); err != nil {
 		return nil, err
 	}
-	if err := p.listen(ctx, at); err != nil {
+	if err := p.listen(ctx, listenAddr); err != nil {
 		return nil, err
 	}
 	if err := p.openPeers(ctx); err != nil {
 		return nil, err
 	}
-	return p, startStep(ctx, p.listenAdmin)
+	return p, retryTransient(ctx, p.listenAdmin)
 }
 
-// prepare decodes everything that a start can fail on but the sockets.
-func prepare(l *Config) (p *Proxy, known *endpointUpdate, err error) {
-	p = &Proxy{startTimes: startTimes{}, commands: map[uint64]*command{}, commandsByReqID: map[string]*command{}, verbIndex: map[string]int{}, customerIndex: map[string]int{}}
-	p.memory[0].Name = "/memory/classes/total:bytes"
-	if len(l.Settings) == 0 {
+// prepare decodes and validates the configuration into a Proxy without opening sockets. It also returns the known endpoints,
+// or nil if there are none.
+func prepare(config *Config) (p *Proxy, known *endpointUpdate, err error) {
+	p = &Proxy{startTimes: startTimes{}, commands: map[uint64]*command{}, commandsByReqID: map[string]*command{},
+		verbIndex: map[string]int{}, customerIndex: map[string]int{}}
+	p.memorySample[0].Name = "/memory/classes/total:bytes"
+	if len(config.Settings) == 0 {
 		return nil, nil, errors.New("settings: is missing")
 	}
-	if p.names, p.network, err = settings.ForProxy(l.Settings); err != nil {
+	if p.names, p.network, err = settings.ForProxy(config.Settings); err != nil {
 		return nil, nil, err
 	}
 	for i, v := range p.names.Verbs {
@@ -178,149 +181,156 @@
 	for i, c := range p.names.Customers {
 		p.customerIndex[c] = i
 	}
-	if p.peers, err = parsePeers(l.Peers, p.network); err != nil {
+	if p.peers, err = parsePeers(config.Peers, p.network); err != nil {
 		return nil, nil, err
 	}
-	p.startConfig = l
-	if p.seed, err = strconv.ParseUint(l.Seed, 16, 64); err != nil {
-		return nil, nil, fmt.Errorf("seed: %q is not a hexadecimal number", l.Seed)
+	p.startConfig = config
+	if p.seed, err = strconv.ParseUint(config.Seed, 16, 64); err != nil {
+		return nil, nil, fmt.Errorf("seed: %q is not a hexadecimal number", config.Seed)
 	}
-	if p.watch.addr, err = netip.ParseAddrPort(l.Discovery); err != nil {
+	if p.watch.addr, err = netip.ParseAddrPort(config.Discovery); err != nil {
 		return nil, nil, fmt.Errorf("discovery: %w", err)
 	}
-	if p.admin.addr, err = parseAdminAddr(l.Ops); err != nil {
+	if p.admin.addr, err = parseAdminAddr(config.Ops); err != nil {
 		return nil, nil, err
 	}
-	if err := l.Control.Check(l.Name); err != nil {
+	if err := config.Control.Check(config.Name); err != nil {
 		return nil, nil, err
 	}
-	if least := p.reservedDescriptors() + baseDescriptors; l.Limits.Sockets < least {
-		return nil, nil, fmt.Errorf("limits: %d sockets are too few, %d are needed", l.Limits.Sockets, least)
+	if minSockets := p.reservedDescriptors() + baseDescriptors; config.Limits.Sockets < minSockets {
+		return nil, nil, fmt.Errorf("limits: %d sockets are too few, %d are needed", config.Limits.Sockets, minSockets)
 	}
-	if len(l.KnownEndpoints) > 0 {
+	if len(config.KnownEndpoints) > 0 {
 		known = &endpointUpdate{}
-		if err := json.Unmarshal(l.KnownEndpoints, known); err != nil {
+		if err := json.Unmarshal(config.KnownEndpoints, known); err != nil {
 			return nil, nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	p.divideDescriptors(l.Limits.Sockets)
+	p.divideDescriptors(config.Limits.Sockets)
 	p.backends.conns = map[*backendConn]struct{}{}
 	p.backends.byName, p.backends.byID = map[string]*backend{}, map[balance.BackendID]*backend{}
 	return p, known, nil
 }
 
-// own is how many descriptors are for neither clients nor backends.
+// reservedDescriptors returns the number of descriptors that are for neither clients nor backends.
 func (p *Proxy) reservedDescriptors() int {
-	own := baseDescriptors
+	reserved := baseDescriptors
 	if p.admin.addr.IsValid() {
-		own += adminDescriptors
+		reserved += adminDescriptors
 	}
 	if p.startConfig.Control.Enabled() {
-		own += controlDescriptors
+		reserved += controlDescriptors
 	}
-	return own
+	return reserved
 }
 
-// share parts the descriptors: one in spareShare for clients past their part, the rest half and half for clients and
-// backends. Each side reclaims its own idle ones first.
+// divideDescriptors divides the descriptor limit: 1/spareDivisor for clients past their quota, the rest equally between
+// clients and backends. Each side closes its own idle connections first.
 func (p *Proxy) divideDescriptors(sockets int) {
-	all := sockets - p.reservedDescriptors()
-	spare := max(1, all/spareShare)
-	p.backends.maxConns = max(1, (all-spare)/2)
-	p.clients.quota = max(1, all-spare-p.backends.maxConns)
+	available := sockets - p.reservedDescriptors()
+	spare := max(1, available/spareDivisor)
+	p.backends.maxConns = max(1, (available-spare)/2)
+	p.clients.quota = max(1, available-spare-p.backends.maxConns)
 	p.clients.limit = p.clients.quota + spare
 }
 
-// At is the address that it listens at.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() netip.AddrPort { return p.listener.Address }
 
-// Ring has the loop look at signal soon; it may be called from any goroutine.
+// WakeUp wakes the event loop, so that it checks for a shutdown request. It may be called from any goroutine.
 func (p *Proxy) WakeUp() { p.loop.WakeUp() }
 
-// Reload has the loop turn to a configuration that Check found good; it may be called from any goroutine.
-func (p *Proxy) Reload(l *Config) {
-	if p.control.reload(l) {
+// Reload applies a configuration that passed Check. It may be called from any goroutine and returns at once.
+func (p *Proxy) Reload(config *Config) {
+	if p.control.reload(config) {
 		return
 	}
-	p.reloaded.Store(l)
+	p.pendingConfig.Store(config)
 	p.WakeUp()
 }
 
-// reloadWithin turns to a configuration, again and again until then while the system lacks something for it, unless a newer one
-// has come.
-func (p *Proxy) reloadWithin(l *Config, until float64) {
-	p.reloading = l
-	err := p.turnWhole(l)
+// reloadUntil applies a configuration and retries transient system errors until the given time, unless a newer configuration
+// arrives.
+func (p *Proxy) reloadUntil(config *Config, until float64) {
+	p.lastReload = config
+	err := p.applyConfig(config)
 	if err == nil || !loop.IsTransient(err) || p.loop.Now() > until {
-		p.logReload(l, err)
+		p.logReload(config, err)
 		return
 	}
-	p.loop.After(reloadPause, func() {
-		if p.reloading == l {
-			p.reloadWithin(l, until)
+	p.loop.After(reloadRetryIntervalSeconds, func() {
+		if p.lastReload == config {
+			p.reloadUntil(config, until)
 		}
 	})
 }
 
-// reload turns to a configuration while commands are open: settings, the peers' addresses and where discovery is. The
-// list, open commands, clients and what was learned stay; for the rest the process is started anew.
-func (p *Proxy) reload(l *Config) error {
-	p.reloading = l
-	err := p.turnWhole(l)
-	p.logReload(l, err)
+// reload applies a configuration while the proxy serves: settings, peer addresses and the discovery address. The endpoint
+// list, open commands, clients and learned values are kept. Other changes need a restart.
+func (p *Proxy) reload(config *Config) error {
+	p.lastReload = config
+	err := p.applyConfig(config)
+	p.logReload(config, err)
 	return err
 }
 
-func (p *Proxy) logReload(l *Config, err error) {
+// logReload logs the result of a reload.
+func (p *Proxy) logReload(config *Config, err error) {
 	if err != nil {
 		log.Printf("msg=reload_not_taken error=%q", err)
 		return
 	}
 	log.Printf("msg=reloaded discovery=%s siblings=%d messages=%t keys=%t needs_start=%q", p.watch.addr, p.network.PeerCount,
-		p.network.PeerMessages, p.network.WarmKeys, p.needsStart(l))
+		p.network.PeerMessages, p.network.WarmKeys, p.restartOnlyChanges(config))
 }
 
-func (p *Proxy) turnWhole(l *Config) error {
-	next, _, err := prepare(l)
+// applyConfig applies the reloadable parts of a configuration, or none of them if it returns an error.
+func (p *Proxy) applyConfig(config *Config) error {
+	next, _, err := prepare(config)
 	if err != nil {
 		return err
 	}
-	// Names keep the numbers under which they are known here: open commands and listed backends have them.
-	own := -1
+	// Open commands and listed backends refer to names by index, so existing names keep their index.
+	ownZone := -1
 	if len(next.names.Zones) > 0 {
-		own = p.zoneIndex(next.names.Zones[next.names.OwnZone])
+		ownZone = p.zoneIndex(next.names.Zones[next.names.OwnZone])
 	}
-	verbsWere, tenantsWere := []int{}, []int{}
+	oldVerbIndexes, oldCustomerIndexes := []int{}, []int{}
 	for _, v := range next.names.Verbs {
-		verbsWere = append(verbsWere, slices.IndexFunc(p.names.Verbs, func(w settings.Verb) bool { return w.Name == v.Name }))
+		oldVerbIndexes = append(oldVerbIndexes, slices.IndexFunc(p.names.Verbs,
+			func(w settings.Verb) bool { return w.Name == v.Name }))
 	}
 	for _, c := range next.names.Customers {
-		tenantsWere = append(tenantsWere, slices.Index(p.names.Customers, c))
+		oldCustomerIndexes = append(oldCustomerIndexes, slices.Index(p.names.Customers, c))
 	}
-	before := p.peers
+	oldPeers := p.peers
 	if err := p.applyPeers(next.peers); err != nil {
 		return err
 	}
-	if _, err := settings.Apply(p.balancer, p.loop.Now(), l.Settings, verbsWere, tenantsWere, own); err != nil {
-		p.applyPeers(before)
+	if _, err := settings.Apply(p.balancer, p.loop.Now(), config.Settings,
+		oldVerbIndexes, oldCustomerIndexes, ownZone); err != nil {
+		p.applyPeers(oldPeers)
 		return err
 	}
 	p.names.Verbs, p.names.Customers = next.names.Verbs, next.names.Customers
 	p.verbIndex, p.customerIndex, p.network = next.verbIndex, next.customerIndex, next.network
-	p.replan()
+	p.updateShutdownPlan()
 	p.watchDiscovery(next.watch.addr)
 	return nil
 }
 
-// needsStart names what differs from the start and stays as it was.
-func (p *Proxy) needsStart(l *Config) (names string) {
+// restartOnlyChanges returns the names of fields that differ from the start configuration and take effect only after a restart,
+// separated by spaces.
+func (p *Proxy) restartOnlyChanges(config *Config) (names string) {
 	for _, x := range []struct {
 		name    string
 		differs bool
 	}{
-		{"listen", l.Listen != p.startConfig.Listen}, {"ops", l.Ops != p.startConfig.Ops}, {"limits", l.Limits != p.startConfig.Limits},
-		{"seed", l.Seed != p.startConfig.Seed}, {"state", l.State != p.startConfig.State},
-		{"control", !l.Control.Equal(p.startConfig.Control)}, {"known", !bytes.Equal(l.KnownEndpoints, p.startConfig.KnownEndpoints)},
+		{"listen", config.Listen != p.startConfig.Listen}, {"ops", config.Ops != p.startConfig.Ops},
+		{"limits", config.Limits != p.startConfig.Limits},
+		{"seed", config.Seed != p.startConfig.Seed}, {"state", config.State != p.startConfig.State},
+		{"control", !config.Control.Equal(p.startConfig.Control)},
+		{"known", !bytes.Equal(config.KnownEndpoints, p.startConfig.KnownEndpoints)},
 	} {
 		if x.differs {
 			names = strings.TrimSpace(names + " " + x.name)
@@ -329,37 +339,38 @@
 	return names
 }
 
-// Run serves until it was asked to end, by signal, and all that was taken has its answer.
+// Run serves until signal reports true and every accepted command has its answer.
 func (p *Proxy) Run(signal func() bool) error {
-	p.signal = signal
+	p.shutdownSignaled = signal
 	p.discoveryDeadline = p.loop.Now() + discoveryGraceSeconds
 	p.control.Start(p.loop, p.applyHeldConfig)
 	p.beginHandover()
 	p.watch.Open()
 	p.runEvery(sweepIntervalSeconds, p.sweep)
-	p.runEvery(summaryEvery, p.logSummary)
+	p.runEvery(summaryIntervalSeconds, p.logSummary)
 	p.runEvery(sweepIntervalSeconds, p.trackRecovery)
 	p.startSnapshots()
 	log.Printf("msg=serving listen=%s clients=%d backends=%d ready=%t", p.Addr(), p.clients.quota, p.backends.maxConns, p.ready())
 	err := p.loop.Run(func() {
-		if asked := p.signal(); asked && !p.shutdown.active {
+		if signaled := p.shutdownSignaled(); signaled && !p.shutdown.active {
 			p.beginShutdown()
 		}
-		if l := p.reloaded.Swap(nil); l != nil {
-			p.reloadWithin(l, p.loop.Now()+reloadRetryFor)
+		if config := p.pendingConfig.Swap(nil); config != nil {
+			p.reloadUntil(config, p.loop.Now()+reloadRetryTimeoutSeconds)
 		}
 		p.control.RunPending()
 	})
 	p.logSummary()
 	p.saveLastSnapshot()
 	p.control.Close()
-	for _, m := range p.otherProcesses() {
-		m.conn.Close() // its end says that this process is gone
+	for _, other := range p.otherProcesses() {
+		other.conn.Close() // tells the other process that this one is gone
 	}
 	p.loop.Close()
 	return err
 }
 
+// runEvery calls f on the loop at this interval, first after one interval.
 func (p *Proxy) runEvery(seconds float64, f func()) {
 	p.loop.After(seconds, func() {
 		f()
@@ -367,28 +378,30 @@
 	})
 }
 
-// listed tells whether a command could be relayed: the list has somebody in it and is not merely the old one, unless
-// discovery stays silent.
+// canRelay reports whether commands can be relayed: a backend is ready, and the list is from discovery or discovery has not
+// answered in time.
 func (p *Proxy) canRelay() bool {
 	return p.backends.readyCount > 0 && (p.watch.Received || p.loop.Now() > p.discoveryDeadline)
 }
 
-// awaitsDiscovery tells that the first watch is being opened and discovery has had no time to answer. What it has counts as received
-// from a process's first moment, and the known list is older: who began to drain since must get nothing by it.
-func (p *Proxy) awaitsDiscovery() bool {
+// discoveryPending reports whether the first watch is being opened and discovery has not had time to answer. The known list is
+// older than what discovery has, and a backend that has begun to drain since must get nothing new because of it.
+func (p *Proxy) discoveryPending() bool {
 	return !p.watch.Received && !p.watch.Lost && p.loop.Now() <= p.discoveryDeadline
 }
 
-// ready tells whether clients are to come: to this process or, while that lives, to the one after it.
+// ready reports whether clients should be sent here. During shutdown that is the case only while a successor serves on the
+// same address.
 func (p *Proxy) ready() bool {
 	return !p.drain.active && p.canRelay() && (!p.shutdown.active || p.handover.successorServes)
 }
 
-// takesClients tells whether connections are accepted; a drained proxy still takes those that come.
+// acceptsClients reports whether connections are accepted. A draining proxy still accepts them.
 func (p *Proxy) acceptsClients() bool {
 	return p.handover.serving && !p.handover.successorServes && !p.shutdown.active
 }
 
+// sweep closes connections and watches that have exceeded their time limits.
 func (p *Proxy) sweep() {
 	now := p.loop.Now()
 	p.sweepClients(now)
@@ -398,7 +411,7 @@
 	p.control.CheckLiveness(now)
 }
 
-// starved gives up what is idle when the system has no descriptor left.
+// onDescriptorShortage closes idle connections when the system has no descriptor left.
 func (p *Proxy) onDescriptorShortage() {
 	log.Printf("msg=no_descriptor clients=%d links=%d", p.clients.count, len(p.backends.conns))
 	for range 8 {
@@ -407,23 +420,27 @@
 	}
 }
 
+// logSummary logs the counters since the last summary and resets them.
 func (p *Proxy) logSummary() {
-	metrics.Read(p.memory[:])
-	log.Printf("msg=summary came=%d answered=%d declined=%d no_room=%d terminated=%d departed=%d bad=%d broken_off=%d relays=%d open=%d "+
-		"clients=%d links=%d backends=%d left_out=%d told=%d heard=%d not_heard=%d memory_mb=%d", p.receivedCount, p.answeredCount, p.declinedCount, p.overLimitCount, p.terminatedCount, p.departedCount,
-		p.invalidCount, p.brokenOffCount, p.relayCount, len(p.commands), p.clients.count, len(p.backends.conns), p.backends.readyCount, len(p.maintenance.Cordoned), p.peers.sent, p.peers.received, p.peers.invalid,
-		p.memory[0].Value.Uint64()>>20)
-	p.receivedCount, p.answeredCount, p.declinedCount, p.overLimitCount, p.terminatedCount, p.departedCount, p.invalidCount, p.brokenOffCount, p.relayCount = 0, 0, 0, 0, 0, 0, 0, 0, 0
+	metrics.Read(p.memorySample[:])
+	log.Printf("msg=summary came=%d answered=%d declined=%d no_room=%d terminated=%d departed=%d bad=%d broken_off=%d "+
+		"relays=%d open=%d clients=%d links=%d backends=%d left_out=%d told=%d heard=%d not_heard=%d memory_mb=%d",
+		p.receivedCount, p.answeredCount, p.declinedCount, p.overLimitCount, p.terminatedCount, p.departedCount, p.invalidCount,
+		p.brokenOffCount, p.relayCount, len(p.commands), p.clients.count, len(p.backends.conns), p.backends.readyCount,
+		len(p.maintenance.Cordoned), p.peers.sent, p.peers.received, p.peers.invalid,
+		p.memorySample[0].Value.Uint64()>>20)
+	p.receivedCount, p.answeredCount, p.declinedCount, p.overLimitCount, p.terminatedCount, p.departedCount, p.invalidCount,
+		p.brokenOffCount, p.relayCount = 0, 0, 0, 0, 0, 0, 0, 0, 0
 	p.peers.sent, p.peers.received, p.peers.invalid = 0, 0, 0
 }
 
-// chance is a number in [0, 1) from the seed and a counter, for jitter.
+// pseudoRandom returns a number in [0, 1) derived from the seed and a counter. It is used for jitter.
 func (p *Proxy) pseudoRandom() float64 {
-	var text [16]byte
-	p.draws++
-	binary.LittleEndian.PutUint64(text[:], p.seed)
-	binary.LittleEndian.PutUint64(text[8:], p.draws)
+	var input [16]byte
+	p.randomCounter++
+	binary.LittleEndian.PutUint64(input[:], p.seed)
+	binary.LittleEndian.PutUint64(input[8:], p.randomCounter)
 	h := fnv.New32a()
-	h.Write(text[:])
+	h.Write(input[:])
 	return float64(h.Sum32()) / (1 << 32)
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestAnswers(t *testing.T) {
-	t.Run("an answer and a body go through unchanged, over connections that are kept", func(t *testing.T) {
+	t.Run("a body and its answer are relayed unchanged over kept connections", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, echo)
 		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
@@ -30,13 +30,13 @@
 		defer b.mu.Unlock()
 		if r := b.lastRequest; r.RequestURI != "/order/x?sid=1" || r.Header.Get("Req-Id") == "" ||
 			r.Header.Get("Idempotency-Key") != "k1" || !strings.HasPrefix(r.Header.Get("Req-Deadline"), "2.") {
-			t.Errorf("the backend saw %s %v", r.RequestURI, r.Header)
+			t.Errorf("the backend received %s %v", r.RequestURI, r.Header)
 		}
 		if b.conns.Load() != 1 {
-			t.Errorf("%d connections for commands in turn", b.conns.Load())
+			t.Errorf("%d connections for consecutive commands, want 1", b.conns.Load())
 		}
 	})
-	t.Run("an answer larger than any command goes through", func(t *testing.T) {
+	t.Run("an answer larger than any command is relayed", func(t *testing.T) {
 		body := strings.Repeat("0123456789abcdef", 30<<10)
 		b := newFakeBackend(t, func(_ *fakeBackend, c net.Conn, _ *http.Request) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -48,7 +48,7 @@
 			}
 		}
 	})
-	t.Run("commands written one after the other are answered in turn", func(t *testing.T) {
+	t.Run("pipelined commands are answered in order", func(t *testing.T) {
 		b := newFakeBackend(t, echo)
 		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
 		c := p.dial(t)
@@ -60,7 +60,7 @@
 			}
 		}
 	})
-	t.Run("a client that waits to be invited sends its body", func(t *testing.T) {
+	t.Run("a client that expects 100 Continue sends its body", func(t *testing.T) {
 		b := newFakeBackend(t, echo)
 		c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
 		io.WriteString(c, requestText("pay", "Content-Length: 2\r\nExpect: 100-continue\r\n"))
@@ -72,56 +72,58 @@
 	})
 }
 
-// A relay's end must be told for what it is: what may have run is never sent again, what can't have run is.
+// Each outcome of a relay must be reported correctly: an effectful command that may have run is never sent again, one that
+// can't have run is.
 func TestOutcomes(t *testing.T) {
-	free, _ := net.Listen("tcp", "127.0.0.1:0")
-	free.Close() // nobody listens there any more
+	closedListener, _ := net.Listen("tcp", "127.0.0.1:0")
+	closedListener.Close() // nothing listens there any more
 	for name, c := range map[string]struct {
 		verb     string
 		do       func(*fakeBackend, net.Conn, *http.Request)
 		status   int
-		commands int32 // that the backend in trouble may see
+		commands int32 // most commands that the faulty backend may receive
 	}{
-		"nobody listens":                        {"pay", nil, 200, 0},
-		"turned away unseen":                    {"pay", respondWith("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), 200, 9},
-		"broken after the last byte, pure":      {"look", resetConn, 200, 9},
-		"broken after the last byte, effectful": {"pay", resetConn, 502, 1},
+		"connection refused": {"pay", nil, 200, 0},
+		"declined by the backend": {"pay",
+			respondWith("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), 200, 9},
+		"reset after the last byte, pure":       {"look", resetConn, 200, 9},
+		"reset after the last byte, effectful":  {"pay", resetConn, 502, 1},
 		"error, pure":                           {"look", respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 200, 9},
 		"error, effectful":                      {"pay", respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
-		"503 without the mark may have run":     {"pay", respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
-		"garbage may have run":                  {"pay", respondWith("\x00\x01\r\n\r\n"), 502, 1},
-		"an answer cut short is none": {"pay", func(b *fakeBackend, c net.Conn, r *http.Request) {
+		"503 without Srv-Declined may have run": {"pay", respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
+		"malformed answer may have run":         {"pay", respondWith("\x00\x01\r\n\r\n"), 502, 1},
+		"a truncated answer is no answer": {"pay", func(b *fakeBackend, c net.Conn, r *http.Request) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			c.Close()
 		}, 502, 1},
-		"a reset is no end of a body": {"pay", func(b *fakeBackend, c net.Conn, r *http.Request) {
+		"a reset does not end a body": {"pay", func(b *fakeBackend, c net.Conn, r *http.Request) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
 			time.Sleep(20 * time.Millisecond)
 			resetConn(b, c, r)
 		}, 502, 1},
-		"silence":                             {"pay", hang, 502, 1},
-		"an answer that stops half-way, pure": {"look", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"), 200, 9},
-		"noise and no more, pure":             {"look", respondWith("\xb9=\x17\xc0"), 200, 9},
-		"a command at fault is so anywhere":   {"look", respondWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), 400, 1},
+		"no answer":                          {"pay", hang, 502, 1},
+		"an answer that stalls, pure":        {"look", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"), 200, 9},
+		"malformed data, then silence, pure": {"look", respondWith("\xb9=\x17\xc0"), 200, 9},
+		"an invalid command is not retried":  {"look", respondWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), 400, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bad, at := (*fakeBackend)(nil), net.Listener(free)
+			bad, firstBackend := (*fakeBackend)(nil), net.Listener(closedListener)
 			if c.do != nil {
 				bad = newFakeBackend(t, c.do)
-				at = bad
+				firstBackend = bad
 			}
 			good := newFakeBackend(t, echo)
-			// The good backend comes up after the first command has met the other alone.
-			p := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", at)), nil)
-			both := parseUpdate(t, endpointList(2, true, readyEndpoint("s-1", at), readyEndpoint("s-2", good)))
+			// The good backend is listed after the first command was relayed to the faulty one.
+			p := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", firstBackend)), nil)
+			both := parseUpdate(t, endpointList(2, true, readyEndpoint("s-1", firstBackend), readyEndpoint("s-2", good)))
 			p.loop.After(0.1, func() { p.applyEndpoints(both) })
 			r := runProxy(t, p)
 			for i := range 2 {
 				status, _, _ := r.dial(t).roundTrip(requestText(c.verb, "Content-Length: 0\r\n"))
 				time.Sleep(time.Duration(1-i) * 150 * time.Millisecond)
 				if i == 0 && status == 503 && c.status == 200 {
-					continue // all that was tried lay down: declined, which is harmless here
+					continue // no backend was reachable: declined, which is correct
 				}
 				if status != c.status && (status != 200 || good.commands.Load() == 0) {
 					t.Errorf("command %d: %d, want %d", i, status, c.status)
@@ -131,14 +133,14 @@
 				}
 			}
 			if c.status == 502 && (bad.commands.Load()+good.commands.Load() != 2) {
-				t.Errorf("2 commands ran %d times", bad.commands.Load()+good.commands.Load())
+				t.Errorf("2 commands were sent %d times", bad.commands.Load()+good.commands.Load())
 			}
 		})
 	}
 }
 
-func TestEnds(t *testing.T) {
-	t.Run("the relay of a client that is gone is called back", func(t *testing.T) {
+func TestCancellationAndShutdown(t *testing.T) {
+	t.Run("the relay of a disconnected client is cancelled", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, hang)
 		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
@@ -149,10 +151,10 @@
 		select {
 		case <-b.connEnded:
 		case <-time.After(time.Second):
-			t.Error("the backend still works for nobody")
+			t.Error("the relay is still open")
 		}
 	})
-	t.Run("a command that nothing answers ends before its time limit, its connection with it", func(t *testing.T) {
+	t.Run("an unanswered command ends by its time limit, and its connection is closed", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, hang)
 		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
@@ -163,9 +165,12 @@
 		}
 		<-b.connEnded
 	})
-	t.Run("a planned end takes what still comes for a while, finishes what is open, and lets nobody wait", func(t *testing.T) {
+	t.Run("a shutdown accepts connections for a short time, finishes open commands and closes idle clients", func(t *testing.T) {
 		t.Parallel()
-		b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) { time.Sleep(900 * time.Millisecond); echo(b, c, r) })
+		b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
+			time.Sleep(900 * time.Millisecond)
+			echo(b, c, r)
+		})
 		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
 		open, idle := p.dial(t), p.dial(t)
 		io.WriteString(open, requestText("look"))
@@ -179,11 +184,11 @@
 		later := p.dial(t)
 		io.WriteString(later, requestText("look"))
 		first, _, _ := open.readAnswer()
-		io.WriteString(open, requestText("look")) // the door is closed, but nobody else may be there to ask
+		io.WriteString(open, requestText("look")) // the listener is closed, but there may be no other proxy to send to
 		second, _, _ := later.readAnswer()
 		third, _, h := open.readAnswer()
 		if first != 200 || second != 200 || third != 200 || h.Get("Connection") != "close" {
-			t.Errorf("open %d, late %d, once more %d %v", first, second, third, h)
+			t.Errorf("open %d, late %d, second on the first connection %d %v", first, second, third, h)
 		}
 		if status, _, _ := idle.readAnswer(); status != 0 {
 			t.Errorf("idle: %d", status)
@@ -198,17 +203,17 @@
 				t.Error(err)
 			}
 		case <-time.After(time.Second):
-			t.Error("it did not end")
+			t.Error("it did not stop")
 		}
 		if _, err := net.Dial("tcp", open.RemoteAddr().String()); err == nil {
-			t.Error("it still listens")
+			t.Error("the listener is still open")
 		}
 	})
-	t.Run("a planned end ends what can't be finished before the kill", func(t *testing.T) {
+	t.Run("a shutdown ends commands that can't be finished before the kill", func(t *testing.T) {
 		t.Parallel()
 		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, hang))), nil))
 		c := p.dial(t)
-		io.WriteString(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nContent-Length: 9\r\n\r\n") // never whole
+		io.WriteString(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nContent-Length: 9\r\n\r\n") // never complete
 		time.Sleep(50 * time.Millisecond)
 		began := time.Now()
 		p.requestShutdown()
@@ -227,26 +232,28 @@
 		text   string
 		status int
 	}{
-		"malformed":           {"nonsense\r\n\r\n", 400},
-		"two lengths of body": {requestText("pay", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n"), 400},
-		"large head":          {requestText("look", "X: "+strings.Repeat("x", 17<<10)+"\r\n"), 431},
-		"large body":          {requestText("pay", "Content-Length: 40000000\r\n") + strings.Repeat("x", 70000), 413},
-		"tiny chunks, no end": {requestText("pay", "Transfer-Encoding: chunked\r\n") + strings.Repeat("1\r\nx\r\n", 3000), 408},
-		"unknown verb":        {"GET /dance HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n", 404},
-		"two verbs":           {strings.Replace(requestText("pay", "Content-Length: 0\r\n"), "Req-Kind: pay", "Req-Kind: look", 1), 404},
-		"unknown method":      {"DELETE /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n", 405},
-		"no path":             {"GET * HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n", 400},
-		"no id":               {"GET /look HTTP/1.1\r\nHost: a\r\n\r\n", 400},
-		"no mark":             {requestText("order", "Content-Length: 0\r\n"), 400},
-		"bad time limit":      {strings.Replace(requestText("look"), "2.5", "NaN", 1), 400},
-		"no time limit":       {strings.Replace(requestText("look"), "2.5", "inf", 1), 400},
-		"hexadecimal limit":   {strings.Replace(requestText("look"), "2.5", "0x2", 1), 400},
-		"years of patience":   {strings.Replace(requestText("look"), "2.5", "99999999999999", 1), 400},
-		"two ids":             {requestText("look", "Req-Id: 5\r\n"), 400},
-		"an id for one hop":   {requestText("look", "Connection: Req-Id\r\n"), 400},
-		"method of others":    {strings.Replace(requestText("pay"), "POST", "GET", 1), 400},
-		"body of a GET":       {requestText("look", "Content-Length: 1\r\n") + "x", 400},
-		"endless body":        {requestText("pay", "Content-Length: 60000000\r\n") + strings.Repeat("x", 60000000), 413},
+		"malformed":          {"nonsense\r\n\r\n", 400},
+		"length and chunked": {requestText("pay", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n"), 400},
+		"large head":         {requestText("look", "X: "+strings.Repeat("x", 17<<10)+"\r\n"), 431},
+		"large body":         {requestText("pay", "Content-Length: 40000000\r\n") + strings.Repeat("x", 70000), 413},
+		"tiny chunks, no end": {requestText("pay", "Transfer-Encoding: chunked\r\n") +
+			strings.Repeat("1\r\nx\r\n", 3000), 408},
+		"unknown verb": {"GET /dance HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n", 404},
+		"contradicting verbs": {strings.Replace(requestText("pay", "Content-Length: 0\r\n"),
+			"Req-Kind: pay", "Req-Kind: look", 1), 404},
+		"unknown method":            {"DELETE /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n", 405},
+		"no path":                   {"GET * HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n", 400},
+		"no id":                     {"GET /look HTTP/1.1\r\nHost: a\r\n\r\n", 400},
+		"no Idempotency-Key":        {requestText("order", "Content-Length: 0\r\n"), 400},
+		"time limit not a number":   {strings.Replace(requestText("look"), "2.5", "NaN", 1), 400},
+		"infinite time limit":       {strings.Replace(requestText("look"), "2.5", "inf", 1), 400},
+		"hexadecimal limit":         {strings.Replace(requestText("look"), "2.5", "0x2", 1), 400},
+		"time limit of many years":  {strings.Replace(requestText("look"), "2.5", "99999999999999", 1), 400},
+		"two ids":                   {requestText("look", "Req-Id: 5\r\n"), 400},
+		"hop-by-hop id":             {requestText("look", "Connection: Req-Id\r\n"), 400},
+		"wrong method for the verb": {strings.Replace(requestText("pay"), "POST", "GET", 1), 400},
+		"body of a GET":             {requestText("look", "Content-Length: 1\r\n") + "x", 400},
+		"endless body":              {requestText("pay", "Content-Length: 60000000\r\n") + strings.Repeat("x", 60000000), 413},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := p.dial(t)
@@ -256,18 +263,18 @@
 				t.Errorf("%d %v, want %d", status, h, c.status)
 			}
 			if status, text, _ := conn.readAnswer(); status != 0 || strings.Contains(text, "reset") {
-				t.Errorf("then %d %s: the connection must end, and well", status, text)
+				t.Errorf("then %d %s: the connection must be closed without a reset", status, text)
 			}
 		})
 	}
 	if b.commands.Load() != 0 {
-		t.Errorf("%d of these reached a backend", b.commands.Load())
+		t.Errorf("%d invalid requests reached a backend", b.commands.Load())
 	}
 }
 
-// What comes behind an answer, or stands ahead of it, is no answer to anything.
-func TestMoreThanAnAnswer(t *testing.T) {
-	t.Run("a second copy that comes late does not pass for the next answer", func(t *testing.T) {
+// Data after an answer, or an interim answer before it, must not be treated as the answer to a command.
+func TestExtraBackendData(t *testing.T) {
+	t.Run("a late duplicate of an answer is not used for the next command", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, func(_ *fakeBackend, c net.Conn, r *http.Request) {
 			answer := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + r.URL.Query().Get("n")
@@ -278,13 +285,14 @@
 		c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
 		for i := range 20 {
 			n := fmt.Sprint(i % 10)
-			if status, got, _ := c.roundTrip(strings.Replace(requestText("look"), "sid=1", "n="+n, 1)); status != 200 || got != n {
+			if status, got, _ := c.roundTrip(strings.Replace(requestText("look"),
+				"sid=1", "n="+n, 1)); status != 200 || got != n {
 				t.Fatalf("command %s was answered %d %s", n, status, got)
 			}
 			time.Sleep(time.Duration(i%5) * time.Millisecond)
 		}
 	})
-	t.Run("an interim answer may be long ahead of the answer", func(t *testing.T) {
+	t.Run("an interim answer may precede the answer by a long time", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 			io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
@@ -298,7 +306,7 @@
 	})
 }
 
-func TestOneID(t *testing.T) {
+func TestDuplicateReqID(t *testing.T) {
 	t.Parallel()
 	b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
@@ -310,19 +318,19 @@
 	io.WriteString(one, same)
 	time.Sleep(30 * time.Millisecond)
 	if status, _, _ := two.roundTrip(same); status != 409 {
-		t.Errorf("an id that is open: %d", status)
+		t.Errorf("Req-Id of an open command: %d", status)
 	}
 	if status, _, _ := one.readAnswer(); status != 200 || b.commands.Load() != 1 {
-		t.Errorf("its owner: %d, sent %d times", status, b.commands.Load())
+		t.Errorf("the open command: %d, sent %d times", status, b.commands.Load())
 	}
 	if status, _, _ := p.dial(t).roundTrip(same); status != 200 {
-		t.Errorf("an id that is open no more: %d", status)
+		t.Errorf("Req-Id of an ended command: %d", status)
 	}
 }
 
-// Whoever connects hears something or is closed within three seconds, and takes nobody's place for that long.
-func TestIdlers(t *testing.T) {
-	t.Run("silence and a trickle end in time", func(t *testing.T) {
+// A connection that sends nothing or too slowly is answered or closed within three seconds, and does not block other clients.
+func TestSilentConnections(t *testing.T) {
+	t.Run("silent and slow connections end in time", func(t *testing.T) {
 		t.Parallel()
 		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil))
 		began := time.Now()
@@ -334,20 +342,20 @@
 			}
 		}()
 		if status, _, _ := quiet.readAnswer(); status != 0 {
-			t.Errorf("silence was answered %d", status)
+			t.Errorf("a silent connection was answered %d", status)
 		}
 		if status, _, _ := slow.readAnswer(); status != 408 {
-			t.Errorf("a trickle was answered %d", status)
+			t.Errorf("a slow connection was answered %d", status)
 		}
 		if took := time.Since(began); took > 2900*time.Millisecond {
-			t.Errorf("that took %s", took)
+			t.Errorf("it took %s", took)
 		}
 	})
-	t.Run("hundreds that say nothing do not crowd out who has said something", func(t *testing.T) {
+	t.Run("hundreds of silent connections do not displace active clients", func(t *testing.T) {
 		t.Parallel()
 		p := runProxy(t, newTestProxy(t, 60, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil))
-		usual := p.dial(t)
-		usual.roundTrip(requestText("look"))
+		regular := p.dial(t)
+		regular.roundTrip(requestText("look"))
 		for range 200 {
 			p.dial(t)
 		}
@@ -355,19 +363,20 @@
 		if status, text, _ := p.dial(t).roundTrip(requestText("look")); status != 200 || time.Since(began) > 2*time.Second {
 			t.Errorf("a new client: %d %s after %s", status, text, time.Since(began))
 		}
-		if status, text, _ := usual.roundTrip(requestText("look")); status != 200 {
-			t.Errorf("the usual client: %d %s", status, text)
+		if status, text, _ := regular.roundTrip(requestText("look")); status != 200 {
+			t.Errorf("the regular client: %d %s", status, text)
 		}
 	})
 }
 
-// Those who asked once and stay hold all places but a few: these must not be all that is left for new ones.
-func TestStayers(t *testing.T) {
+// Idle clients that sent one command and stay occupy almost all connections. New clients must not be limited to the few that
+// are left.
+func TestIdleClientsYieldToNewOnes(t *testing.T) {
 	t.Parallel()
 	p := runProxy(t, newTestProxy(t, 60, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil))
 	for range 24 {
 		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
-			t.Fatalf("one that stays: %d", status)
+			t.Fatalf("a client that stays: %d", status)
 		}
 	}
 	time.Sleep(minIdleSeconds * 1e9)
@@ -380,67 +389,67 @@
 	}
 }
 
-// One that has just connected must not hold up the others until those at rest have rested for long, and who only asks
-// whether the proxy is ready is the first to make way.
-func TestMakingWay(t *testing.T) {
-	for name, asks := range map[string]string{"commands": "", "readiness": "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"} {
+// A new silent connection must not prevent the eviction of idle ones before they have been idle for long. Clients that only
+// check readiness are evicted first.
+func TestEvictClient(t *testing.T) {
+	for name, request := range map[string]string{"commands": "", "readiness": "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := newTestProxy(t, 100, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil)
-			made, usual := make(chan bool, 1), make(chan int, 1)
+			evicted, idleCount := make(chan bool, 1), make(chan int, 1)
 			p.loop.After(0.6, func() {
-				made <- p.evictClient()
-				usual <- p.clients.byState[stateIdle].Len()
+				evicted <- p.evictClient()
+				idleCount <- p.clients.byState[stateIdle].Len()
 			})
 			r := runProxy(t, p)
 			for range 6 {
-				if asks == "" {
+				if request == "" {
 					r.dial(t).roundTrip(requestText("look"))
 				} else {
-					r.dial(t).roundTrip(asks)
+					r.dial(t).roundTrip(request)
 				}
 			}
 			r.dial(t).roundTrip(requestText("look"))
 			time.Sleep(500 * time.Millisecond)
-			r.dial(t) // says nothing
-			if !<-made {
-				t.Error("none made way")
+			r.dial(t) // sends nothing
+			if !<-evicted {
+				t.Error("no connection was evicted")
 			}
-			if n := <-usual; asks == "" && n != 6 || asks != "" && n != 1 {
-				t.Errorf("%d are taken for usual clients", n)
+			if n := <-idleCount; request == "" && n != 6 || request != "" && n != 1 {
+				t.Errorf("%d connections are idle after a command", n)
 			}
 		})
 	}
 }
 
-func TestMemory(t *testing.T) {
+func TestBufferMemoryLimit(t *testing.T) {
 	t.Parallel()
 	l := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil)
 	l.loop.MaxBufferBytes = 64 << 10
 	p := runProxy(t, l)
 	large := requestText("pay", "Content-Length: 60000\r\n")
 	if status, got, _ := p.dial(t).roundTrip(large + strings.Repeat("x", 60000)); status != 200 || len(got) != 60005 {
-		t.Errorf("a body past the memory for all is passed on as it comes: %d, %d bytes", status, len(got))
+		t.Errorf("a body larger than the buffer memory must be streamed: %d, %d bytes", status, len(got))
 	}
 	if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
-		t.Errorf("the next: %d", status)
+		t.Errorf("the next command: %d", status)
 	}
 }
 
-func TestDescriptors(t *testing.T) {
-	t.Run("connections that rest make way for one with a command", func(t *testing.T) {
+func TestDescriptorLimit(t *testing.T) {
+	t.Run("silent connections are evicted for one with a command", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, echo)
 		p := runProxy(t, newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", b)), nil))
 		for range 60 {
 			p.dial(t)
 		}
-		time.Sleep(1200 * time.Millisecond) // the first have had time to say something, and those that waited, too
+		time.Sleep(1200 * time.Millisecond) // the first connections and those from the backlog have had time to send
 		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Errorf("answered %d", status)
 		}
 	})
-	t.Run("past the clients' part a command is declined, not left waiting", func(t *testing.T) {
+	t.Run("past the quota of the clients a command is declined at once", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, hang)
 		l := newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", b)), nil)
@@ -451,7 +460,7 @@
 			if i < 3 {
 				io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
 			} else {
-				io.WriteString(c, requestText("pay")[:50]) // begun and not gone on with
+				io.WriteString(c, requestText("pay")[:50]) // incomplete
 			}
 		}
 		time.Sleep(600 * time.Millisecond)
@@ -462,12 +471,12 @@
 			}
 		}
 	})
-	t.Run("a connection with a command that is not read yet is none that rests", func(t *testing.T) {
+	t.Run("a connection with an unread command is not evicted", func(t *testing.T) {
 		t.Parallel()
 		p := newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil)
 		var callers []*testClient
 		r := &testProxy{Proxy: p}
-		for range 60 { // all are there before the loop first looks
+		for range 60 { // all connect before the loop starts
 			c := r.dial(t)
 			io.WriteString(c, requestText("look"))
 			callers = append(callers, c)
@@ -483,7 +492,7 @@
 			t.Errorf("answered %v", got)
 		}
 	})
-	t.Run("without a descriptor for a backend a relay is never sent, and that harms no backend", func(t *testing.T) {
+	t.Run("without a descriptor for a backend connection nothing is sent and the command is declined", func(t *testing.T) {
 		t.Parallel()
 		p := newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, hang))), nil)
 		p.backends.maxConns = 0
@@ -494,20 +503,23 @@
 	})
 }
 
-// An effectful command that meets a dead connection is lost to its client, so none may be used.
-func TestPool(t *testing.T) {
+// An effectful command that is written to a dead connection can't be retried, so dead connections must not be reused.
+func TestConnectionReuse(t *testing.T) {
 	pay := requestText("pay", "Content-Length: 0\r\n")
 	for name, c := range map[string]struct {
 		do      func(*fakeBackend, net.Conn, *http.Request)
 		between func(p *Proxy, b *fakeBackend)
 		conns   int32
 	}{
-		"kept":                    {echo, func(*Proxy, *fakeBackend) {}, 1},
-		"ended by the backend":    {func(b *fakeBackend, c net.Conn, r *http.Request) { echo(b, c, r); c.Close() }, func(*Proxy, *fakeBackend) {}, 2},
-		"ended with word of it":   {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"), func(*Proxy, *fakeBackend) {}, 2},
-		"more than was asked for": {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nmore"), func(*Proxy, *fakeBackend) {}, 2},
-		"near its idle limit":     {echo, func(p *Proxy, _ *fakeBackend) { p.network.BackendIdleTimeout = 0.05 }, 2},
-		"of a process that was replaced": {echo, func(p *Proxy, b *fakeBackend) {
+		"kept": {echo, func(*Proxy, *fakeBackend) {}, 1},
+		"closed by the backend": {func(b *fakeBackend, c net.Conn, r *http.Request) { echo(b, c, r); c.Close() },
+			func(*Proxy, *fakeBackend) {}, 2},
+		"closed with Connection: close": {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"),
+			func(*Proxy, *fakeBackend) {}, 2},
+		"extra data after the answer": {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nmore"),
+			func(*Proxy, *fakeBackend) {}, 2},
+		"near its idle limit": {echo, func(p *Proxy, _ *fakeBackend) { p.network.BackendIdleTimeout = 0.05 }, 2},
+		"backend process replaced": {echo, func(p *Proxy, b *fakeBackend) {
 			l := readyEndpoint("s-1", b)
 			l["since_ms"] = 1000
 			p.applyEndpoints(parseUpdate(t, endpointList(2, false, l)))
@@ -541,23 +553,23 @@
 	p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
 	slow, greedy := p.dial(t), p.dial(t)
 	io.WriteString(slow, requestText("pay", "Content-Length: 9\r\n")+"half")
-	go io.WriteString(greedy, strings.Repeat(requestText("look"), 200)) // and reads nothing
+	go io.WriteString(greedy, strings.Repeat(requestText("look"), 200)) // and reads no answers
 	if status, _, _ := slow.readAnswer(); status != 408 {
-		t.Errorf("a command that never gets whole: %d", status)
+		t.Errorf("a command that is never complete: %d", status)
 	}
 	time.Sleep(time.Second)
 	if status, _, _ := p.dial(t).roundTrip("GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n"); status != 200 {
-		t.Errorf("the others: %d", status)
+		t.Errorf("another client: %d", status)
 	}
 	p.requestShutdown()
 	p.runResult <- <-p.runResult
 	if n := b.commands.Load(); n > 150 {
-		t.Errorf("%d answers piled up for a client that reads none", n)
+		t.Errorf("%d commands were relayed for a client that reads no answers", n)
 	}
 }
 
-func TestDrain(t *testing.T) {
-	t.Run("nothing is written on a connection that comes up after its backend began to drain", func(t *testing.T) {
+func TestBackendDrainAndIDs(t *testing.T) {
+	t.Run("nothing is written to a connection that is established after its backend began to drain", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, echo)
 		p := newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", b)), nil)
@@ -572,37 +584,39 @@
 			t.Errorf("%d connections, %d commands", b.conns.Load(), b.commands.Load())
 		}
 	})
-	t.Run("an id comes from the name alone, and two names never share one", func(t *testing.T) {
+	t.Run("an id depends on the name alone, and two names never share one", func(t *testing.T) {
 		t.Parallel()
 		s := backendPool{byID: map[balance.BackendID]*backend{}}
 		a := s.assignID("s-1")
 		if a != s.assignID("s-1") {
-			t.Error("the same name, another id")
+			t.Error("the same name got different ids")
 		}
 		s.byID[a] = &backend{}
 		if a == s.assignID("s-1") {
-			t.Error("an id that is taken was given again")
+			t.Error("an id in use was assigned again")
 		}
 	})
 }
 
-func TestConfiguration(t *testing.T) {
+func TestCheckConfig(t *testing.T) {
 	t.Parallel()
 	good := `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "limits": {"sockets": 100},
 		"settings": ` + settingsText + `}`
 	if l, err := ParseConfig([]byte(good)); err != nil || Check(l) != nil {
-		t.Fatalf("a good one: %v %v", err, Check(l))
+		t.Fatalf("a valid configuration: %v %v", err, Check(l))
 	}
 	for name, change := range map[string][2]string{
 		"listen": {`"127.0.0.1:0"`, `"here"`}, "discovery": {`"127.0.0.1:1"`, `"localhost"`}, "seed": {`"1f"`, `"x"`},
 		"limits": {`"sockets": 100`, `"sockets": 3`}, "connect_timeout_ms": {`"connect_timeout_ms"`, `"y"`},
 		"effect": {`"at_most_once"`, `"perhaps"`}, "verbs[0].name": {`{"name": "look"`, `{"title": "look"`},
 		"known": {`"seed"`, `"known": 7, "seed"`}, "azs": {`"azs"`, `"z"`}, "zone": {`"azs"`, `"zone": 2, "azs"`},
-		"peers[0]": {`"seed"`, `"peers": ["here"], "seed"`}, "comes twice": {`"seed"`, `"peers": ["127.0.0.1:7", "127.0.0.1:7"], "seed"`},
+		"peers[0]":               {`"seed"`, `"peers": ["here"], "seed"`},
+		"comes twice":            {`"seed"`, `"peers": ["127.0.0.1:7", "127.0.0.1:7"], "seed"`},
 		"prices.peer is below 0": {`"azs"`, `"prices": {"peer": -0.1}, "azs"`}, "me is below 0": {`"me": 0`, `"me": -1`},
 		"response_goal_ms is below 0": {`"response_goal_ms": 2500`, `"response_goal_ms": -1`},
-		"1e999":                       {`"cold_ms": 7400`, `"cold_ms": 1e999`}, "peers of type bool": {`"cancel"`, `"peers": 1, "cancel"`},
-		"0 addresses for 1": {`"cancel"`, `"peers": true, "cancel"`},
+		"1e999":                       {`"cold_ms": 7400`, `"cold_ms": 1e999`},
+		"peers of type bool":          {`"cancel"`, `"peers": 1, "cancel"`},
+		"0 addresses for 1":           {`"cancel"`, `"peers": true, "cancel"`},
 	} {
 		l, err := ParseConfig([]byte(strings.Replace(good, change[0], change[1], 1)))
 		if err == nil {
@@ -614,19 +628,21 @@
 	}
 }
 
-// discovery writes to each watch what its story says and keeps it open until the test ends.
-func fakeDiscovery(t *testing.T, story func(n int, c net.Conn, r *http.Request)) net.Listener {
+// fakeDiscovery serves watches: it writes the response head and calls a function for the rest, with the number of the watch.
+// Connections stay open until the test ends.
+func fakeDiscovery(t *testing.T, handle func(n int, c net.Conn, r *http.Request)) net.Listener {
 	l, _ := newWatchServer(t, func(n int, c net.Conn, r *http.Request) {
 		io.WriteString(c, chunkedHead)
-		story(n, c, r)
+		handle(n, c, r)
 	})
 	return l
 }
 
+// writeChunk writes one chunk of a chunked body.
 func writeChunk(c net.Conn, text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
 func TestDiscovery(t *testing.T) {
-	t.Run("not ready before a list, ready with one in pieces, and a backend gone gets nothing", func(t *testing.T) {
+	t.Run("not ready before a list, ready after one in several chunks, and a removed backend gets nothing", func(t *testing.T) {
 		t.Parallel()
 		a, b := newFakeBackend(t, echo), newFakeBackend(t, echo)
 		step := make(chan bool)
@@ -640,34 +656,34 @@
 			<-step
 		})
 		p := runProxy(t, newTestProxy(t, 200, "", d))
-		is := func(want int) {
+		expectReadiness := func(want int) {
 			t.Helper()
 			time.Sleep(50 * time.Millisecond)
 			if status, _, _ := p.dial(t).roundTrip("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"); status != want {
-				t.Errorf("ready says %d, want %d", status, want)
+				t.Errorf("readiness is %d, want %d", status, want)
 			}
 		}
-		is(503)
+		expectReadiness(503)
 		step <- true
-		is(200)
+		expectReadiness(200)
 		step <- true
-		is(200)
+		expectReadiness(200)
 		for range 10 {
 			if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 				t.Errorf("answered %d", status)
 			}
 		}
 		if a.commands.Load() != 0 || b.commands.Load() != 10 {
-			t.Errorf("gone got %d, the other %d", a.commands.Load(), b.commands.Load())
+			t.Errorf("the removed backend got %d, the other %d", a.commands.Load(), b.commands.Load())
 		}
 		close(step)
 	})
-	t.Run("a watch that ends or says nothing is opened again where it was, and the list is kept", func(t *testing.T) {
+	t.Run("a watch that ends or is silent is resumed at its index, and the list is kept", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, echo)
-		asked := make(chan string, 9)
+		requestURIs := make(chan string, 9)
 		d := fakeDiscovery(t, func(n int, c net.Conn, r *http.Request) {
-			asked <- r.RequestURI
+			requestURIs <- r.RequestURI
 			switch n {
 			case 1:
 				writeChunk(c, endpointList(7, true, readyEndpoint("s-b", b))+"\n")
@@ -680,51 +696,51 @@
 		})
 		p := runProxy(t, newTestProxy(t, 200, endpointList(3, true, readyEndpoint("s-b", b)), d))
 		for _, want := range []string{"3", "7", "7", "7"} {
-			wantWatchRequest(t, asked, "/api/targets?follow=1&since="+want)
+			wantWatchRequest(t, requestURIs, "/api/targets?follow=1&since="+want)
 		}
 		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 			t.Errorf("answered %d", status)
 		}
 	})
-	t.Run("a new configuration turns the watch to another address, and what was known stays", func(t *testing.T) {
+	t.Run("a reload moves the watch to another address, and the list is kept", func(t *testing.T) {
 		t.Parallel()
 		b, c := newFakeBackend(t, echo), newFakeBackend(t, echo)
-		left, asked := make(chan bool), make(chan string, 1)
+		closed, requestURIs := make(chan bool), make(chan string, 1)
 		first := fakeDiscovery(t, func(_ int, conn net.Conn, _ *http.Request) {
 			writeChunk(conn, endpointList(7, true, readyEndpoint("s-b", b))+"\n")
 			conn.Read(make([]byte, 1))
-			close(left)
+			close(closed)
 		})
 		second := fakeDiscovery(t, func(_ int, conn net.Conn, r *http.Request) {
-			asked <- r.RequestURI
+			requestURIs <- r.RequestURI
 			time.Sleep(200 * time.Millisecond)
 			writeChunk(conn, endpointList(2, true, readyEndpoint("s-c", c))+"\n")
 			time.Sleep(time.Second)
 		})
 		p := runProxy(t, newTestProxy(t, 200, "", first))
 		time.Sleep(100 * time.Millisecond)
-		caller := p.dial(t)
+		client := p.dial(t)
 		ask := func() {
 			t.Helper()
-			if status, _, _ := caller.roundTrip(requestText("look")); status != 200 {
+			if status, _, _ := client.roundTrip(requestText("look")); status != 200 {
 				t.Errorf("answered %d", status)
 			}
 		}
 		ask()
 		p.Reload(testConfig("", second, settingsText))
 		select {
-		case <-left:
+		case <-closed:
 		case <-time.After(time.Second):
-			t.Fatal("the old watch stays open")
+			t.Fatal("the old watch is still open")
 		}
-		if uri := <-asked; uri != "/api/targets?follow=1" {
-			t.Errorf("asked for %s: another agent's versions are its own", uri)
+		if uri := <-requestURIs; uri != "/api/targets?follow=1" {
+			t.Errorf("requested %s: the index of another agent must not be used", uri)
 		}
 		ask()
 		time.Sleep(400 * time.Millisecond)
 		ask()
 		if b.commands.Load() != 2 || c.commands.Load() != 1 {
-			t.Errorf("the first list's backend got %d, the second's %d", b.commands.Load(), c.commands.Load())
+			t.Errorf("the backend of the first list got %d, that of the second %d", b.commands.Load(), c.commands.Load())
 		}
 	})
 }
--- a/internal/proxy/rejections_test.go
+++ b/internal/proxy/rejections_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A rejection says when to retry, whoever of the proxy words it, and within what clients honour.
-func TestEveryRejectionSaysWhenToRetry(t *testing.T) {
+// Every rejection has a Retry-After, whichever part of the proxy sends it, within the range that clients honour.
+func TestRejectionsHaveRetryAfter(t *testing.T) {
 	check := func(t *testing.T, status int, header http.Header) {
 		t.Helper()
 		after, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
@@ -19,7 +19,7 @@
 			t.Errorf("%d, Retry-After %q", status, header.Get("Retry-After"))
 		}
 	}
-	t.Run("before discovery has said anything", func(t *testing.T) {
+	t.Run("before the first message of discovery", func(t *testing.T) {
 		t.Parallel()
 		silent, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -31,10 +31,11 @@
 		status, _, header := r.dial(t).roundTrip(requestText("look"))
 		check(t, status, header)
 	})
-	t.Run("with more open than is allowed", func(t *testing.T) {
+	t.Run("over the limit of open commands", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, hang)
-		l := testConfig(endpointList(1, true, readyEndpoint("s-a", b)), nil, strings.Replace(settingsText, `"max_open": 1000`, `"max_open": 1`, 1))
+		l := testConfig(endpointList(1, true, readyEndpoint("s-a", b)), nil,
+			strings.Replace(settingsText, `"max_open": 1000`, `"max_open": 1`, 1))
 		p, err := New(l)
 		if err != nil {
 			t.Fatal(err)
@@ -42,30 +43,31 @@
 		r := runProxy(t, p)
 		time.Sleep(600 * time.Millisecond)
 		io.WriteString(r.dial(t), requestText("look"))
-		r.await(t, "one open", func() bool { return len(r.commands) == 1 })
+		r.await(t, "a command is open", func() bool { return len(r.commands) == 1 })
 		status, _, header := r.dial(t).roundTrip(requestText("look"))
 		check(t, status, header)
 	})
-	t.Run("after the end, and in the middle of a request at its last moment", func(t *testing.T) {
+	t.Run("after the end of a shutdown, for complete and incomplete requests", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, echo)
 		r := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-a", b)), nil))
 		time.Sleep(600 * time.Millisecond)
-		whole, half := r.dial(t), r.dial(t)
-		io.WriteString(half, "GET /look/x HTTP/1.1\r\n")
-		r.await(t, "half a request", func() bool { return r.clients.byState[stateSending].Len() == 1 })
+		complete, incomplete := r.dial(t), r.dial(t)
+		io.WriteString(incomplete, "GET /look/x HTTP/1.1\r\n")
+		r.await(t, "an incomplete request has arrived", func() bool { return r.clients.byState[stateSending].Len() == 1 })
 		r.onLoop(func() { r.Proxy.shutdown.rejecting = true })
-		status, _, header := whole.roundTrip(requestText("look"))
+		status, _, header := complete.roundTrip(requestText("look"))
 		check(t, status, header)
-		r.onLoop(func() { r.declineUnread() })
-		status, _, header = half.readAnswer()
+		r.onLoop(func() { r.declineIncomplete() })
+		status, _, header = incomplete.readAnswer()
 		check(t, status, header)
 		r.onLoop(func() { r.Proxy.shutdown.rejecting = false })
 	})
-	t.Run("none is told where the settings do not allow it", func(t *testing.T) {
+	t.Run("no Retry-After if the settings do not allow it", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, echo)
-		l := testConfig(endpointList(1, true, readyEndpoint("s-a", b)), nil, strings.Replace(settingsText, `"retry_after": true`, `"retry_after": false`, 1))
+		l := testConfig(endpointList(1, true, readyEndpoint("s-a", b)), nil,
+			strings.Replace(settingsText, `"retry_after": true`, `"retry_after": false`, 1))
 		p, err := New(l)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -1,6 +1,7 @@
-// This file owns bodies that are passed on as they come: answers on their way to a client, commands on their way to a
-// backend. It must never hold more than a mark and what one read brings, begin an answer twice, or let one that broke
-// off look whole.
+// This file streams bodies that are too large or too slow to buffer: answers to clients and commands to backends. A stream
+// buffers at most the high watermark and the data of one read. An answer is started only once, and one that breaks off must
+// not look complete to the client.
+
 package proxy
 
 import (
@@ -13,19 +14,19 @@
 )
 
 const (
-	passMark                 = 64 << 10 // bytes that may wait to be written on one side before the other is read on
-	passTight                = 4 << 10  // the same while more than half of the buffers' part of the memory is in use
-	passAfter                = 0.25     // seconds of an answer of unknown length after which it goes on as it comes, if it moves
-	streamBeforeLimitSeconds = 0.05     // seconds before the time limit by which it goes on in any case: of a long one the first bytes are timed
-	endlessCutoffSeconds     = 0.4      // seconds after the limit at which what is no long answer by then is cut: half a second late it is lost
-	answerStill              = 10.0     // seconds that a backend may stand still in an answer that the client has begun to get
-	bodyStill                = 2.5      // seconds that a client may stand still in a body that is passed on: it is owed an answer within 3
-	leastRate                = 32e3     // bytes a second that a client must send at least of a body: half of what slow ones do
-	bodyGrace                = 1.0      // seconds more that any body may take
+	highWatermarkBytes       = 64 << 10 // unsent data on one side at which reading from the other pauses
+	lowMemoryWatermarkBytes  = 4 << 10  // the same while more than half of the read buffer memory is in use
+	streamAfterSeconds       = 0.25     // from the first byte of an answer of unknown length, if it makes progress
+	streamBeforeLimitSeconds = 0.05     // before the time limit, in any case: the first bytes of an answer must be in time
+	endlessCutoffSeconds     = 0.4      // after the time limit, if the answer is not long by then: at 0.5 s it counts as lost
+	answerStallSeconds       = 10.0     // without data from the backend in a streamed answer
+	bodyStallSeconds         = 2.5      // without data from the client in a streamed body: an answer is due within 3 s
+	minBodyBytesPerSecond    = 32e3     // half the rate of slow clients
+	bodyGraceSeconds         = 1.0      // in addition to the time at the minimum rate
 )
 
-// piece writes a part of a body, as a chunk where the length is not said; nothing ends it.
-func appendPiece(to []byte, chunked bool, data []byte) []byte {
+// appendBodyPart appends part of a body, as a chunk if chunked. It does not append the last chunk.
+func appendBodyPart(to []byte, chunked bool, data []byte) []byte {
 	if !chunked {
 		return append(to, data...)
 	}
@@ -33,35 +34,37 @@
 	return append(append(to, data...), "\r\n"...)
 }
 
-// mark is how many bytes may wait on one side before the other is read on: hundreds of slow ones fill any memory.
-func (p *Proxy) mark() int {
+// highWatermark returns how many unsent bytes one side of a stream may have before reading from the other pauses. It is
+// lower when memory is short, since hundreds of slow streams would fill any memory.
+func (p *Proxy) highWatermark() int {
 	if p.loop.BufferedBytes() > p.loop.MaxBufferBytes/2 {
-		return passTight
+		return lowMemoryWatermarkBytes
 	}
-	return passMark
+	return highWatermarkBytes
 }
 
-// ---- Answers.
+// Answers.
 
-// passes tells whether an answer that is not whole is to go on as it comes.
+// shouldStream reports whether an incomplete answer is to be streamed to the client.
 func (l *backendConn) shouldStream(now float64) bool {
 	m := &l.msg
 	if !m.HeadComplete() {
 		return false
 	}
-	return m.BodyLength() > http1.MaxBufferedResponseBody || m.DecodedBytes() > http1.MaxBufferedResponseBody || l.conn.ReadBufferFull() ||
-		m.BodyLength() < 0 && m.DecodedBytes() > 0 && l.answerBegan > 0 && now > min(l.answerBegan+passAfter, l.relay.cmd.expires-streamBeforeLimitSeconds)
+	return m.BodyLength() > http1.MaxBufferedResponseBody || m.DecodedBytes() > http1.MaxBufferedResponseBody ||
+		l.conn.ReadBufferFull() || m.BodyLength() < 0 && m.DecodedBytes() > 0 && l.answerBegan > 0 &&
+		now > min(l.answerBegan+streamAfterSeconds, l.relay.cmd.expires-streamBeforeLimitSeconds)
 }
 
-// pass begins to pass the answer on: from here on the command belongs to this relay.
+// startStreaming begins to stream the answer. From here on no other relay can answer the command.
 func (l *backendConn) startStreaming() {
 	p, r, now := l.p, l.relay, l.p.loop.Now()
 	cmd, c := r.cmd, r.cmd.client
 	if l.msg.Status != 200 {
-		l.handleAnswer(false) // its head says all that is wanted of it
+		l.handleAnswer(false) // the status alone decides the outcome
 		return
 	}
-	if cmd.done || c == nil || cmd.answerConn != nil { // a loser that may not be called back
+	if cmd.done || c == nil || cmd.answerConn != nil { // another relay has answered, and this one may not be cancelled
 		l.closeAndReport(balance.NotSent)
 		return
 	}
@@ -69,30 +72,30 @@
 	cmd.answerConn, cmd.streamed, r.answerStartDelay = l, true, now-r.sentAt
 	cmd.timer.Stop()
 	if l.msg.BodyLength() < 0 {
-		cmd.timer = p.loop.After(cmd.expires+endlessCutoffSeconds-now, func() { l.endless(cmd) })
+		cmd.timer = p.loop.After(cmd.expires+endlessCutoffSeconds-now, func() { l.abortEndless(cmd) })
 	}
 	l.timer.Stop()
-	c.keepAlive = c.msg.KeepAlive && !p.closes() && !c.bodyStreaming && (l.msg.BodyLength() >= 0 || !c.msg.IsHTTP10())
+	c.keepAlive = c.msg.KeepAlive && !p.closesAfterAnswer() && !c.bodyStreaming && (l.msg.BodyLength() >= 0 || !c.msg.IsHTTP10())
 	c.answerChunked = l.msg.BodyLength() < 0 && !c.msg.IsHTTP10()
-	h := p.headOf(200, l.msg.BodyLength(), c.answerChunked, c.keepAlive)
+	h := p.responseHeadFramed(200, l.msg.BodyLength(), c.answerChunked, c.keepAlive)
 	h = append(l.msg.AppendFields(h, in), "\r\n"...)
 	if body := l.msg.Body(in); len(body) > 0 {
-		h = appendPiece(h, c.answerChunked, body)
+		h = appendBodyPart(h, c.answerChunked, body)
 	}
 	p.scratch = h
 	c.conn.Write(h)
 	l.conn.Consume(l.msg.Size())
 	l.conn.UseLargeBuffer()
 	l.lastProgress = now
-	l.timer = p.loop.After(answerStill, l.still)
+	l.timer = p.loop.After(answerStallSeconds, l.checkStall)
 	p.balancer.StreamStarted(now, cmd.id, r.index)
 	l.streamAnswer()
 }
 
-// passOn passes on what has come.
+// streamAnswer writes the data that has arrived from the backend to the client.
 func (l *backendConn) streamAnswer() {
 	c := l.relay.cmd.client
-	if c == nil { // the client has gone, and the relay may not be called back
+	if c == nil { // the client has disconnected, and the relay may not be cancelled
 		l.closeAndReport(balance.NotSent)
 		return
 	}
@@ -106,7 +109,7 @@
 			return
 		}
 		if len(data) > 0 && c.answerChunked {
-			l.p.scratch = appendPiece(l.p.scratch[:0], true, data)
+			l.p.scratch = appendBodyPart(l.p.scratch[:0], true, data)
 			c.conn.Write(l.p.scratch)
 		} else if len(data) > 0 {
 			c.conn.Write(data)
@@ -119,36 +122,36 @@
 			break
 		}
 	}
-	if c.conn.UnsentBytes() > l.p.mark() {
+	if c.conn.UnsentBytes() > l.p.highWatermark() {
 		l.conn.PauseWithEOF()
 		l.readPaused = true
 	}
 }
 
-// goOn reads on once the client has taken what there was.
-func (l *backendConn) goOn() {
+// resumeAnswer resumes reading from the backend once the client has taken the pending data.
+func (l *backendConn) resumeAnswer() {
 	if l.readPaused {
 		l.readPaused, l.lastProgress = false, l.p.loop.Now()
 		l.conn.Resume()
 	}
 }
 
-// still ends a passage of which one side stands still: the backend, or the client that takes nothing.
-func (l *backendConn) still() {
+// checkStall aborts a streamed answer when the backend sends nothing or the client reads nothing for too long.
+func (l *backendConn) checkStall() {
 	now, r := l.p.loop.Now(), l.relay
-	since, most := l.lastProgress, answerStill
+	since, maxSeconds := l.lastProgress, answerStallSeconds
 	if c := r.cmd.client; l.readPaused && c != nil {
-		since, most = max(l.lastProgress, c.conn.LastSentAt()), untaken
+		since, maxSeconds = max(l.lastProgress, c.conn.LastSentAt()), writeStallSeconds
 	}
-	if left := since + most - now; left > 0 {
-		l.timer = l.p.loop.After(left, l.still)
+	if left := since + maxSeconds - now; left > 0 {
+		l.timer = l.p.loop.After(left, l.checkStall)
 		return
 	}
 	log.Printf("msg=answer_stands command=%d untaken=%t", r.cmd.id, l.readPaused)
 	l.abortStream(balance.Reset)
 }
 
-// passed ends a passage that is whole.
+// finishStream completes a streamed answer.
 func (l *backendConn) finishStream(keep bool) {
 	p, r := l.p, l.relay
 	cmd, c := r.cmd, r.cmd.client
@@ -168,9 +171,9 @@
 	p.reportOutcome(r, balance.Answered)
 }
 
-// endless ends a passage soon after its command's time limit if it is no long answer by then: one that trickles on would never
-// end, while of a long one only the first bytes are timed.
-func (l *backendConn) endless(cmd *command) {
+// abortEndless aborts a streamed answer soon after its command's time limit if it is not long by then. A trickle would never
+// end, while for a long answer only the first bytes must be in time.
+func (l *backendConn) abortEndless(cmd *command) {
 	if cmd.answerConn == l && l.msg.DecodedBytes() <= http1.MaxBufferedResponseBody {
 		log.Printf("msg=answer_endless command=%d bytes=%d", cmd.id, l.msg.DecodedBytes())
 		l.p.invalidCount++
@@ -178,13 +181,13 @@
 	}
 }
 
-// breakOff ends a passage that can't be made whole, so that the client can tell.
+// abortStream ends a streamed answer that can't be completed, in a way that the client can detect.
 func (l *backendConn) abortStream(result balance.Result) {
 	l.p.abortAnswer(l.relay.cmd)
 	l.closeAndReport(result)
 }
 
-// cut ends the connection of a client whose answer has begun and does not become whole.
+// abortAnswer closes the connection of a client whose answer has begun and can't be completed.
 func (p *Proxy) abortAnswer(cmd *command) {
 	c := cmd.client
 	cmd.done, cmd.client, cmd.answerConn = true, nil, nil
@@ -200,42 +203,43 @@
 	c.close()
 }
 
-// ---- Commands.
+// Commands.
 
-// tooLong tells whether a command that is not whole is to be passed on as it comes.
-func (c *clientConn) tooLong() bool {
+// shouldStreamBody reports whether an incomplete command is to be streamed to the backend.
+func (c *clientConn) shouldStreamBody() bool {
 	return c.msg.HeadComplete() && (c.msg.BodyLength() > http1.MaxBufferedCommandBody || c.conn.ReadBufferFull())
 }
 
-// feedTo passes on what is there of a command, head and all, and has the rest follow.
+// streamBodyTo writes the head and the data that has arrived of a command's body to the backend, and begins to stream the
+// rest.
 func (c *clientConn) streamBodyTo(l *backendConn, head []byte) {
 	p, in := c.p, c.conn.Unconsumed()
 	cmd := c.cmd
 	if body := c.msg.Body(in); len(body) > 0 {
-		head = appendPiece(head, c.msg.Chunked(), body)
+		head = appendBodyPart(head, c.msg.Chunked(), body)
 	}
 	p.scratch = head
 	l.conn.Write(head)
-	if !c.invited && strings.EqualFold(string(c.msg.Get(in, "Expect")), "100-continue") {
-		c.invited = true
+	if !c.sentContinue && strings.EqualFold(string(c.msg.Get(in, "Expect")), "100-continue") {
+		c.sentContinue = true
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	c.conn.Consume(c.msg.Size())
 	c.conn.UseLargeBuffer()
-	c.bodyLink, c.passed, c.lastProgress, cmd.streamed = l, true, p.loop.Now(), true
+	c.bodyLink, c.consumed, c.lastProgress, cmd.streamed = l, true, p.loop.Now(), true
 	cmd.timer.Stop()
-	n := l.relay.index
-	p.loop.Post(func() { // never from inside a call of the Balancer's
+	relayIndex := l.relay.index
+	p.loop.Post(func() { // the Balancer must not be called from within its own calls
 		if c.cmd == cmd && c.bodyLink == l {
-			p.balancer.StreamStarted(p.loop.Now(), cmd.id, n)
+			p.balancer.StreamStarted(p.loop.Now(), cmd.id, relayIndex)
 			c.conn.Resume()
-			c.feedOn()
+			c.forwardBody()
 		}
 	})
 }
 
-// feedOn passes on what has come.
-func (c *clientConn) feedOn() {
+// forwardBody writes the body data that has arrived from the client to the backend.
+func (c *clientConn) forwardBody() {
 	l := c.bodyLink
 	c.lastProgress = c.p.loop.Now()
 	for in := c.conn.Unconsumed(); len(in) > 0; in = c.conn.Unconsumed() {
@@ -245,36 +249,36 @@
 			return
 		}
 		if len(data) > 0 && c.msg.Chunked() {
-			c.p.scratch = appendPiece(c.p.scratch[:0], true, data)
+			c.p.scratch = appendBodyPart(c.p.scratch[:0], true, data)
 			l.conn.Write(c.p.scratch)
 		} else if len(data) > 0 {
 			l.conn.Write(data)
 		}
 		c.conn.Consume(used)
 		if done {
-			c.allCame()
+			c.finishBody()
 			return
 		}
 		if used == 0 {
 			break
 		}
 	}
-	if l.conn.UnsentBytes() > c.p.mark() {
+	if l.conn.UnsentBytes() > c.p.highWatermark() {
 		c.conn.PauseWithEOF()
-		c.holds = true
+		c.readPaused = true
 	}
 }
 
-// feedMore reads on once the backend has taken what there was.
+// resumeBody resumes reading from the client once the backend has taken the pending data.
 func (c *clientConn) resumeBody() {
-	if c.holds {
-		c.holds, c.lastProgress = false, c.p.loop.Now()
+	if c.readPaused {
+		c.readPaused, c.lastProgress = false, c.p.loop.Now()
 		c.conn.Resume()
 	}
 }
 
-// allCame ends the passage of a command's body: its time counts from here.
-func (c *clientConn) allCame() {
+// finishBody completes a streamed body. The command's time limit starts here.
+func (c *clientConn) finishBody() {
 	p, cmd, l := c.p, c.cmd, c.bodyLink
 	if c.msg.Chunked() {
 		l.conn.Write([]byte("0\r\n\r\n"))
@@ -289,9 +293,9 @@
 	}
 }
 
-// spoilt ends a command whose body can't be read any further: it never ran.
+// failBody ends a command whose body can't be read to its end, so that it has not run.
 func (c *clientConn) failBody(status int, text string) {
-	p, cmd, feed := c.p, c.cmd, c.bodyLink
+	p, cmd, bodyConn := c.p, c.cmd, c.bodyLink
 	if cmd.answerConn != nil {
 		p.abortAnswer(cmd)
 	} else {
@@ -299,19 +303,19 @@
 		c.rejectInvalid(status, text)
 	}
 	p.balancer.ClientDisconnected(p.loop.Now(), cmd.id)
-	feed.closeAndReport(balance.NotSent)
+	bodyConn.closeAndReport(balance.NotSent)
 	p.removeIfFinished(cmd)
 }
 
-// sweepBodies ends the passage of commands of which one side stands still: the client, or the backend that takes nothing.
+// sweepBodies ends streamed bodies when the client sends nothing or the backend reads nothing for too long.
 func (p *Proxy) sweepBodies(now float64) {
 	for e := p.clients.byState[stateBusy].Front(); e != nil; {
 		c := e.Value.(*clientConn)
 		switch e = e.Next(); {
 		case c.bodyLink == nil:
-		case c.holds && now-max(c.lastProgress, c.bodyLink.conn.LastSentAt()) > answerStill:
+		case c.readPaused && now-max(c.lastProgress, c.bodyLink.conn.LastSentAt()) > answerStallSeconds:
 			c.bodyLink.closeAndReport(balance.ConnectFailed)
-		case !c.holds && now-c.lastProgress > bodyStill:
+		case !c.readPaused && now-c.lastProgress > bodyStallSeconds:
 			c.failBody(408, "the body did not come in time")
 		}
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// filling is a body whose every part tells its place.
+// numberedBody returns a body of n bytes that contains its offset every 4096 bytes.
 func numberedBody(n int) []byte {
 	b := bytes.Repeat([]byte("0123456789abcdefghijklmnopqrstu\n"), n/32+1)[:n]
 	for i := 0; i+8 <= n; i += 4096 {
@@ -23,11 +23,13 @@
 	return b
 }
 
-// answerBy writes a 200 with the body in one of the ways that there are; parts gets each piece before it is written.
-func respondFramed(way string, body []byte, piece int, between func(sent int) bool) func(*fakeBackend, net.Conn, *http.Request) {
+// respondFramed answers 200 with the body framed by "length", "chunks" or "close", in pieces. beforePiece, if set, is called
+// before each piece with the number of bytes sent, and closes the connection by returning false.
+func respondFramed(framing string, body []byte, piece int,
+	beforePiece func(sent int) bool) func(*fakeBackend, net.Conn, *http.Request) {
 	return func(_ *fakeBackend, c net.Conn, _ *http.Request) {
 		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n")
-		switch way {
+		switch framing {
 		case "length":
 			fmt.Fprintf(c, "Content-Length: %d\r\nContent-Length: %d\r\n\r\n", len(body), len(body))
 		case "chunks":
@@ -35,21 +37,21 @@
 		case "close":
 			fmt.Fprint(c, "\r\n")
 		}
-		for at := 0; at < len(body); at += piece {
-			part := body[at:min(at+piece, len(body))]
-			if between != nil && !between(at) {
+		for offset := 0; offset < len(body); offset += piece {
+			part := body[offset:min(offset+piece, len(body))]
+			if beforePiece != nil && !beforePiece(offset) {
 				c.Close()
 				return
 			}
-			if way == "chunks" {
+			if framing == "chunks" {
 				fmt.Fprintf(c, "%x;a=\"b\"\r\n%s\r\n", len(part), part)
 			} else if _, err := c.Write(part); err != nil {
 				return
 			}
 		}
-		if way == "chunks" {
+		if framing == "chunks" {
 			io.WriteString(c, "000\r\nX-Sum: 1\r\n\r\n")
-		} else if way == "close" {
+		} else if framing == "close" {
 			c.Close()
 		}
 	}
@@ -57,49 +59,49 @@
 
 func TestLargeAnswers(t *testing.T) {
 	body := numberedBody(8 << 20)
-	sum := sha256.Sum256(body)
-	for _, way := range []string{"length", "chunks", "close"} {
-		t.Run("many at once go through with little memory, and are whole: "+way, func(t *testing.T) {
+	wantSum := sha256.Sum256(body)
+	for _, framing := range []string{"length", "chunks", "close"} {
+		t.Run("many at once are streamed completely with little memory: "+framing, func(t *testing.T) {
 			t.Parallel()
-			b := newFakeBackend(t, respondFramed(way, body, 50000, nil))
+			b := newFakeBackend(t, respondFramed(framing, body, 50000, nil))
 			l := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)
 			l.loop.MaxBufferBytes = 8 << 20
 			p := runProxy(t, l)
-			left := make(chan error, 6)
-			for range cap(left) {
+			results := make(chan error, 6)
+			for range cap(results) {
 				c := p.dial(t)
 				go func() {
 					io.WriteString(c, requestText("look"))
 					rsp, err := http.ReadResponse(c.in, nil)
 					if err != nil {
-						left <- err
+						results <- err
 						return
 					}
 					h := sha256.New()
-					if _, err = io.Copy(h, rsp.Body); err == nil && !bytes.Equal(h.Sum(nil), sum[:]) {
-						err = fmt.Errorf("other bytes")
+					if _, err = io.Copy(h, rsp.Body); err == nil && !bytes.Equal(h.Sum(nil), wantSum[:]) {
+						err = fmt.Errorf("the body differs")
 					}
-					left <- err
+					results <- err
 				}()
 			}
-			for range cap(left) {
-				if err := <-left; err != nil {
+			for range cap(results) {
+				if err := <-results; err != nil {
 					t.Error(err)
 				}
 			}
 			p.onLoop(func() {
 				if p.loop.BufferedBytes() > 0 {
-					t.Errorf("%d bytes are still held", p.loop.BufferedBytes())
+					t.Errorf("%d bytes are still buffered", p.loop.BufferedBytes())
 				}
 			})
 		})
-		t.Run("one that breaks off midway shows as not whole: "+way, func(t *testing.T) {
+		t.Run("one that breaks off is detectably incomplete: "+framing, func(t *testing.T) {
 			t.Parallel()
 			b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
-				respondFramed(way, body, 50000, func(sent int) bool { return sent < 1<<20 })(b, c, r)
+				respondFramed(framing, body, 50000, func(sent int) bool { return sent < 1<<20 })(b, c, r)
 				resetConn(b, c, r)
 			})
-			if way == "close" {
+			if framing == "close" {
 				b = newFakeBackend(t, func(_ *fakeBackend, c net.Conn, _ *http.Request) {
 					c.Write(append([]byte("HTTP/1.1 200 OK\r\n\r\n"), body[:1<<20]...))
 					time.Sleep(50 * time.Millisecond)
@@ -108,7 +110,7 @@
 			}
 			c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
 			if status, got, _ := c.roundTrip(requestText("pay", "Content-Length: 0\r\n")); status == 200 {
-				t.Errorf("%d bytes passed for whole", len(got))
+				t.Errorf("%d bytes were taken for a complete answer", len(got))
 			}
 			if b.commands.Load() != 1 {
 				t.Errorf("sent %d times", b.commands.Load())
@@ -132,36 +134,39 @@
 		other := p.dial(t)
 		for range 20 {
 			if status, _, _ := other.roundTrip(requestText("look")); status != 200 {
-				t.Errorf("another got %d", status)
+				t.Errorf("another client got %d", status)
 			}
 		}
 		time.Sleep(300 * time.Millisecond)
 		var held int
 		p.onLoop(func() { held = p.loop.BufferedBytes() })
 		if n := sent.Load(); n > 24<<20 || held > 1<<20 {
-			t.Errorf("%d bytes were taken from the backend, %d are held", n, held)
+			t.Errorf("%d bytes were read from the backend, %d are buffered", n, held)
 		}
 		c.in.UnreadByte()
 		if status, got, _ := c.readAnswer(); status != 200 || len(got) != 32<<20 {
-			t.Errorf("in the end %d, %d bytes", status, len(got))
+			t.Errorf("the whole answer: %d, %d bytes", status, len(got))
 		}
 	})
-	t.Run("a slow one that moves outlives its time limit, first bytes first, and a drain leaves it alone", func(t *testing.T) {
+	t.Run("a slow one that makes progress may exceed its time limit, and is not cut by a drain", func(t *testing.T) {
 		t.Parallel()
-		b := newFakeBackend(t, respondFramed("chunks", numberedBody(300<<10), 10<<10, func(int) bool { time.Sleep(120 * time.Millisecond); return true }))
+		b := newFakeBackend(t, respondFramed("chunks", numberedBody(300<<10), 10<<10, func(int) bool {
+			time.Sleep(120 * time.Millisecond)
+			return true
+		}))
 		p := runWithAdmin(t, endpointList(1, true, readyEndpoint("s-1", b)), nil)
 		c, began := p.dial(t), time.Now()
 		io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
 		c.in.Peek(1)
 		if d := time.Since(began); d > 800*time.Millisecond {
-			t.Errorf("the first byte came after %v", d)
+			t.Errorf("the first byte arrived after %v", d)
 		}
 		p.wantAdminStatus(t, 200, "POST", "/admin/quiesce")
 		if status, got, _ := c.readAnswer(); status != 200 || len(got) != 300<<10 || time.Since(began) < 3*time.Second {
 			t.Errorf("%d, %d bytes after %v", status, len(got), time.Since(began))
 		}
 	})
-	t.Run("a client of HTTP/1.0 gets one of unknown length without chunks", func(t *testing.T) {
+	t.Run("an HTTP/1.0 client gets one of unknown length without chunks", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, respondFramed("chunks", numberedBody(200<<10), 50000, nil))
 		c := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)).dial(t)
@@ -175,9 +180,11 @@
 
 func TestLargeCommands(t *testing.T) {
 	body := numberedBody(3 << 20)
-	for name, framing := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue\r\n", len(body)),
-		"chunks": "Transfer-Encoding: chunked\r\n"} {
-		t.Run("one passes through in pieces, slowly, and the next on its connection too: "+name, func(t *testing.T) {
+	for name, framing := range map[string]string{
+		"length": fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue\r\n", len(body)),
+		"chunks": "Transfer-Encoding: chunked\r\n",
+	} {
+		t.Run("one is streamed in slow pieces, and so is the next on its connection: "+name, func(t *testing.T) {
 			t.Parallel()
 			b := newFakeBackend(t, echo)
 			l := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)
@@ -187,7 +194,7 @@
 				io.WriteString(c, requestText("pay", framing))
 				if name == "length" {
 					if status, _, _ := c.readAnswer(); status != 100 {
-						t.Fatalf("not invited: %d", status)
+						t.Fatalf("status %d, want 100", status)
 					}
 				}
 				go func() {
@@ -209,17 +216,17 @@
 				}
 			}
 			if b.commands.Load() != 2 {
-				t.Errorf("2 commands came %d times", b.commands.Load())
+				t.Errorf("2 commands were sent %d times", b.commands.Load())
 			}
 		})
 	}
-	// What becomes of a command whose body was passed on goes by whether its last byte was written.
+	// The outcome of a command with a streamed body depends on whether its last byte was written.
 	for name, c := range map[string]struct {
-		wait   time.Duration // from the client's first bytes until the backend breaks the connection
-		status int
-		whole  bool
-	}{"broken before its last byte is declined": {100 * time.Millisecond, 503, false},
-		"broken after it is not, and never sent again": {0, 502, true}} {
+		wait     time.Duration // from the client's first bytes until the backend resets the connection
+		status   int
+		readBody bool
+	}{"a reset before the last byte is declined": {100 * time.Millisecond, 503, false},
+		"a reset after the last byte is terminated and not sent again": {0, 502, true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -237,7 +244,7 @@
 					r, err := http.ReadRequest(bufio.NewReader(conn))
 					if err == nil {
 						heads.Add(1)
-						if c.whole {
+						if c.readBody {
 							io.Copy(io.Discard, r.Body)
 						}
 						time.Sleep(c.wait)
@@ -249,10 +256,10 @@
 			client := p.dial(t)
 			io.WriteString(client, requestText("pay", fmt.Sprintf("Content-Length: %d\r\n", len(body))))
 			client.Write(body[:1<<20])
-			if c.whole {
+			if c.readBody {
 				client.Write(body[1<<20:])
 			}
-			if status, _, h := client.readAnswer(); status != c.status || !c.whole && h.Get("Connection") != "close" {
+			if status, _, h := client.readAnswer(); status != c.status || !c.readBody && h.Get("Connection") != "close" {
 				t.Errorf("%d %v", status, h)
 			}
 			if heads.Load() != 1 {
@@ -260,7 +267,7 @@
 			}
 		})
 	}
-	t.Run("one that stands still is told so, and its backend connection goes", func(t *testing.T) {
+	t.Run("one that stalls is answered 408, and its backend connection is closed", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, echo)
 		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil))
@@ -268,15 +275,15 @@
 		io.WriteString(c, requestText("pay", "Content-Length: 3000000\r\n"))
 		c.Write(body[:500_000])
 		if status, _, _ := c.readAnswer(); status != 408 || b.commands.Load() != 0 {
-			t.Errorf("%d, %d whole commands came", status, b.commands.Load())
+			t.Errorf("%d, the backend got %d complete commands", status, b.commands.Load())
 		}
 		p.onLoop(func() {
 			if len(p.commands) != 0 || len(p.backends.conns) != 0 {
-				t.Errorf("%d commands, %d connections are left", len(p.commands), len(p.backends.conns))
+				t.Errorf("%d commands and %d connections are still open", len(p.commands), len(p.backends.conns))
 			}
 		})
 	})
-	t.Run("a body at the least rate of slow clients is waited for, a head of two seconds too", func(t *testing.T) {
+	t.Run("a body at the rate of slow clients and a head that takes two seconds are accepted", func(t *testing.T) {
 		t.Parallel()
 		p := runProxy(t, newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil))
 		c := p.dial(t)
