--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -12,7 +12,7 @@
 	drainNoticeSeconds       = 0.4 // until readiness checks see 503 (0.1 s) and no new clients are sent (0.2 s), and a margin
 	drainSpreadSeconds       = 1.6 // from the call until all idle connections are closed: each close may cross a command
 	drainSilentSeconds       = 0.5 // for a new connection to send something meanwhile
-	drainIncompleteSeconds   = 2.0 // after the call, incomplete commands are declined: they would still be new at 4 s
+	drainIncompleteSeconds   = 2.0 // after the call, incomplete commands are declined: accepted later, they would be too recent at 4 s
 	drainUnreadSeconds       = 3.0 // the same for commands with unread data
 	idleCloseIntervalSeconds = 0.05
 )
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -474,16 +474,16 @@
 	t.Run("a connection with an unread command is not evicted", func(t *testing.T) {
 		t.Parallel()
 		p := newTestProxy(t, 40, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil)
-		var callers []*testClient
+		var clients []*testClient
 		r := &testProxy{Proxy: p}
 		for range 60 { // all connect before the loop starts
 			c := r.dial(t)
 			io.WriteString(c, requestText("look"))
-			callers = append(callers, c)
+			clients = append(clients, c)
 		}
 		runProxy(t, p)
 		got := map[int]int{}
-		for _, c := range callers {
+		for _, c := range clients {
 			status, _, _ := c.readAnswer()
 			got[status]++
 			c.Close()
