--- a/internal/proxy/ops_test.go
+++ b/internal/proxy/admin_test.go
@@ -12,7 +12,7 @@
 	"sandpass/balance"
 )
 
-// inService is a running proxy with a door.
+// runWithAdmin runs a proxy with an admin endpoint.
 func runWithAdmin(t *testing.T, known string, discovery net.Listener) *testProxy {
 	t.Helper()
 	l := testConfig(known, discovery, settingsText)
@@ -24,7 +24,7 @@
 	return runProxy(t, p)
 }
 
-// dialDoor is a connection at the door.
+// dialAdmin connects to the admin endpoint.
 func (r *testProxy) dialAdmin(t *testing.T) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", r.admin.listener.Address.String())
@@ -36,7 +36,7 @@
 	return &testClient{c, bufio.NewReader(c)}
 }
 
-// call is one call at the door, which has a second for its answer.
+// callAdmin makes one admin request, which must be answered within a second.
 func (r *testProxy) callAdmin(t *testing.T, method, path string) (int, http.Header) {
 	t.Helper()
 	c, began := r.dialAdmin(t), time.Now()
@@ -45,11 +45,12 @@
 		t.Errorf("%s took %v", path, d)
 	}
 	if _, _, end := c.readAnswer(); end != nil {
-		t.Errorf("%s: the connection stays open", path)
+		t.Errorf("%s: the connection is still open", path)
 	}
 	return status, h
 }
 
+// wantAdminStatus makes an admin request and checks the status of the answer.
 func (r *testProxy) wantAdminStatus(t *testing.T, status int, method, path string) {
 	t.Helper()
 	if got, _ := r.callAdmin(t, method, path); got != status {
@@ -57,8 +58,8 @@
 	}
 }
 
-func TestDoor(t *testing.T) {
-	t.Run("what is no call gets a 4xx and changes nothing", func(t *testing.T) {
+func TestAdminRequests(t *testing.T) {
+	t.Run("an invalid request gets a 4xx and changes nothing", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, echo)
 		p := runWithAdmin(t, endpointList(1, true, readyEndpoint("s-1", b)), nil)
@@ -69,45 +70,45 @@
 		if _, h := p.callAdmin(t, "GET", "/admin/resume"); h.Get("Allow") != "POST" {
 			t.Errorf("405 with %v", h)
 		}
-		for noise, status := range map[string]int{"\x00\x01\r\n\r\n": 400, "POST /admin/quiesce HTTP/1.1\r\n\r\n": 400,
+		for request, status := range map[string]int{"\x00\x01\r\n\r\n": 400, "POST /admin/quiesce HTTP/1.1\r\n\r\n": 400,
 			"POST /admin/quiesce HTTP/1.1\r\nHost: a\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000): 413} {
-			if got, _, _ := p.dialAdmin(t).roundTrip(noise); got != status {
-				t.Errorf("%.20q: %d", noise, got)
+			if got, _, _ := p.dialAdmin(t).roundTrip(request); got != status {
+				t.Errorf("%.20q: %d", request, got)
 			}
 		}
-		two := "GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\nHost: a\r\n\r\n"
-		c := p.dialAdmin(t) // one call to a connection
-		if first, _, _ := c.roundTrip(two); first != 200 {
-			t.Errorf("the first of two calls: %d", first)
+		twoRequests := "GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\nHost: a\r\n\r\n"
+		c := p.dialAdmin(t) // one request per connection
+		if first, _, _ := c.roundTrip(twoRequests); first != 200 {
+			t.Errorf("first of two requests: %d", first)
 		}
 		if second, _, _ := c.readAnswer(); second != 0 {
-			t.Errorf("the second of two calls: %d", second)
+			t.Errorf("second of two requests: %d", second)
 		}
-		time.Sleep(discoveryGraceSeconds * 1.2e9) // discovery is silent
+		time.Sleep(discoveryGraceSeconds * 1.2e9) // discovery does not answer
 		if status, _, _ := p.dial(t).roundTrip("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
-			t.Errorf("ready says %d", status)
+			t.Errorf("readiness: %d", status)
 		}
 	})
-	t.Run("neither silent callers nor as many clients as there may be keep a call out", func(t *testing.T) {
+	t.Run("silent callers and the maximum of clients do not block a request", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, hang)
 		p := runWithAdmin(t, endpointList(1, true, readyEndpoint("s-1", b)), nil)
 		for range 150 {
 			io.WriteString(p.dial(t), requestText("pay", "Content-Length: 0\r\n"))
 		}
-		half := p.dialAdmin(t)
-		io.WriteString(half, "GET /admin/he")
+		incomplete := p.dialAdmin(t)
+		io.WriteString(incomplete, "GET /admin/he")
 		for range 40 {
 			p.dialAdmin(t)
 		}
 		for range 3 {
 			p.wantAdminStatus(t, 200, "GET", "/admin/health")
 		}
-		if status, _, _ := half.readAnswer(); status != 0 && status != 408 {
-			t.Errorf("half a call got %d", status)
+		if status, _, _ := incomplete.readAnswer(); status != 0 && status != 408 {
+			t.Errorf("incomplete request: %d", status)
 		}
 	})
-	t.Run("a call may come byte by byte, with blank lines ahead", func(t *testing.T) {
+	t.Run("a request may arrive byte by byte, after blank lines", func(t *testing.T) {
 		t.Parallel()
 		p := runWithAdmin(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil)
 		c := p.dialAdmin(t)
@@ -119,7 +120,7 @@
 			t.Errorf("%d", status)
 		}
 	})
-	t.Run("a bad address stops the start", func(t *testing.T) {
+	t.Run("a bad address fails the start", func(t *testing.T) {
 		t.Parallel()
 		l := testConfig("", nil, settingsText)
 		l.Ops = "nowhere"
@@ -130,7 +131,7 @@
 }
 
 func TestQuiesce(t *testing.T) {
-	t.Run("ready says no, rest and silence are closed by then, commands are answered, and resume takes it back", func(t *testing.T) {
+	t.Run("not ready, idle and silent connections are closed, commands are answered, until resume", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
 			if strings.HasPrefix(r.URL.Path, "/pay") {
@@ -140,42 +141,42 @@
 		})
 		p := runWithAdmin(t, endpointList(1, true, readyEndpoint("s-1", b)), nil)
 		isReady := func() int { s, _, _ := p.dial(t).roundTrip("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"); return s }
-		var resting []*testClient
+		var idle []*testClient
 		for range 8 {
 			c := p.dial(t)
 			if status, _, h := c.roundTrip(requestText("look")); status != 200 || h.Get("Connection") != "" {
 				t.Fatalf("%d %v before the drain", status, h)
 			}
-			resting = append(resting, c)
+			idle = append(idle, c)
 		}
-		silent, late, half := p.dial(t), p.dial(t), p.dial(t)
-		late.roundTrip(requestText("look"))
-		io.WriteString(late, requestText("pay", "Content-Length: 0\r\n"))
+		silent, pending, incomplete := p.dial(t), p.dial(t), p.dial(t)
+		pending.roundTrip(requestText("look"))
+		io.WriteString(pending, requestText("pay", "Content-Length: 0\r\n"))
 		p.wantAdminStatus(t, 200, "POST", "/admin/quiesce")
-		called := time.Now()
+		drainedAt := time.Now()
 		p.wantAdminStatus(t, 200, "POST", "/admin/quiesce")
 		if got := isReady(); got != 503 {
-			t.Errorf("ready says %d in the drain", got)
+			t.Errorf("readiness during the drain: %d", got)
 		}
 		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
-			t.Errorf("a command in the first moment: %d", status)
+			t.Errorf("command right after the call: %d", status)
 		}
-		time.Sleep(time.Until(called.Add(600 * time.Millisecond)))
-		io.WriteString(half, "GET /look")
-		if status, _, h := late.readAnswer(); status != 200 || h.Get("Connection") != "close" {
-			t.Errorf("open at the call: %d %v", status, h)
+		time.Sleep(time.Until(drainedAt.Add(600 * time.Millisecond)))
+		io.WriteString(incomplete, "GET /look")
+		if status, _, h := pending.readAnswer(); status != 200 || h.Get("Connection") != "close" {
+			t.Errorf("command open at the call: %d %v", status, h)
 		}
-		for _, c := range append(resting, silent, half) {
-			c.SetReadDeadline(called.Add(3500 * time.Millisecond))
+		for _, c := range append(idle, silent, incomplete) {
+			c.SetReadDeadline(drainedAt.Add(3500 * time.Millisecond))
 			if status, text, _ := c.readAnswer(); status != 0 && status != 503 || strings.Contains(text, "timeout") {
-				t.Errorf("held: %d %s", status, text)
+				t.Errorf("not closed in time: %d %s", status, text)
 			}
 		}
 		p.wantAdminStatus(t, 200, "GET", "/admin/health")
 		p.wantAdminStatus(t, 200, "POST", "/admin/resume")
 		p.wantAdminStatus(t, 200, "POST", "/admin/resume")
 		if got := isReady(); got != 200 {
-			t.Errorf("ready says %d after the drain", got)
+			t.Errorf("readiness after the drain: %d", got)
 		}
 		c := p.dial(t)
 		c.roundTrip(requestText("look"))
@@ -184,7 +185,7 @@
 			t.Errorf("after the drain: %d %v", status, h)
 		}
 	})
-	t.Run("a planned end during a drain ends it all the same", func(t *testing.T) {
+	t.Run("a planned end during a drain", func(t *testing.T) {
 		t.Parallel()
 		p := runWithAdmin(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))), nil)
 		p.wantAdminStatus(t, 200, "POST", "/admin/quiesce")
@@ -193,20 +194,21 @@
 		case err := <-p.runResult:
 			p.runResult <- err
 		case <-time.After(4 * time.Second):
-			t.Error("it goes on")
+			t.Error("the proxy did not end")
 		}
 	})
 }
 
-// Discovery and operators speak of the same backends: the stricter word holds, whatever the list does meanwhile.
-func TestLeftOut(t *testing.T) {
-	t.Run("nothing new goes there until it is called back, through lists that say otherwise", func(t *testing.T) {
+// Where discovery and operators disagree about a backend, the stricter must prevail, whatever the list does
+// meanwhile.
+func TestCordon(t *testing.T) {
+	t.Run("a cordoned backend gets no commands, whatever the list says, until it is uncordoned", func(t *testing.T) {
 		t.Parallel()
 		one, two := newFakeBackend(t, echo), newFakeBackend(t, echo)
 		both := endpointList(1, true, readyEndpoint("s-1", one), readyEndpoint("s-2", two))
 		p := runWithAdmin(t, both, nil)
 		c := p.dial(t)
-		look := func(n int) {
+		sendLooks := func(n int) {
 			for range n {
 				if status, _, _ := c.roundTrip(requestText("look")); status != 200 {
 					t.Errorf("status %d", status)
@@ -214,37 +216,38 @@
 				time.Sleep(2 * time.Millisecond)
 			}
 		}
-		look(20)
+		sendLooks(20)
 		if one.commands.Load() == 0 || two.commands.Load() == 0 {
-			t.Fatal("one of two gets nothing")
+			t.Fatal("one of two backends gets no commands")
 		}
 		p.wantAdminStatus(t, 404, "POST", "/admin/cordon/s-3")
 		p.wantAdminStatus(t, 404, "POST", "/admin/uncordon/s-3")
-		p.wantAdminStatus(t, 200, "POST", "/admin/uncordon/s-1") // was not left out: nothing changes
+		p.wantAdminStatus(t, 200, "POST", "/admin/uncordon/s-1") // was not cordoned: nothing changes
 		p.wantAdminStatus(t, 200, "POST", "/admin/cordon/s%2D1")
 		p.wantAdminStatus(t, 200, "POST", "/admin/cordon/s-1")
 		before := one.commands.Load()
-		tell := func(text string) {
+		applyList := func(text string) {
 			l := parseUpdate(t, text)
 			p.onLoop(func() { p.applyEndpoints(l) })
 		}
-		anew := readyEndpoint("s-1", one)
-		anew["since_ms"] = 5000.0
-		for _, list := range []string{both, endpointList(2, false, readyEndpoint("s-1", one)), endpointList(3, true, readyEndpoint("s-2", two)),
-			endpointList(4, false, anew)} {
-			tell(list)
-			look(10)
+		restarted := readyEndpoint("s-1", one)
+		restarted["since_ms"] = 5000.0
+		for _, update := range []string{both, endpointList(2, false, readyEndpoint("s-1", one)),
+			endpointList(3, true, readyEndpoint("s-2", two)),
+			endpointList(4, false, restarted)} {
+			applyList(update)
+			sendLooks(10)
 		}
 		if n := one.commands.Load() - before; n != 0 {
-			t.Errorf("%d commands went to a backend left out", n)
+			t.Errorf("%d commands went to a cordoned backend", n)
 		}
-		p.Reload(testConfig("", nil, settingsText)) // SIGHUP
-		look(10)
+		p.Reload(testConfig("", nil, settingsText)) // as on SIGHUP
+		sendLooks(10)
 		if n := one.commands.Load() - before; n != 0 {
-			t.Errorf("%d commands went there after a new configuration", n)
+			t.Errorf("%d commands went there after a reload", n)
 		}
 		p.wantAdminStatus(t, 200, "POST", "/admin/uncordon/s-1")
-		tell(endpointList(5, false, anew))
+		applyList(endpointList(5, false, restarted))
 		var state balance.State
 		var started, now float64
 		p.onLoop(func() {
@@ -252,16 +255,16 @@
 			state, started, now = e.State, e.StartedAt, p.loop.Now()
 		})
 		if state != balance.Ready || now-started > 1 {
-			t.Errorf("back as %v, started %.1f s ago: it is cold", state, now-started)
+			t.Errorf("uncordoned: state %v, started %.1f s ago, want ready and just started", state, now-started)
 		}
-		// At low traffic too it is used within 5 s.
+		// It must be used within 5 s even at low traffic.
 		for began := time.Now(); one.commands.Load() == before; time.Sleep(150 * time.Millisecond) {
-			if look(1); time.Since(began) > 5*time.Second {
-				t.Fatal("unused for 5 s after the call back")
+			if sendLooks(1); time.Since(began) > 5*time.Second {
+				t.Fatal("unused for 5 s after uncordon")
 			}
 		}
 	})
-	t.Run("a connection under way at the call carries nothing", func(t *testing.T) {
+	t.Run("a connection being opened at the cordon carries no command", func(t *testing.T) {
 		t.Parallel()
 		b := newFakeBackend(t, echo)
 		p := newTestProxy(t, 200, endpointList(1, true, readyEndpoint("s-1", b)), nil)
--- a/internal/proxy/backends.go
+++ b/internal/proxy/backends.go
@@ -1,6 +1,7 @@
-// This file owns the backends' side: the backends by name, the connections to them and the relays under way. One
-// connection carries one relay at a time. It must never send a relay again by itself: each ends in one outcome,
-// which the Balancer is told.
+// This file manages the backends: the table by name, the connections to them and the open relays. A connection
+// carries one relay at a time. The proxy never repeats a relay on its own: each relay ends in one outcome, which is
+// reported to the Balancer.
+
 package proxy
 
 import (
@@ -19,221 +20,224 @@
 )
 
 const (
-	redialPause       = 0.005 // seconds after which a connection is tried again for which the system had no descriptor
-	idlePart          = 0.7   // of the idle time in the settings, after which a connection is dropped: well before the backend
-	reuseDelaySeconds = 0.01  // seconds after an answer before its connection carries more: what follows on it would pass for the next
-	gasp              = 0.5   // seconds in which an answer that has begun gets no further: it is spoilt
+	connectRetrySeconds = 0.005 // before connecting again after the system had no descriptor
+	maxIdleFraction     = 0.7   // of the configured idle time, after which a connection is closed: well before the backend does
+	reuseDelaySeconds   = 0.01  // from an answer to the next use of its connection: late bytes would pass for the next answer
+	answerStallSeconds  = 0.5   // without progress, after which an incomplete answer counts as broken
 )
 
+// backendPool holds the backends and all connections to them.
 type backendPool struct {
 	byName     map[string]*backend
 	byID       map[balance.BackendID]*backend
 	conns      map[*backendConn]struct{}
-	maxConns   int // connections that may be open
-	readyCount int // backends that are ready
+	maxConns   int // limit of open connections
+	readyCount int // backends in state Ready
 }
 
-// target is a backend as the list has it.
+// backend is one backend of the endpoint list.
 type backend struct {
 	name      string
 	id        balance.BackendID
 	addr      netip.AddrPort
-	listed    balance.Entry  // what the list says
-	state     balance.State  // what counts, with what operators said
-	sinceMs   float64        // when its process started, as the list has it
-	connCount int            // connections, also those being opened
-	idle      []*backendConn // the one used last at the end
+	listed    balance.Entry  // the entry as listed
+	state     balance.State  // the effective state, after the operators' requests
+	sinceMs   float64        // start of its process as listed, Unix milliseconds
+	connCount int            // including those being opened
+	idle      []*backendConn // the most recently used is last
 }
 
-// idOf gives a backend an id from its name, the same at every proxy, and one of its own where two names collide.
-func (s *backendPool) assignID(name string) (id balance.BackendID) {
+// assignID derives a backend's id from its name. The id is the same at every proxy; on a collision the name is hashed
+// on until the id is free.
+func (pool *backendPool) assignID(name string) (id balance.BackendID) {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	for {
 		var sum [8]byte
 		binary.BigEndian.PutUint64(sum[:], h.Sum64())
 		copy(id[:], sum[2:])
-		if s.byID[id] == nil {
+		if pool.byID[id] == nil {
 			return id
 		}
 		h.Write([]byte{0})
 	}
 }
 
-// dropIdle closes its idle connections.
-func (t *backend) closeIdle() {
-	for len(t.idle) > 0 {
-		t.idle[0].close()
+// closeIdle closes the backend's idle connections.
+func (b *backend) closeIdle() {
+	for len(b.idle) > 0 {
+		b.idle[0].close()
 	}
 }
 
-// link is one connection to a backend.
+// backendConn is one connection to a backend.
 type backendConn struct {
-	p            *Proxy
-	backend      *backend
-	addr         netip.AddrPort // where it leads, and when the process there started, as the list had it
-	sinceMs      float64
-	conn         *loop.Conn // nil while the system has no descriptor for it
-	msg          http1.Message
-	relay        *relay // under way, nil while idle
-	connected    bool
-	starved      bool    // the system had no descriptor for it at first
-	answerBegan  float64 // when an answer began that is not whole, 0 if none
-	lastProgress float64 // when the last of it came
-	readPaused   bool    // is not read until the client has taken what there is
-	idleSince    float64 // when it became idle
-	timer        *loop.Timer
-}
-
-// command is one that a client is owed an answer for, or whose relays have not all ended.
+	p                *Proxy
+	backend          *backend
+	addr             netip.AddrPort // address of the backend and start of its process, as listed when the connection was opened
+	sinceMs          float64
+	conn             *loop.Conn // nil while the system has no descriptor for it
+	msg              http1.Message
+	relay            *relay // the open relay, nil while idle
+	connected        bool
+	lackedDescriptor bool    // the system had no descriptor at the first attempt
+	answerBegan      float64 // when the incomplete answer began, 0 if none
+	lastProgress     float64 // when the latest part of it was received
+	readPaused       bool    // not read until the client has taken what is buffered
+	idleSince        float64 // when it became idle
+	timer            *loop.Timer
+}
+
+// command is one that has not been answered yet, or that still has open relays.
 type command struct {
 	id         uint64
-	requestID  string      // its Req-Id
-	client     *clientConn // nil once it has had its answer or its client is gone
-	timeLimit  float64     // seconds that the client waits
-	expires    float64
+	requestID  string      // value of Req-Id
+	client     *clientConn // nil once the command is answered or the client is gone
+	timeLimit  float64     // seconds
+	expires    float64     // the deadline, by the loop's clock
 	timer      *loop.Timer
 	relays     []*relay
 	openRelays int
 	done       bool
-	streamed   bool         // passed on as it came, or answered so: it can't go anywhere else
-	answerConn *backendConn // passes the answer on
+	streamed   bool         // the request or an answer is being streamed, so no other backend can take the command
+	answerConn *backendConn // streams the answer
 }
 
-// relay is one sending of a command.
+// relay is one attempt to run a command on a backend.
 type relay struct {
 	cmd              *command
 	index            int
 	backend          *backend
-	conn             *backendConn // nil once it has ended
+	conn             *backendConn // nil once the relay has ended
 	sentAt           float64
-	answerStartDelay float64 // until its answer began, where that is passed on as it comes
+	answerStartDelay float64 // seconds until a streamed answer began, 0 if none was
 	ended            bool
 }
 
-// rested takes the idle connection that was used last of those that have rested long enough, if there is one. They
-// stand in the order in which they came to rest, so only the one to be used is looked at: a look is a system call, and
-// a busy backend has as many connections at rest as it answers in that time.
-func (p *Proxy) rested(t *backend) *backendConn {
+// takeIdleConn returns the most recently used idle connection that has been idle for reuseDelaySeconds, or nil. Idle
+// connections are in the order in which they became idle, and only the one to be used is checked: the check is a
+// system call, and a busy backend has as many idle connections as it answers commands in that time.
+func (p *Proxy) takeIdleConn(b *backend) *backendConn {
 	now := p.loop.Now()
 	for {
-		i := sort.Search(len(t.idle), func(i int) bool { return now-t.idle[i].idleSince < reuseDelaySeconds }) - 1
+		i := sort.Search(len(b.idle), func(i int) bool { return now-b.idle[i].idleSince < reuseDelaySeconds }) - 1
 		if i < 0 {
 			return nil
 		}
-		l := t.idle[i]
-		if p.stale(l) || !l.conn.IsIdle() {
-			l.close()
+		bc := b.idle[i]
+		if p.idleTooLong(bc) || !bc.conn.IsIdle() {
+			bc.close()
 			continue
 		}
-		t.idle = slices.Delete(t.idle, i, i+1)
-		return l
+		b.idle = slices.Delete(b.idle, i, i+1)
+		return bc
 	}
 }
 
-// start sends a relay on an idle connection or a new one.
+// sendRelay sends a relay on an idle connection or on a new one.
 func (p *Proxy) sendRelay(r *relay) {
-	t := r.backend
-	if l := p.rested(t); l != nil {
-		l.relay, r.conn = r, l
-		l.send()
+	b := r.backend
+	if bc := p.takeIdleConn(b); bc != nil {
+		bc.relay, r.conn = r, bc
+		bc.sendCommand()
 		return
 	}
 	if len(p.backends.conns) >= p.backends.maxConns {
 		p.closeOldestIdleConn()
 	}
 	if len(p.backends.conns) >= p.backends.maxConns {
-		p.reportNextTurn(r, balance.NotSent) // no descriptor: never sent, and not the backend's fault
+		p.reportNextTurn(r, balance.NotSent) // no descriptor: the relay was never sent, and the backend is not at fault
 		return
 	}
-	l := &backendConn{p: p, backend: t, addr: t.addr, sinceMs: t.sinceMs, relay: r}
-	r.conn = l
-	p.backends.conns[l] = struct{}{}
-	t.connCount++
-	l.timer = p.loop.After(p.network.ConnectTimeout, l.notUp)
-	if err := l.dial(); err != nil {
-		l.close()
+	bc := &backendConn{p: p, backend: b, addr: b.addr, sinceMs: b.sinceMs, relay: r}
+	r.conn = bc
+	p.backends.conns[bc] = struct{}{}
+	b.connCount++
+	bc.timer = p.loop.After(p.network.ConnectTimeout, bc.connectTimedOut)
+	if err := bc.dial(); err != nil {
+		bc.close()
 		p.reportNextTurn(r, balance.ConnectFailed)
 	}
 }
 
-// dial opens the connection. Where the system has nothing for a socket it is tried again until the time for connecting is up:
-// what is idle makes room, and a shortage passes.
-func (l *backendConn) dial() (err error) {
-	l.conn, err = l.p.loop.Dial(l.addr, l, http1.MaxBufferedResponse)
+// dial opens the connection. If the system lacks a descriptor or memory for the socket, dial closes idle connections
+// and tries again until the connect timeout, since a shortage usually passes.
+func (bc *backendConn) dial() (err error) {
+	bc.conn, err = bc.p.loop.Dial(bc.addr, bc, http1.MaxBufferedResponse)
 	if !loop.IsResourceExhausted(err) {
 		return err
 	}
-	if !l.starved {
-		l.starved = true
-		l.p.onDescriptorShortage()
+	if !bc.lackedDescriptor {
+		bc.lackedDescriptor = true
+		bc.p.onDescriptorShortage()
 	}
-	l.p.loop.After(redialPause, func() {
-		if _, open := l.p.backends.conns[l]; !open {
+	bc.p.loop.After(connectRetrySeconds, func() {
+		if _, open := bc.p.backends.conns[bc]; !open {
 			return
 		}
-		if err := l.dial(); err != nil {
-			l.closeAndReport(balance.ConnectFailed)
+		if err := bc.dial(); err != nil {
+			bc.closeAndReport(balance.ConnectFailed)
 		}
 	})
 	return nil
 }
 
-// notUp ends a relay whose connection took too long. Without a descriptor it is not the backend's fault.
-func (l *backendConn) notUp() {
-	if l.conn == nil {
-		l.closeAndReport(balance.NotSent)
+// connectTimedOut ends a relay whose connection took too long to open. If there was no descriptor, the backend is not
+// at fault.
+func (bc *backendConn) connectTimedOut() {
+	if bc.conn == nil {
+		bc.closeAndReport(balance.NotSent)
 		return
 	}
-	l.closeAndReport(balance.ConnectFailed)
+	bc.closeAndReport(balance.ConnectFailed)
 }
 
-// close is the one place where a connection to a backend is given back.
-func (l *backendConn) close() {
-	if _, ok := l.p.backends.conns[l]; !ok {
+// close releases a connection to a backend. Every connection is closed here.
+func (bc *backendConn) close() {
+	if _, ok := bc.p.backends.conns[bc]; !ok {
 		return
 	}
-	delete(l.p.backends.conns, l)
-	l.backend.connCount--
-	defer l.p.backends.removeIfGone(l.backend)
-	l.timer.Stop()
-	if i := slices.Index(l.backend.idle, l); i >= 0 {
-		l.backend.idle = slices.Delete(l.backend.idle, i, i+1)
+	delete(bc.p.backends.conns, bc)
+	bc.backend.connCount--
+	defer bc.p.backends.removeIfGone(bc.backend)
+	bc.timer.Stop()
+	if i := slices.Index(bc.backend.idle, bc); i >= 0 {
+		bc.backend.idle = slices.Delete(bc.backend.idle, i, i+1)
 	}
-	if l.conn == nil {
+	if bc.conn == nil {
 		return
 	}
-	if l.relay != nil && l.connected && l.conn.HasUnacknowledged() {
-		l.conn.ResetOnClose() // or a backend that reads late would begin what was given up
+	if bc.relay != nil && bc.connected && bc.conn.HasUnacknowledged() {
+		bc.conn.ResetOnClose() // otherwise a backend that reads late would run the abandoned command
 	}
-	l.conn.Close()
+	bc.conn.Close()
 }
 
-// forget gives up a backend that is gone, once nothing is connected to it.
-func (s *backendPool) removeIfGone(t *backend) {
-	if t.state == balance.Gone && t.connCount == 0 {
-		delete(s.byName, t.name)
-		delete(s.byID, t.id)
+// removeIfGone deletes a backend that has left the list once it has no connections.
+func (pool *backendPool) removeIfGone(b *backend) {
+	if b.state == balance.Gone && b.connCount == 0 {
+		delete(pool.byName, b.name)
+		delete(pool.byID, b.id)
 	}
 }
 
-// rest keeps the connection for another relay, if it may carry one.
-func (l *backendConn) release(keep bool) {
-	if !keep || l.backend.state != balance.Ready || l.stray() || l.conn.HasUnsent() || len(l.conn.Unconsumed()) > 0 {
-		l.close()
+// release makes the connection idle if it can carry another relay, and closes it otherwise.
+func (bc *backendConn) release(reuse bool) {
+	if !reuse || bc.backend.state != balance.Ready || bc.superseded() || bc.conn.HasUnsent() || len(bc.conn.Unconsumed()) > 0 {
+		bc.close()
 		return
 	}
-	l.relay = nil
-	l.idleSince = l.p.loop.Now()
-	l.backend.idle = append(l.backend.idle, l)
+	bc.relay = nil
+	bc.idleSince = bc.p.loop.Now()
+	bc.backend.idle = append(bc.backend.idle, bc)
 }
 
-// dropIdleLink closes the connection that has been idle longest.
+// closeOldestIdleConn closes the connection that has been idle longest.
 func (p *Proxy) closeOldestIdleConn() {
 	var oldest *backendConn
-	for _, t := range p.backends.byName {
-		if len(t.idle) > 0 && (oldest == nil || t.idle[0].idleSince < oldest.idleSince) {
-			oldest = t.idle[0]
+	for _, b := range p.backends.byName {
+		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince < oldest.idleSince) {
+			oldest = b.idle[0]
 		}
 	}
 	if oldest != nil {
@@ -241,161 +245,169 @@
 	}
 }
 
-// stale tells that the backend may soon end the connection: a relay written then would end as a reset.
-func (p *Proxy) stale(l *backendConn) bool {
-	return p.loop.Now()-l.idleSince > idlePart*p.network.BackendIdleTimeout
+// idleTooLong reports whether the backend may soon close the connection: a relay sent then would end in a reset.
+func (p *Proxy) idleTooLong(bc *backendConn) bool {
+	return p.loop.Now()-bc.idleSince > maxIdleFraction*p.network.BackendIdleTimeout
 }
 
-// sweepLinks drops what has been idle too long.
+// closeStaleConns closes connections that have been idle too long.
 func (p *Proxy) closeStaleConns() {
-	for _, t := range p.backends.byName {
-		for len(t.idle) > 0 && p.stale(t.idle[0]) {
-			t.idle[0].close()
+	for _, b := range p.backends.byName {
+		for len(b.idle) > 0 && p.idleTooLong(b.idle[0]) {
+			b.idle[0].close()
 		}
 	}
 }
 
-// send writes the relay on its connection.
-func (l *backendConn) send() {
-	p, c := l.p, l.relay.cmd.client
-	in := c.conn.Unconsumed()
-	body := c.msg.Body(in)
-	h := append(p.scratch[:0], c.msg.Method(in)...)
-	h = append(append(append(h, ' '), c.msg.Target(in)...), " HTTP/1.1\r\n"...)
-	h = c.msg.AppendFields(h, in, "Req-Deadline")
-	h = append(h, "Req-Deadline: "...)
-	h = strconv.AppendFloat(h, max(0.001, l.relay.cmd.expires-p.loop.Now()), 'f', 3, 64)
+// sendCommand writes the relay's request to the connection.
+func (bc *backendConn) sendCommand() {
+	p, c := bc.p, bc.relay.cmd.client
+	request := c.conn.Unconsumed()
+	body := c.msg.Body(request)
+	head := append(p.scratch[:0], c.msg.Method(request)...)
+	head = append(append(append(head, ' '), c.msg.Target(request)...), " HTTP/1.1\r\n"...)
+	head = c.msg.AppendFields(head, request, "Req-Deadline")
+	head = append(head, "Req-Deadline: "...)
+	head = strconv.AppendFloat(head, max(0.001, bc.relay.cmd.expires-p.loop.Now()), 'f', 3, 64)
 	switch {
 	case c.bodyStreaming && c.msg.Chunked():
-		h = append(h, "\r\nTransfer-Encoding: chunked"...)
+		head = append(head, "\r\nTransfer-Encoding: chunked"...)
 	case c.bodyStreaming:
-		h = append(h, "\r\nContent-Length: "...)
-		h = strconv.AppendInt(h, int64(c.msg.BodyLength()), 10)
-	case len(body) > 0 || string(c.msg.Method(in)) != "GET":
-		h = append(h, "\r\nContent-Length: "...)
-		h = strconv.AppendInt(h, int64(len(body)), 10)
+		head = append(head, "\r\nContent-Length: "...)
+		head = strconv.AppendInt(head, int64(c.msg.BodyLength()), 10)
+	case len(body) > 0 || string(c.msg.Method(request)) != "GET":
+		head = append(head, "\r\nContent-Length: "...)
+		head = strconv.AppendInt(head, int64(len(body)), 10)
 	}
-	p.scratch = append(h, "\r\n\r\n"...)
+	p.scratch = append(head, "\r\n\r\n"...)
 	if c.bodyStreaming {
-		c.streamBodyTo(l, p.scratch)
+		c.streamBodyTo(bc, p.scratch)
 		return
 	}
-	l.conn.Write(p.scratch, body)
+	bc.conn.Write(p.scratch, body)
 }
 
-// Up sends what the connection was opened for, unless that may no longer go: the command can have ended where nothing is
-// cancelled, the backend can have begun to drain, and the time in which the rules allowed the relay can be over.
-func (l *backendConn) OnConnect(*loop.Conn) {
-	l.connected = true
-	l.timer.Stop()
-	r := l.relay
+// OnConnect sends the relay that the connection was opened for, unless it is no longer allowed: the command may have ended
+// where relays are not cancelled, the backend may be draining, and the time in which the rules allowed the relay may
+// have passed.
+func (bc *backendConn) OnConnect(*loop.Conn) {
+	bc.connected = true
+	bc.timer.Stop()
+	r := bc.relay
 	if c := r.cmd.client; c != nil && c.disconnectPending() {
 		if c.OnDisconnect(c.conn, io.EOF); r.ended {
-			return // called back
+			return // the relay was cancelled
 		}
 	}
-	if r.cmd.done || r.cmd.streamed || l.backend.state != balance.Ready || l.stray() || !l.p.balancer.ConnectionOpened(l.p.loop.Now(), r.cmd.id, r.index) {
+	if r.cmd.done || r.cmd.streamed || bc.backend.state != balance.Ready || bc.superseded() ||
+		!bc.p.balancer.ConnectionOpened(bc.p.loop.Now(), r.cmd.id, r.index) {
 		r.conn = nil
-		l.release(true)
-		l.p.reportOutcome(r, balance.NotSent)
+		bc.release(true)
+		bc.p.reportOutcome(r, balance.NotSent)
 		return
 	}
-	l.send()
+	bc.sendCommand()
 }
 
-// stray tells that the list has put another process in the place of the one that it leads to, or the same elsewhere: who
-// answers at an address that was left may be anybody.
-func (l *backendConn) stray() bool { return l.addr != l.backend.addr || l.sinceMs != l.backend.sinceMs }
+// superseded reports whether the list has moved the backend to another process or address since the connection was
+// opened: whatever answers at the old address may be a different service.
+func (bc *backendConn) superseded() bool {
+	return bc.addr != bc.backend.addr || bc.sinceMs != bc.backend.sinceMs
+}
 
-func (l *backendConn) OnFlushed(*loop.Conn) {
-	if r := l.relay; r != nil && r.cmd.client != nil && r.cmd.client.bodyLink == l {
+// OnFlushed continues the streaming of a request body.
+func (bc *backendConn) OnFlushed(*loop.Conn) {
+	if r := bc.relay; r != nil && r.cmd.client != nil && r.cmd.client.bodyLink == bc {
 		r.cmd.client.resumeBody()
 	}
 }
 
-func (l *backendConn) OnData(*loop.Conn) {
-	if l.relay == nil {
-		l.close() // nothing was asked
+// OnData handles the bytes of an answer.
+func (bc *backendConn) OnData(*loop.Conn) {
+	if bc.relay == nil {
+		bc.close() // unsolicited data
 		return
 	}
-	if l.relay.cmd.answerConn == l {
-		l.streamAnswer()
+	if bc.relay.cmd.answerConn == bc {
+		bc.streamAnswer()
 		return
 	}
-	whole, err := l.msg.ParseResponse(l.conn.Unconsumed(), false)
+	complete, err := bc.msg.ParseResponse(bc.conn.Unconsumed(), false)
 	switch {
-	case err == nil && whole:
-		l.handleAnswer(l.msg.KeepAlive)
-	case err == nil && l.shouldStream(l.p.loop.Now()):
-		l.startStreaming()
-	case err != nil || l.conn.ReadBufferFull():
-		l.p.invalidCount++
-		l.closeAndReport(l.disconnectResult())
-	case l.msg.Started(l.conn.Unconsumed()):
-		l.lastProgress = l.p.loop.Now()
-		if l.answerBegan == 0 {
-			l.answerBegan = l.lastProgress
-			l.timer = l.p.loop.After(l.untilLook(gasp), l.stalled)
+	case err == nil && complete:
+		bc.handleAnswer(bc.msg.KeepAlive)
+	case err == nil && bc.shouldStream(bc.p.loop.Now()):
+		bc.startStreaming()
+	case err != nil || bc.conn.ReadBufferFull():
+		bc.p.invalidCount++
+		bc.closeAndReport(bc.disconnectResult())
+	case bc.msg.Started(bc.conn.Unconsumed()):
+		bc.lastProgress = bc.p.loop.Now()
+		if bc.answerBegan == 0 {
+			bc.answerBegan = bc.lastProgress
+			bc.timer = bc.p.loop.After(bc.stallCheckDelay(answerStallSeconds), bc.checkStall)
 		}
 	}
 }
 
-// untilLook is in how many seconds, of those at most, an answer that has begun is looked at: at the latest when one of no stated
-// length has to go on.
-func (l *backendConn) untilLook(most float64) float64 {
-	if last := l.relay.cmd.expires - streamBeforeLimitSeconds - l.p.loop.Now(); last >= 0 {
-		return min(most, last+0.001)
+// stallCheckDelay returns the seconds until the next check of an incomplete answer, at most limit. An answer of
+// unknown length is checked in time to be streamed before the command's deadline.
+func (bc *backendConn) stallCheckDelay(limit float64) float64 {
+	if untilStream := bc.relay.cmd.expires - streamBeforeLimitSeconds - bc.p.loop.Now(); untilStream >= 0 {
+		return min(limit, untilStream+0.001)
 	}
-	return most
+	return limit
 }
 
-// stalled ends a relay whose answer gets no further. One that moves has until its command's time limit.
-func (l *backendConn) stalled() {
-	now := l.p.loop.Now()
-	left := l.lastProgress + gasp - now
+// checkStall ends a relay whose answer makes no progress. An answer that makes progress has until the command's
+// deadline.
+func (bc *backendConn) checkStall() {
+	now := bc.p.loop.Now()
+	remaining := bc.lastProgress + answerStallSeconds - now
 	switch {
-	case left <= 0:
-		l.p.invalidCount++
-		l.closeAndReport(l.disconnectResult())
-	case now > l.relay.cmd.expires-streamBeforeLimitSeconds && l.shouldStream(now):
-		l.startStreaming()
+	case remaining <= 0:
+		bc.p.invalidCount++
+		bc.closeAndReport(bc.disconnectResult())
+	case now > bc.relay.cmd.expires-streamBeforeLimitSeconds && bc.shouldStream(now):
+		bc.startStreaming()
 	default:
-		l.timer = l.p.loop.After(l.untilLook(left), l.stalled)
+		bc.timer = bc.p.loop.After(bc.stallCheckDelay(remaining), bc.checkStall)
 	}
 }
 
-// Down says that the connection has ended.
-func (l *backendConn) OnDisconnect(_ *loop.Conn, err error) {
+// OnDisconnect handles the end of the connection.
+func (bc *backendConn) OnDisconnect(_ *loop.Conn, err error) {
 	switch {
-	case l.relay == nil:
-		l.close()
-	case !l.connected:
-		l.closeAndReport(balance.ConnectFailed)
-	case l.relay.cmd.answerConn == l:
-		if l.msg.BodyLength() < 0 && !l.msg.Chunked() && err == io.EOF {
-			l.finishStream(false)
+	case bc.relay == nil:
+		bc.close()
+	case !bc.connected:
+		bc.closeAndReport(balance.ConnectFailed)
+	case bc.relay.cmd.answerConn == bc:
+		if bc.msg.BodyLength() < 0 && !bc.msg.Chunked() && err == io.EOF {
+			bc.finishStream(false)
 		} else {
-			l.abortStream(balance.Reset)
+			bc.abortStream(balance.Reset)
 		}
 	default:
-		if whole, bad := l.msg.ParseResponse(l.conn.Unconsumed(), err == io.EOF); whole && bad == nil {
-			l.handleAnswer(false)
+		if complete, parseErr := bc.msg.ParseResponse(bc.conn.Unconsumed(), err == io.EOF); complete && parseErr == nil {
+			bc.handleAnswer(false)
 			return
 		}
-		l.closeAndReport(l.disconnectResult())
+		bc.closeAndReport(bc.disconnectResult())
 	}
 }
 
-// broken is the outcome of a connection that broke: before the last byte was written it can't have run.
-func (l *backendConn) disconnectResult() balance.Result {
-	if c := l.relay.cmd.client; l.conn.HasUnsent() || c != nil && c.bodyLink == l {
+// disconnectResult returns the relay's result after the connection broke. Before its last byte was written the
+// command can't have run.
+func (bc *backendConn) disconnectResult() balance.Result {
+	if c := bc.relay.cmd.client; bc.conn.HasUnsent() || c != nil && c.bodyLink == bc {
 		return balance.ConnectFailed
 	}
 	return balance.Reset
 }
 
-// breakOffUnwritten ends the attempts that are not written to their end: a backend would begin them for a client that has gone.
-// Where nothing may be cancelled that is none: they have not run.
+// cancelUnwritten cancels the relays whose request is not fully delivered: a backend would start it for a client that
+// is gone. This is allowed even where the settings forbid to cancel, since such a command has not run.
 func (cmd *command) cancelUnwritten() {
 	for _, r := range cmd.relays {
 		if !r.ended && r.conn != nil && r.conn.connected && r.conn.conn.HasUnacknowledged() {
@@ -404,75 +416,78 @@
 	}
 }
 
-// ended closes the connection and reports its relay.
-func (l *backendConn) closeAndReport(result balance.Result) {
-	r := l.relay
-	l.close()
+// closeAndReport closes the connection and reports the relay's result.
+func (bc *backendConn) closeAndReport(result balance.Result) {
+	r := bc.relay
+	bc.close()
 	if r != nil && !r.ended {
-		l.p.reportOutcome(r, result)
+		bc.p.reportOutcome(r, result)
 	}
 }
 
-// answer takes a whole answer: it goes to the client, the connection back to the others, the outcome to the Balancer.
-func (l *backendConn) handleAnswer(keep bool) {
-	r := l.relay
-	in := l.conn.Unconsumed()
+// handleAnswer handles a complete answer: passes it to the client, releases the connection and reports the outcome to
+// the Balancer.
+func (bc *backendConn) handleAnswer(reuse bool) {
+	r := bc.relay
+	response := bc.conn.Unconsumed()
 	result := balance.Errored
-	if c := r.cmd.client; c != nil && c.bodyLink == l {
-		keep = false // the command is not all written
-	}
-	taken := r.cmd.answerConn != nil // another's answer is under way to the client
-	l.timer.Stop()
-	l.answerBegan = 0
-	switch status := l.msg.Status; status {
-	case 429, 408: // about the moment, not the command
+	if c := r.cmd.client; c != nil && c.bodyLink == bc {
+		reuse = false // the command is not fully written
+	}
+	otherStreaming := r.cmd.answerConn != nil // another relay's answer is being streamed to the client
+	bc.timer.Stop()
+	bc.answerBegan = 0
+	switch status := bc.msg.Status; status {
+	case 429, 408: // temporary conditions, not faults of the command
 	default:
 		if status >= 400 && status < 500 {
-			// The command is at fault, anywhere: it ends here, and that says nothing of the backend.
+			// The command itself is at fault and would fail on any backend: it ends here, and the result doesn't
+			// count for or against the backend.
 			result = balance.NotSent
-			if !taken {
-				l.p.answerClient(r.cmd, status, 0, nil)
+			if !otherStreaming {
+				bc.p.answerClient(r.cmd, status, 0, nil)
 			}
 		}
 	case 200:
 		result = balance.Answered
-		if !r.cmd.done && !taken {
-			l.p.answeredCount++
-			l.p.answerClient(r.cmd, 200, 0, l)
+		if !r.cmd.done && !otherStreaming {
+			bc.p.answeredCount++
+			bc.p.answerClient(r.cmd, 200, 0, bc)
 		}
 	case 503, 504:
-		if string(l.msg.Get(in, "Srv-Declined")) == "1" {
+		if string(bc.msg.Get(response, "Srv-Declined")) == "1" {
 			result = balance.Full
 		}
 	}
 	r.conn = nil
-	l.conn.Consume(l.msg.Size())
-	l.msg.Reset()
-	l.release(keep)
-	l.p.reportOutcome(r, result)
+	bc.conn.Consume(bc.msg.Size())
+	bc.msg.Reset()
+	bc.release(reuse)
+	bc.p.reportOutcome(r, result)
 }
 
-// report tells the Balancer how a relay ended. It is never called from inside a call of the Balancer's.
+// reportOutcome tells the Balancer how a relay ended. It must not be called from within a call of the Balancer.
 func (p *Proxy) reportOutcome(r *relay, result balance.Result) {
 	r.ended, r.conn = true, nil
 	r.cmd.openRelays--
 	now := p.loop.Now()
-	nothing := balance.LoadReport{Active: -1, Waiting: -1, CPU: -1, Latency: -1}
-	took := now - r.sentAt
+	noLoad := balance.LoadReport{Active: -1, Waiting: -1, CPU: -1, Latency: -1}
+	latency := now - r.sentAt
 	if r.answerStartDelay > 0 {
-		took = r.answerStartDelay
+		latency = r.answerStartDelay
 	}
-	p.balancer.RelayEnded(now, r.cmd.id, r.index, result, took, r.cmd.done, nothing)
+	p.balancer.RelayEnded(now, r.cmd.id, r.index, result, latency, r.cmd.done, noLoad)
 	p.removeIfFinished(r.cmd)
 }
 
-// later reports on the next turn.
+// reportNextTurn reports the outcome in the next turn of the loop.
 func (p *Proxy) reportNextTurn(r *relay, result balance.Result) {
 	r.ended, r.conn = true, nil
 	p.loop.Post(func() { p.reportOutcome(r, result) })
 }
 
-// timeOut ends what is out of a command at its time limit, and the command if the Balancer has not.
+// timeOutCommand ends the command's open relays at its time limit, and terminates the command if the Balancer has not
+// ended it.
 func (p *Proxy) timeOutCommand(cmd *command) {
 	for _, r := range cmd.relays {
 		if !r.ended {
@@ -485,7 +500,7 @@
 	}
 }
 
-// terminate ends a command past the Balancer, which is told that nothing is owed any more.
+// terminate ends a command without the Balancer's decision and tells the Balancer that no answer is owed any more.
 func (p *Proxy) terminate(cmd *command) {
 	p.terminatedCount++
 	p.answerClient(cmd, 502, 0, nil)
@@ -494,7 +509,8 @@
 	p.removeIfFinished(cmd)
 }
 
-// terminateAll ends whatever is still open, but for answers on their way: cut off here they would be this process's fault.
+// terminateAll ends all open commands except those whose answer is being streamed: cutting these off would be this
+// process's fault.
 func (p *Proxy) terminateAll() {
 	for _, cmd := range p.commands {
 		if !cmd.done && cmd.answerConn == nil {
@@ -503,7 +519,7 @@
 	}
 }
 
-// forget gives up a command that is answered and has nothing out.
+// removeIfFinished deletes a command that is answered and has no open relays.
 func (p *Proxy) removeIfFinished(cmd *command) {
 	if cmd.done && cmd.openRelays == 0 {
 		cmd.timer.Stop()
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -1,5 +1,6 @@
-// This file owns the check of a configuration. It must never need anything of the kernel: a proxy that lacks descriptors still
-// has to turn to a new configuration in time.
+// This file validates a configuration. It must not need any kernel resources: a proxy that lacks descriptors still
+// has to apply a new configuration in time.
+
 package proxy
 
 import (
@@ -10,7 +11,7 @@
 	"sandpass/internal/settings"
 )
 
-// idleHost is the Host of a Balancer that is made only to see whether it can be.
+// idleHost is a Host that does nothing, for a Balancer that is created only to validate its settings.
 type idleHost struct{}
 
 func (idleHost) Relay(uint64, balance.BackendID) {}
@@ -21,18 +22,18 @@
 func (idleHost) WatchBackends()                  {}
 func (idleHost) SendToPeer(int, []byte)          {}
 
-// Check tells what is wrong with a configuration, if anything.
-func Check(l *Config) error {
-	p, _, err := prepare(l)
+// Check validates a configuration and returns the first error.
+func Check(cfg *Config) error {
+	p, _, err := prepare(cfg)
 	if err != nil {
 		return err
 	}
-	if _, err := netip.ParseAddrPort(l.Listen); err != nil {
+	if _, err := netip.ParseAddrPort(cfg.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if _, err := parseSocketFD(l.Socket); err != nil {
+	if _, err := parseSocketFD(cfg.Socket); err != nil {
 		return err
 	}
-	_, _, err = settings.NewBalancer(idleHost{}, p.seed, 0, l.Settings)
+	_, _, err = settings.NewBalancer(idleHost{}, p.seed, 0, cfg.Settings)
 	return err
 }
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -1,5 +1,6 @@
-// This file joins the proxy to the configuration that it has from control replicas: what is held is laid over the proxy's
-// own configuration at the start, at SIGHUP and when it changes. It must never wait for a replica or the disk on the loop.
+// This file applies the configuration received from control replicas: it is merged over the proxy's own configuration
+// at the start, on SIGHUP and when it changes. The loop must not wait for a replica or the disk.
+
 package proxy
 
 import (
@@ -8,56 +9,58 @@
 	"sandpass/internal/configwatch"
 )
 
-// controlDescriptors are kept where control is named: the watch, a trial of the preferred replica, a check's loop, a file
-// that is written and its folder, and some to spare.
+// controlDescriptors are reserved if control is configured: the watch, a trial connection to the preferred replica, a
+// check's loop, a file being written and its folder, and some spare.
 const controlDescriptors = 8
 
-// control is the watch on the control replicas; its Client is nil where the operators name none.
+// control is the watch on the control replicas. Its Client is nil if none are configured.
 type control struct {
 	*configwatch.Client
 	local atomic.Pointer[Config] // the proxy's own configuration
 }
 
-// newControl reads what is held and gives the configuration to start with.
-func newControl(l *Config) (*control, *Config, error) {
+// newControl reads the saved control configuration and returns the merged configuration to start with.
+func newControl(cfg *Config) (*control, *Config, error) {
 	c := &control{}
-	if !l.Control.Enabled() {
-		return c, l, nil
+	if !cfg.Control.Enabled() {
+		return c, cfg, nil
 	}
-	c.local.Store(l)
+	c.local.Store(cfg)
 	client, err := configwatch.New(configwatch.Config{
-		Identity: l.Control.Identity(l.Name), Replicas: l.Control.Addresses(), Folder: l.State.Folder,
+		Identity: cfg.Control.Identity(cfg.Name), Replicas: cfg.Control.Addresses(), Folder: cfg.State.Folder,
 		Local: func() configwatch.ReloadableConfig {
 			local := c.local.Load()
 			return configwatch.ReloadableConfig{Discovery: local.Discovery, Peers: local.Peers, Settings: local.Settings}
 		},
-		Check: func(laid configwatch.ReloadableConfig) error { return Check(c.local.Load().with(laid)) },
+		Check: func(reloadable configwatch.ReloadableConfig) error {
+			return Check(c.local.Load().withReloadable(reloadable))
+		},
 	})
 	if err != nil {
 		return nil, nil, err
 	}
 	c.Client = client
-	return c, l.with(client.InitialConfig()), nil
+	return c, cfg.withReloadable(client.InitialConfig()), nil
 }
 
-// reload has the held configuration laid over a new one of the proxy's own, where there is control.
-func (c *control) reload(l *Config) bool {
+// reload merges the held configuration over a new local one. It reports whether control is configured.
+func (c *control) reload(cfg *Config) bool {
 	if c.Client == nil {
 		return false
 	}
-	c.local.Store(l)
+	c.local.Store(cfg)
 	c.ReloadLocal()
 	return true
 }
 
-// takeOverHeld turns to a configuration that was found good; on the loop.
-func (p *Proxy) applyHeldConfig(laid configwatch.ReloadableConfig) error {
-	return p.reload(p.control.local.Load().with(laid))
+// applyHeldConfig applies a validated configuration. It runs on the loop.
+func (p *Proxy) applyHeldConfig(reloadable configwatch.ReloadableConfig) error {
+	return p.reload(p.control.local.Load().withReloadable(reloadable))
 }
 
-// with is the configuration with another reloadable part.
-func (l *Config) with(laid configwatch.ReloadableConfig) *Config {
-	next := *l
-	next.Discovery, next.Peers, next.Settings = laid.Discovery, laid.Peers, laid.Settings
+// withReloadable returns a copy of the configuration with another reloadable part.
+func (cfg *Config) withReloadable(reloadable configwatch.ReloadableConfig) *Config {
+	next := *cfg
+	next.Discovery, next.Peers, next.Settings = reloadable.Discovery, reloadable.Peers, reloadable.Settings
 	return &next
 }
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -18,12 +18,12 @@
 	"sandpass/internal/revision"
 )
 
-// replica is a stand-in for a control replica: what a test puts into updates goes to the proxy that watches.
+// replica is a fake control replica. It sends the updates that a test queues to the proxy that watches.
 type replica struct {
 	*httptest.Server
 	hellos  chan revision.Hello
 	reports chan revision.Report
-	updates chan string // lines
+	updates chan string // complete lines
 }
 
 func newReplica(t *testing.T) *replica {
@@ -35,7 +35,8 @@
 
 func startReplica(t *testing.T, at string) *replica {
 	t.Helper()
-	r := &replica{hellos: make(chan revision.Hello, 100), reports: make(chan revision.Report, 100), updates: make(chan string, 100)}
+	r := &replica{hellos: make(chan revision.Hello, 100), reports: make(chan revision.Report, 100),
+		updates: make(chan string, 100)}
 	listener, err := net.Listen("tcp", at)
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +48,7 @@
 	return r
 }
 
-// stop ends the replica with all watches on it.
+// stop ends the replica and all watches on it.
 func (r *replica) stop() {
 	r.CloseClientConnections()
 	r.Close()
@@ -81,15 +82,15 @@
 			r.reports <- report
 		}
 	}()
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		line := "\n"
 		select {
 		case <-request.Context().Done():
 			return
 		case line = <-r.updates:
-		case <-beat.C:
+		case <-ticker.C:
 		}
 		io.WriteString(w, line)
 		control.Flush()
@@ -98,8 +99,8 @@
 
 func (r *replica) address() string { return r.Listener.Addr().String() }
 
-// awaited waits for something that a replica is told.
-func awaited[T any](t *testing.T, from chan T) T {
+// receive returns the next value that a replica received.
+func receive[T any](t *testing.T, from chan T) T {
 	t.Helper()
 	select {
 	case x := <-from:
@@ -111,35 +112,36 @@
 	}
 }
 
-// wantsReport waits for a report with a verdict on a revision.
+// wantsReport waits for a report and checks its revision and verdict.
 func wantsReport(t *testing.T, r *replica, number revision.Number, verdict revision.Verdict) revision.Report {
 	t.Helper()
-	report := awaited(t, r.reports)
+	report := receive(t, r.reports)
 	if report.Revision != number || report.Verdict != verdict {
 		t.Fatalf("%+v, want %d %s", report, number, verdict)
 	}
 	return report
 }
 
-// history is what the replicas have for one proxy.
+// history is the configuration that the replicas have for one proxy.
 type history struct {
-	identity revision.Identity
-	number   revision.Number
-	held     map[revision.Scope]revision.ScopeDocument
+	identity  revision.Identity
+	revision  revision.Number
+	documents map[revision.Scope]revision.ScopeDocument
 }
 
 func newHistory() *history {
-	return &history{identity: revision.Identity{Fleet: "shop", Proxy: "n0", Zone: "eu-1"}, held: map[revision.Scope]revision.ScopeDocument{}}
+	return &history{identity: revision.Identity{Fleet: "shop", Proxy: "n0", Zone: "eu-1"},
+		documents: map[revision.Scope]revision.ScopeDocument{}}
 }
 
-// change is the next revision: a new document of a scope. It gives the update that brings it.
+// change adds a revision with a new document of a scope, and returns the update for it.
 func (h *history) change(t *testing.T, scope revision.Scope, text string) revision.Update {
 	t.Helper()
 	document, err := revision.Canonicalize([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, ok := h.held[scope]
+	before, ok := h.documents[scope]
 	if !ok {
 		before.Document = revision.EmptyDocument
 	}
@@ -147,17 +149,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.number++
-	h.held[scope] = revision.ScopeDocument{Scope: scope, Number: h.number, Document: document}
-	return revision.Update{Revision: h.number, Checksum: h.checksum(t),
-		Scopes: []revision.Change{{Scope: scope, Number: h.number, From: before.Number, Patch: patch}}}
+	h.revision++
+	h.documents[scope] = revision.ScopeDocument{Scope: scope, Number: h.revision, Document: document}
+	return revision.Update{Revision: h.revision, Checksum: h.checksum(t),
+		Scopes: []revision.Change{{Scope: scope, Number: h.revision, From: before.Number, Patch: patch}}}
 }
 
 func (h *history) checksum(t *testing.T) string {
 	t.Helper()
 	var held []revision.ScopeDocument
-	for _, one := range h.held {
-		held = append(held, one)
+	for _, document := range h.documents {
+		held = append(held, document)
 	}
 	effective, err := revision.EffectiveDocument(h.identity, held)
 	if err != nil {
@@ -166,12 +168,12 @@
 	return revision.Checksum(effective)
 }
 
-// whole is the update that brings all that there is.
+// whole returns the update with all documents.
 func (h *history) whole(t *testing.T) revision.Update {
 	t.Helper()
-	u := revision.Update{Revision: h.number, Full: true, Checksum: h.checksum(t)}
-	for _, one := range h.held {
-		u.Scopes = append(u.Scopes, revision.Change{Scope: one.Scope, Number: one.Number, Document: one.Document})
+	u := revision.Update{Revision: h.revision, Full: true, Checksum: h.checksum(t)}
+	for _, document := range h.documents {
+		u.Scopes = append(u.Scopes, revision.Change{Scope: document.Scope, Number: document.Number, Document: document.Document})
 	}
 	return u
 }
@@ -181,8 +183,8 @@
 	r.updates <- string(text) + "\n"
 }
 
-// underControl is a configuration whose operators name these replicas.
-func underControl(known, folder string, replicas ...*replica) *Config {
+// controlledConfig is a configuration that names these replicas.
+func controlledConfig(known, folder string, replicas ...*replica) *Config {
 	l := testConfig(known, nil, settingsText)
 	l.Control = operator.Control{Fleet: "shop", Zone: "eu-1"}
 	for _, r := range replicas {
@@ -199,7 +201,7 @@
 	return s
 }
 
-func TestAChangeComesIntoForceWithRequestsOpen(t *testing.T) {
+func TestChangeAppliesWithOpenRequests(t *testing.T) {
 	t.Parallel()
 	answer := make(chan bool)
 	b := newFakeBackend(t, func(b *fakeBackend, c net.Conn, r *http.Request) {
@@ -209,14 +211,14 @@
 		echo(b, c, r)
 	})
 	r, h := newReplica(t), newHistory()
-	p := startProxy(t, underControl(endpointList(1, true, readyEndpoint("s-1", b)), t.TempDir(), r))
-	hello := awaited(t, r.hellos)
+	p := startProxy(t, controlledConfig(endpointList(1, true, readyEndpoint("s-1", b)), t.TempDir(), r))
+	hello := receive(t, r.hellos)
 	if hello.Protocol != revision.Protocol || hello.Identity != h.identity || hello.Revision != 0 || len(hello.Documents) > 0 {
 		t.Errorf("%+v", hello)
 	}
 	open := p.dial(t)
 	io.WriteString(open, requestText("pay"))
-	p.await(t, "the request is out", func() bool { return b.commands.Load() == 1 })
+	p.await(t, "the request is relayed", func() bool { return b.commands.Load() == 1 })
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"limits": {"max_relays": 2}, "tick_ms": 7}}`))
 	if report := wantsReport(t, r, 1, revision.InForce); report.Checksum != h.checksum(t) {
 		t.Errorf("%+v", report)
@@ -231,7 +233,7 @@
 	})
 	close(answer)
 	if status, body, _ := open.readAnswer(); status != 200 {
-		t.Errorf("the open request had %d %s", status, body)
+		t.Errorf("the open request got %d %s", status, body)
 	}
 	if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
 		t.Errorf("%d after the change", status)
@@ -242,14 +244,14 @@
 	}
 }
 
-func TestWhatIsRefusedChangesNothing(t *testing.T) {
+func TestRefusedUpdateChangesNothing(t *testing.T) {
 	t.Parallel()
 	r, h := newReplica(t), newHistory()
-	p := startProxy(t, underControl("", t.TempDir(), r))
-	awaited(t, r.hellos)
+	p := startProxy(t, controlledConfig("", t.TempDir(), r))
+	receive(t, r.hellos)
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 7}}`))
 	wantsReport(t, r, 1, revision.InForce)
-	good := h.held[revision.FleetScope]
+	inForce := h.documents[revision.FleetScope]
 	for text, reason := range map[string]string{
 		`{"settings": {"tick_ms": -1}}`:     "settings: tick_ms is below 0",
 		`{"settings": {"azs": []}, "x": 1}`: "x: it needs a start",
@@ -258,31 +260,31 @@
 		`{"discovery": "nowhere"}`:          "discovery: ",
 	} {
 		r.send(h.change(t, revision.FleetScope, text))
-		report := wantsReport(t, r, h.number, revision.Refused)
+		report := wantsReport(t, r, h.revision, revision.Refused)
 		if !strings.Contains(report.Reason, reason) || strings.Contains(report.Reason, "\n") {
 			t.Errorf("%s: refused as %q", text, report.Reason)
 		}
-		if s := p.controlStatus(); s.Revision != 1 || s.LastRefused == nil || s.LastRefused.Revision != h.number {
+		if s := p.controlStatus(); s.Revision != 1 || s.LastRefused == nil || s.LastRefused.Revision != h.revision {
 			t.Errorf("%+v", s)
 		}
-		h.held[revision.FleetScope] = good // what the proxy holds
+		h.documents[revision.FleetScope] = inForce // what the proxy holds
 	}
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 8}}`))
-	wantsReport(t, r, h.number, revision.InForce)
+	wantsReport(t, r, h.revision, revision.InForce)
 }
 
-func TestARestartServesWhatWasHeldWithoutAnyReplica(t *testing.T) {
+func TestRestartUsesSavedConfigWithoutReplica(t *testing.T) {
 	t.Parallel()
 	folder, h := t.TempDir(), newHistory()
 	r := newReplica(t)
-	l := underControl("", folder, r)
+	l := controlledConfig("", folder, r)
 	first, err := New(l)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &testProxy{Proxy: first, runResult: make(chan error, 1), loopCalls: make(chan func(), 1)}
 	go func() { p.runResult <- p.Run(p.shutdownRequested.Load) }()
-	awaited(t, r.hellos)
+	receive(t, r.hellos)
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"realms": [{"name": "mill", "allowance_per_s": 5}]}}`))
 	wantsReport(t, r, 1, revision.InForce)
 	p.requestShutdown()
@@ -299,10 +301,10 @@
 		t.Errorf("starts with customers %v", names)
 	}
 	q := runProxy(t, again)
-	q.await(t, "the loss", func() bool { return !q.control.Status().Connected })
+	q.await(t, "the watch is lost", func() bool { return !q.control.Status().Connected })
 	r = startReplica(t, address)
 	defer r.stop()
-	if hello := awaited(t, r.hellos); hello.Revision != 1 || len(hello.Documents) != 1 || hello.Documents[0].Document != nil ||
+	if hello := receive(t, r.hellos); hello.Revision != 1 || len(hello.Documents) != 1 || hello.Documents[0].Document != nil ||
 		hello.Checksum != h.checksum(t) {
 		t.Errorf("%+v", hello)
 	}
@@ -310,15 +312,15 @@
 	wantsReport(t, r, 2, revision.InForce)
 }
 
-func TestAnotherReplicaIsAskedWhereOneIsGoneOrAnotherFleets(t *testing.T) {
+func TestReplicaFailoverAndFleetMismatch(t *testing.T) {
 	t.Parallel()
 	first, second, h := newReplica(t), newReplica(t), newHistory()
-	p := startProxy(t, underControl("", "", first, second))
-	awaited(t, first.hellos)
+	p := startProxy(t, controlledConfig("", "", first, second))
+	receive(t, first.hellos)
 	first.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 7}}`))
 	wantsReport(t, first, 1, revision.InForce)
 	first.stop()
-	if hello := awaited(t, second.hellos); hello.Revision != 1 {
+	if hello := receive(t, second.hellos); hello.Revision != 1 {
 		t.Errorf("%+v", hello)
 	}
 	second.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 8}}`))
@@ -327,28 +329,30 @@
 		t.Errorf("%+v", s)
 	}
 
-	foreign := underControl("", "", second)
+	foreign := controlledConfig("", "", second)
 	foreign.Control.Fleet = "mill"
 	q := startProxy(t, foreign)
-	q.await(t, "the refusal", func() bool { return q.control.Status().LastError == "status 409: fleet mill is not shop" })
+	q.await(t, "the watch is refused",
+		func() bool { return q.control.Status().LastError == "status 409: fleet mill is not shop" })
 	if status := q.controlStatus(); status.Revision != 0 || status.Connected {
 		t.Errorf("%+v", status)
 	}
 }
 
-func TestAReloadLaysWhatIsHeldOverTheNewFile(t *testing.T) {
+func TestReloadMergesHeldConfig(t *testing.T) {
 	t.Parallel()
 	r, h := newReplica(t), newHistory()
-	l := underControl("", "", r)
+	l := controlledConfig("", "", r)
 	p := startProxy(t, l)
-	awaited(t, r.hellos)
+	receive(t, r.hellos)
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"realms": [{"name": "mill", "allowance_per_s": 5}]}}`))
 	wantsReport(t, r, 1, revision.InForce)
 	other := newFakeBackend(t, echo)
 	changed := *l
 	changed.Discovery = other.Addr().String()
 	p.Reload(&changed)
-	p.await(t, "the new address", func() bool { return p.watch.addr == netip.MustParseAddrPort(changed.Discovery) })
+	p.await(t, "the new discovery address is in use",
+		func() bool { return p.watch.addr == netip.MustParseAddrPort(changed.Discovery) })
 	p.onLoop(func() {
 		if len(p.names.Customers) != 1 || p.names.Customers[0] != "mill" {
 			t.Errorf("customers are %v", p.names.Customers)
@@ -356,114 +360,117 @@
 	})
 }
 
-// A new version starts with what is saved, and takes clients no sooner than the newest that the old one took over is in force
-// in it; the old one takes over nothing more, until the new one is lost.
-func TestANewVersionGoesOnFromWhatIsSaved(t *testing.T) {
+// A new version must start with the saved configuration, and must not accept clients before the newest one that the
+// old version applied is in force. The old version applies nothing more unless the new one is lost.
+func TestNewVersionStartsFromSavedConfig(t *testing.T) {
 	t.Parallel()
 	r, h := newReplica(t), newHistory()
 	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
-	named := underControl("", t.TempDir(), r)
-	l.Control, l.State = named.Control, named.State
+	controlledCfg := controlledConfig("", t.TempDir(), r)
+	l.Control, l.State = controlledCfg.Control, controlledCfg.State
 	fd, _ := strconv.Atoi(l.Socket)
 	one := startProxy(t, l)
-	awaited(t, r.hellos)
+	receive(t, r.hellos)
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 6}}`))
 	wantsReport(t, r, 1, revision.InForce)
-	held := one.dial(t) // keeps the old one there
-	held.roundTrip(requestText("look"))
+	open := one.dial(t) // keeps the old version running
+	open.roundTrip(requestText("look"))
 
-	later, err := New(nextVersionConfig(t, l, fd))
+	newVersion, err := New(nextVersionConfig(t, l, fd))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 7}}`))
 	wantsReport(t, r, 2, revision.InForce)
-	two := runProxyWithHook(t, later, func() {
-		if later.acceptsClients() && later.control.Status().Revision < 2 {
-			t.Error("it takes clients with an older configuration than the old version")
+	two := runProxyWithHook(t, newVersion, func() {
+		if newVersion.acceptsClients() && newVersion.control.Status().Revision < 2 {
+			t.Error("accepts clients with an older configuration than the old version")
 		}
 	})
-	if hello := awaited(t, r.hellos); hello.Revision != 2 {
-		t.Errorf("the new version says %+v", hello)
+	if hello := receive(t, r.hellos); hello.Revision != 2 {
+		t.Errorf("hello of the new version: %+v", hello)
 	}
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 8}}`))
 	wantsReport(t, r, 3, revision.InForce)
 	if s := one.controlStatus(); s.Revision != 2 || s.Connected {
 		t.Errorf("the old version: %+v", s)
 	}
-	two.await(t, "it serves", func() bool { return two.acceptsClients() })
+	two.await(t, "the new version serves", func() bool { return two.acceptsClients() })
 
 	two.onLoop(func() { two.handover.predecessor.conn.Close() })
-	if hello := awaited(t, r.hellos); hello.Revision != 2 && hello.Revision != 3 {
-		t.Errorf("the old version says %+v", hello)
+	if hello := receive(t, r.hellos); hello.Revision != 2 && hello.Revision != 3 {
+		t.Errorf("hello of the old version: %+v", hello)
 	}
-	one.await(t, "what the new one had saved", func() bool { return one.control.Status().Revision == 3 })
+	one.await(t, "the configuration saved by the new version is in force",
+		func() bool { return one.control.Status().Revision == 3 })
 }
 
-// What a replica sends that is no update changes nothing, and the next opening of the watch goes on as if nothing had been.
-func TestAReplicaThatSendsAnything(t *testing.T) {
+// Malformed updates from a replica must change nothing, and the next watch must continue from the same revision.
+func TestMalformedReplicaUpdates(t *testing.T) {
 	t.Parallel()
 	b := newFakeBackend(t, echo)
 	r, h := newReplica(t), newHistory()
-	p := startProxy(t, underControl(endpointList(1, true, readyEndpoint("s-1", b)), t.TempDir(), r))
-	awaited(t, r.hellos)
-	for _, junk := range []string{
-		"}\n", "noise\n", `{"revision":1,"scopes":[}` + "\n", `{"revision":1,` + "\n\n", `{"revision":"x"}` + "\n", "{}\n", "[]\n",
+	p := startProxy(t, controlledConfig(endpointList(1, true, readyEndpoint("s-1", b)), t.TempDir(), r))
+	receive(t, r.hellos)
+	for _, malformed := range []string{
+		"}\n", "noise\n", `{"revision":1,"scopes":[}` + "\n", `{"revision":1,` + "\n\n", `{"revision":"x"}` + "\n",
+		"{}\n", "[]\n",
 		`{"revision":9,"scopes":[{"scope":"rack:1","number":9,"document":{}}]}` + "\n",
 		`{"revision":9,"whole":true,"scopes":[{"scope":"fleet","number":9,"document":{"a":1}}],"checksum":"x"}` + "\n",
 		`{"a":"` + strings.Repeat("x", 6<<20) + `"}` + "\n",
 	} {
-		r.updates <- junk
-		hello := awaited(t, r.hellos) // the watch is opened again
-		if hello.Revision != h.number {
-			t.Errorf("after %.40q: %+v", junk, hello)
+		r.updates <- malformed
+		hello := receive(t, r.hellos) // the watch is reopened
+		if hello.Revision != h.revision {
+			t.Errorf("after %.40q: %+v", malformed, hello)
 		}
 		if status, _, _ := p.dial(t).roundTrip(requestText("look")); status != 200 {
-			t.Errorf("after %.40q: %d", junk, status)
+			t.Errorf("after %.40q: %d", malformed, status)
 		}
 		for len(r.reports) > 0 {
 			if report := <-r.reports; report.Verdict != revision.Unknown || strings.Contains(report.Reason, "\n") {
-				t.Errorf("after %.40q: %+v", junk, report)
+				t.Errorf("after %.40q: %+v", malformed, report)
 			}
 		}
-		r.send(h.change(t, revision.FleetScope, fmt.Sprintf(`{"settings": {"tick_ms": %d}}`, 5+h.number)))
-		for awaited(t, r.reports).Verdict != revision.InForce { // what was reported of the junk as its watch ended
+		r.send(h.change(t, revision.FleetScope, fmt.Sprintf(`{"settings": {"tick_ms": %d}}`, 5+h.revision)))
+		for receive(t, r.reports).Verdict != revision.InForce { // skip reports about the malformed update
 		}
 	}
-	if s := p.controlStatus(); s.Revision != h.number || s.Checksum != h.checksum(t) || s.Updates.Unknown == 0 {
+	if s := p.controlStatus(); s.Revision != h.revision || s.Checksum != h.checksum(t) || s.Updates.Unknown == 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Updates and new files of the proxy's own cross: in the end both are in force, and no update was lost.
-func TestUpdatesCrossReloads(t *testing.T) {
+// When updates arrive during reloads of the local file, both must be in force in the end, without a lost update.
+func TestUpdatesDuringReloads(t *testing.T) {
 	t.Parallel()
-	const many = 30
+	const updateCount = 30
 	r, h := newReplica(t), newHistory()
-	l := underControl("", t.TempDir(), r)
+	l := controlledConfig("", t.TempDir(), r)
 	p := startProxy(t, l)
-	awaited(t, r.hellos)
+	receive(t, r.hellos)
 	last := *l
 	go func() {
-		for i := range many {
+		for i := range updateCount {
 			changed := *l
 			changed.Discovery = fmt.Sprintf("127.0.0.1:%d", 1+i)
 			p.Reload(&changed)
 		}
 	}()
-	for i := range many {
+	for i := range updateCount {
 		r.send(h.change(t, revision.FleetScope, fmt.Sprintf(`{"settings": {"limits": {"max_open": %d}}}`, 100+i)))
 	}
-	for i := range many {
+	for i := range updateCount {
 		wantsReport(t, r, revision.Number(1+i), revision.InForce)
 	}
-	last.Discovery = fmt.Sprintf("127.0.0.1:%d", many)
-	p.await(t, "both", func() bool {
-		return p.watch.addr.String() == last.Discovery && p.network.MaxOpenRequests == 100+many-1 && p.control.Status().Revision == many
+	last.Discovery = fmt.Sprintf("127.0.0.1:%d", updateCount)
+	p.await(t, "both changes are in force", func() bool {
+		return p.watch.addr.String() == last.Discovery && p.network.MaxOpenRequests == 100+updateCount-1 &&
+			p.control.Status().Revision == updateCount
 	})
 }
 
-func TestWithoutControlNothingIsThere(t *testing.T) {
+func TestDescriptorsReservedForControl(t *testing.T) {
 	t.Parallel()
 	p := runProxy(t, newTestProxy(t, 200, "", nil))
 	p.onLoop(func() {
@@ -471,7 +478,7 @@
 			t.Errorf("%d descriptors, %s", p.reservedDescriptors(), p.status())
 		}
 	})
-	controlled := underControl("", "", newReplica(t))
+	controlled := controlledConfig("", "", newReplica(t))
 	q := startProxy(t, controlled)
 	q.onLoop(func() {
 		if q.reservedDescriptors() != baseDescriptors+controlDescriptors {
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -1,6 +1,7 @@
-// This file owns the upgrade: the connection between the running process and its successor, their messages, and what each
-// does when the other is gone. It must never accept clients in a process that can't serve them, nor take the other for
-// running once their connection has ended.
+// This file implements the handover between two versions of the proxy: the connection between the running process and
+// its successor, their messages, and what each does when the other is lost. A process that can't serve must not
+// accept clients, and the other process counts as gone once the connection has ended.
+
 package proxy
 
 import (
@@ -22,88 +23,90 @@
 )
 
 const (
-	handoverVersion     = 1
-	meetWithin          = 1.5     // seconds for the running process to hand over: the yes is due 6 s after the start
-	serveWithin         = 3.0     // seconds after which a new process serves though nobody is listed: no list may come
-	takeOverWithin      = 10.0    // seconds after its hello in which a new process must serve, or counts as gone
-	promiseWithin       = 0.35    // seconds for a call to be on the disk that lasts, where there is one
-	operateWithin       = 0.5     // seconds for the other process to do what operators called for: their answer is due within 1 s
-	handoverMessageMost = 4 << 20 // bytes of a line: thousands of backends
-	shedFrom            = 0.3     // seconds after the successor serves, from which what rests is closed: most go with an answer first
-	shedTo              = 1.5     // and by which it is closed: the kill comes no sooner than 3.7 s after that
-	stayLeast           = 0.5     // seconds that the old process stays, for what was accepted last
-	pairMemory          = 0.5     // of the memory for each of two processes
-	lookEvery           = 0.05    // seconds between looks at what is still open, and at whether an address is free
+	handoverVersion         = 1
+	stateTimeoutSeconds     = 1.5     // for the predecessor to send its state: a new process must be ready 6 s after its start
+	listWaitSeconds         = 3.0     // after which a new process serves without a list, since none may come
+	takeoverTimeoutSeconds  = 10.0    // after its hello, by which a new process must serve or counts as gone
+	persistTimeoutSeconds   = 0.35    // for an operation to be saved to persistent storage, where configured
+	operationTimeoutSeconds = 0.5     // for the other process to apply an operation: the operator is to be answered within 1 s
+	maxHandoverMessageBytes = 4 << 20 // thousands of backends
+	idleCloseStartSeconds   = 0.3     // until idle connections are closed after the successor serves: most end with an answer
+	idleCloseEndSeconds     = 1.5     // until all of them are closed: the kill comes at least 3.7 s later
+	minStaySeconds          = 0.5     // that the old process stays for connections accepted last
+	sharedMemoryFraction    = 0.5     // of the memory limit, for each of two processes
+	handoverPollSeconds     = 0.05    // between checks for open connections and for a free address
 )
 
-// handoverMessage is a line between two processes. Unknown fields are passed over; in a larger version they mean something else.
+// handoverMessage is one line between the two processes. Unknown fields are ignored; a larger version is
+// incompatible.
 type handoverMessage struct {
 	Version     int             `json:"v"`
 	Kind        string          `json:"say"` // hello, state, serving, holds, call, done
 	Discovery   string          `json:"discovery,omitempty"`
 	List        *endpointUpdate `json:"list,omitempty"`
 	Maintenance *maintenance    `json:"maintenance,omitempty"`
-	Ages        *ages           `json:"ages,omitempty"`
-	OldList     bool            `json:"-"` // the list is only what the ages are of
+	Ages        *processAges    `json:"ages,omitempty"`
+	AgesOnly    bool            `json:"-"` // apply only the ages of the list
 	Drained     bool            `json:"drained,omitempty"`
 	Sockets     int             `json:"sockets,omitempty"`
 	Number      int             `json:"number,omitempty"`
-	Call        string          `json:"call,omitempty"`
+	Operation   string          `json:"call,omitempty"`
 	ID          string          `json:"id,omitempty"`
-	Failed      string          `json:"failed,omitempty"` // why what was called for would not outlive the process
+	Error       string          `json:"failed,omitempty"` // why the operation was not persisted
 }
 
-// handover is where this process stands between the one before and the one after.
+// handover is this process's state between its predecessor and its successor.
 type handover struct {
-	path            string              // of the Unix socket; empty where there is no inherited listener
-	listener        *loop.Listener      // where the next version comes
-	predecessor     *otherProcess       // the process whose place this one takes, while it lives
-	successor       *otherProcess       // the one that takes this one's place, while it lives
-	done            bool                // nothing is handed over any more
-	serving         bool                // clients are accepted, or were
-	successorServes bool                // the one after serves
-	since           float64             // when that began
-	asked           int                 // calls sent to the other
-	waits           map[int]func(error) // for what it has done of these
-	setMemory       func(bytes int64)
+	path              string              // of the Unix socket; empty without an inherited listener
+	listener          *loop.Listener      // accepts the next version's connection
+	predecessor       *otherProcess       // the running process that this one replaces, nil once it is gone
+	successor         *otherProcess       // the process that replaces this one, nil once it is gone
+	done              bool                // the predecessor's state was received, or is no longer waited for
+	serving           bool                // clients are accepted, or were
+	successorServes   bool                // the successor accepts clients
+	yieldedAt         float64             // when the successor began to
+	lastOperation     int                 // number of the last operation sent to the other process
+	pendingOperations map[int]func(error) // callbacks for operations that it has not confirmed yet, by number
+	setMemoryLimit    func(bytes int64)
 }
 
-// otherProcess is the predecessor or the successor.
+// otherProcess is the connection to the predecessor or the successor.
 type otherProcess struct {
-	p    *Proxy
-	conn *loop.Conn
-	up   bool
+	p         *Proxy
+	conn      *loop.Conn
+	connected bool
 }
 
-// inherited decodes what names the descriptor of the listener, -1 if nothing does.
+// parseSocketFD parses the descriptor number of the inherited listener. It returns -1 if text is empty.
 func parseSocketFD(text string) (int, error) {
 	if text == "" {
 		return -1, nil
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 0 {
-		return -1, fmt.Errorf("socket: %q is no descriptor", text)
+		return -1, fmt.Errorf("socket: %q is not a file descriptor", text)
 	}
 	return fd, nil
 }
 
-// OnMemory has f called with how much memory the process may use, now and when that changes; before Run.
+// OnMemoryLimit registers a function that is called with the memory limit of the process, now and on each change. It
+// must be called before Run.
 func (p *Proxy) OnMemoryLimit(f func(bytes int64)) {
-	p.handover.setMemory = f
+	p.handover.setMemoryLimit = f
 	p.limitMemory(1)
 }
 
-// useMemory has the process keep to a part of the memory that the configuration allows.
-func (p *Proxy) limitMemory(part float64) {
-	if bytes := part * float64(p.startConfig.Limits.MemoryMB) * (1 << 20); bytes > 0 {
+// limitMemory limits the process to a fraction of the configured memory.
+func (p *Proxy) limitMemory(fraction float64) {
+	if bytes := fraction * float64(p.startConfig.Limits.MemoryMB) * (1 << 20); bytes > 0 {
 		p.loop.MaxBufferBytes = int(readBufferShare * bytes)
-		if p.handover.setMemory != nil {
-			p.handover.setMemory(int64(bytes))
+		if p.handover.setMemoryLimit != nil {
+			p.handover.setMemoryLimit(int64(bytes))
 		}
 	}
 }
 
-// meetPredecessor looks for a running process. Without one, or where it has nothing to say, this one serves at once.
+// beginHandover connects to a running predecessor. Without an inherited listener this process serves at once.
 func (p *Proxy) beginHandover() {
 	h := &p.handover
 	if h.path == "" {
@@ -111,36 +114,37 @@
 		p.control.Open()
 		return
 	}
-	p.dialPredecessor(p.loop.Now() + meetWithin)
+	p.dialPredecessor(p.loop.Now() + stateTimeoutSeconds)
 }
 
-// dialPredecessor connects to a running process, again and again until then while the system lacks something for that.
+// dialPredecessor connects to the predecessor and retries transient failures until the given time. If there is no
+// predecessor, this process serves at once.
 func (p *Proxy) dialPredecessor(until float64) {
 	h := &p.handover
-	m := &otherProcess{p: p}
-	conn, err := p.loop.DialUnix(h.path, m, handoverMessageMost)
+	o := &otherProcess{p: p}
+	conn, err := p.loop.DialUnix(h.path, o, maxHandoverMessageBytes)
 	if loop.IsTransient(err) && p.loop.Now() < until {
 		p.loop.After(pollIntervalSeconds, func() { p.dialPredecessor(until) })
 		return
 	}
 	if err != nil {
 		log.Printf("msg=alone error=%q", err)
-		p.handed()
+		p.finishHandover()
 		p.serve()
 		return
 	}
-	m.conn, h.predecessor = conn, m
-	p.limitMemory(pairMemory)
-	p.loop.After(meetWithin, func() {
-		if h.predecessor == m && !h.done {
+	o.conn, h.predecessor = conn, o
+	p.limitMemory(sharedMemoryFraction)
+	p.loop.After(stateTimeoutSeconds, func() {
+		if h.predecessor == o && !h.done {
 			log.Printf("msg=handover_silent")
-			m.lost(errors.New("no handover in time"))
+			o.disconnected(errors.New("no handover state received in time"))
 		}
 	})
 }
 
-// handed ends the wait for a handover.
-func (p *Proxy) handed() {
+// finishHandover ends the wait for the predecessor's state.
+func (p *Proxy) finishHandover() {
 	h := &p.handover
 	if h.done {
 		return
@@ -148,20 +152,21 @@
 	h.done = true
 	began := p.loop.Now()
 	if h.predecessor != nil {
-		p.serveSoon(began)
+		p.serveWhenReady(began)
 	}
 }
 
-// serveSoon accepts as soon as what comes can be relayed, or by the time that somebody must.
-func (p *Proxy) serveSoon(began float64) {
-	if now := p.loop.Now(); p.handover.predecessor != nil && !(p.canRelay() && p.control.Idle()) && now < began+serveWithin {
-		p.loop.After(pollIntervalSeconds, func() { p.serveSoon(began) })
+// serveWhenReady starts to accept clients once commands can be relayed and the configuration is settled, or when the
+// wait has been too long.
+func (p *Proxy) serveWhenReady(began float64) {
+	if now := p.loop.Now(); p.handover.predecessor != nil && !(p.canRelay() && p.control.Idle()) && now < began+listWaitSeconds {
+		p.loop.After(pollIntervalSeconds, func() { p.serveWhenReady(began) })
 		return
 	}
 	p.serve()
 }
 
-// serve accepts clients and says so to the predecessor, if it runs; the next version connects here from now on.
+// serve accepts clients and tells the predecessor, if there is one. From now on the next version connects here.
 func (p *Proxy) serve() {
 	h := &p.handover
 	if p.listener.Closed() || h.serving {
@@ -170,70 +175,75 @@
 	h.serving = true
 	p.listener.Resume()
 	p.control.Open()
-	p.expectNext()
+	p.listenForSuccessor()
 	if h.predecessor != nil {
-		p.useSockets(p.startConfig.Limits.Sockets / 2)
+		p.limitDescriptors(p.startConfig.Limits.Sockets / 2)
 		h.predecessor.send(handoverMessage{Kind: "serving"})
 	}
 	log.Printf("msg=accepting successor=%t ready=%t", h.predecessor != nil, p.ready())
-	p.rejoinPeers()
+	p.reopenPeers()
 }
 
-// rejoinPeers takes the address for messages once the process before has let it go.
-func (p *Proxy) rejoinPeers() {
+// reopenPeers opens the socket for peer messages once the predecessor has released the address.
+func (p *Proxy) reopenPeers() {
 	if len(p.peers.addrs) > 0 && p.peers.socket == nil && !p.handover.successorServes && p.applyPeers(p.peers) != nil {
-		p.loop.After(lookEvery, p.rejoinPeers)
+		p.loop.After(handoverPollSeconds, p.reopenPeers)
 	}
 }
 
-// expectNext has the next version come here, as soon as the system has what that needs.
-func (p *Proxy) expectNext() {
+// listenForSuccessor accepts the next version's connection. It retries transient failures.
+func (p *Proxy) listenForSuccessor() {
 	h := &p.handover
 	if h.successorServes || h.listener != nil {
 		return
 	}
 	var err error
-	h.listener, err = p.loop.ListenUnix(h.path, handoverMessageMost, func(conn *loop.Conn) loop.Handler {
-		return &otherProcess{p: p, conn: conn, up: true}
+	h.listener, err = p.loop.ListenUnix(h.path, maxHandoverMessageBytes, func(conn *loop.Conn) loop.Handler {
+		return &otherProcess{p: p, conn: conn, connected: true}
 	})
 	if err != nil {
 		h.listener = nil
-		log.Printf("msg=no_handover error=%q", err) // the proxy serves all the same
+		log.Printf("msg=no_handover error=%q", err) // the proxy serves without it
 	}
 	if loop.IsTransient(err) {
-		p.loop.After(pollIntervalSeconds, p.expectNext)
+		p.loop.After(pollIntervalSeconds, p.listenForSuccessor)
 	}
 }
 
-// useSockets has the process keep to so many descriptors.
-func (p *Proxy) useSockets(n int) {
+// limitDescriptors limits the process to n descriptors.
+func (p *Proxy) limitDescriptors(n int) {
 	p.divideDescriptors(max(n, p.reservedDescriptors()+baseDescriptors))
 }
 
-func (m *otherProcess) send(w handoverMessage) {
-	w.Version = handoverVersion
-	text, _ := json.Marshal(w)
-	m.conn.Write(append(text, '\n'))
+// send sends a message to the other process.
+func (o *otherProcess) send(msg handoverMessage) {
+	msg.Version = handoverVersion
+	text, _ := json.Marshal(msg)
+	o.conn.Write(append(text, '\n'))
 }
 
-func (m *otherProcess) OnConnect(*loop.Conn) {
-	m.up = true
-	m.send(handoverMessage{Kind: "hello"})
+// OnConnect sends the hello to the predecessor.
+func (o *otherProcess) OnConnect(*loop.Conn) {
+	o.connected = true
+	o.send(handoverMessage{Kind: "hello"})
 }
 
-func (m *otherProcess) OnFlushed(*loop.Conn) {}
+// OnFlushed does nothing.
+func (o *otherProcess) OnFlushed(*loop.Conn) {}
 
-func (m *otherProcess) OnDisconnect(_ *loop.Conn, err error) { m.lost(err) }
+// OnDisconnect handles the end of the connection.
+func (o *otherProcess) OnDisconnect(_ *loop.Conn, err error) { o.disconnected(err) }
 
-// lost says that the other process is gone, or is to count as that: all that was shared falls to this one.
-func (m *otherProcess) lost(err error) {
-	p, h := m.p, &m.p.handover
-	m.conn.Close()
-	switch m {
+// disconnected handles the loss of the other process, or its failure to act in time: this process takes over the
+// shared resources.
+func (o *otherProcess) disconnected(err error) {
+	p, h := o.p, &o.p.handover
+	o.conn.Close()
+	switch o {
 	case h.predecessor:
 		h.predecessor = nil
 		log.Printf("msg=predecessor_gone error=%q", err)
-		p.handed()
+		p.finishHandover()
 		p.serve()
 	case h.successor:
 		h.successor = nil
@@ -242,140 +252,146 @@
 		if h.successorServes && !p.shutdown.active {
 			h.successorServes = false
 			p.listener.Resume()
-			p.expectNext()
-			p.rejoinPeers()
+			p.listenForSuccessor()
+			p.reopenPeers()
 		}
 	default:
 		log.Printf("msg=stranger error=%q", err)
 		return
 	}
-	for n := range h.waits {
-		h.answered(n, nil)
+	for n := range h.pendingOperations {
+		h.operationDone(n, nil)
 	}
 	if h.predecessor == nil && h.successor == nil {
 		p.limitMemory(1)
-		p.useSockets(p.startConfig.Limits.Sockets)
+		p.limitDescriptors(p.startConfig.Limits.Sockets)
 	}
 }
 
-func (m *otherProcess) OnData(c *loop.Conn) {
+// OnData reads and handles messages.
+func (o *otherProcess) OnData(conn *loop.Conn) {
 	for {
-		end := bytes.IndexByte(c.Unconsumed(), '\n')
+		end := bytes.IndexByte(conn.Unconsumed(), '\n')
 		if end < 0 {
-			if c.ReadBufferFull() {
-				m.lost(errors.New("a line without end"))
+			if conn.ReadBufferFull() {
+				o.disconnected(errors.New("message is too long"))
 			}
 			return
 		}
-		var w handoverMessage
-		err := json.Unmarshal(c.Unconsumed()[:end], &w)
-		if err == nil && w.Version != handoverVersion {
-			err = fmt.Errorf("version %d is unknown", w.Version)
+		var msg handoverMessage
+		err := json.Unmarshal(conn.Unconsumed()[:end], &msg)
+		if err == nil && msg.Version != handoverVersion {
+			err = fmt.Errorf("unknown protocol version %d", msg.Version)
 		}
 		if err != nil {
-			m.lost(err)
+			o.disconnected(err)
 			return
 		}
-		c.Consume(end + 1)
-		if m.received(&w); m.p.handover.predecessor != m && m.p.handover.successor != m {
+		conn.Consume(end + 1)
+		if o.handleMessage(&msg); o.p.handover.predecessor != o && o.p.handover.successor != o {
 			return
 		}
 	}
 }
 
-// received acts on a message of the other process. One that has sent no hello, and was not called by this one, is a stranger.
-func (m *otherProcess) received(w *handoverMessage) {
-	p, h := m.p, &m.p.handover
-	if m != h.predecessor && m != h.successor && w.Kind != "hello" || m != h.predecessor && (w.Kind == "state" || w.Kind == "holds") {
-		m.lost(fmt.Errorf("%q is not this process's to say", w.Kind))
+// handleMessage handles a message. A process that has not sent a hello, and that this process did not connect to, is
+// rejected.
+func (o *otherProcess) handleMessage(msg *handoverMessage) {
+	p, h := o.p, &o.p.handover
+	if o != h.predecessor && o != h.successor && msg.Kind != "hello" ||
+		o != h.predecessor && (msg.Kind == "state" || msg.Kind == "holds") {
+		o.disconnected(fmt.Errorf("message %q is not allowed from this process", msg.Kind))
 		return
 	}
-	switch w.Kind {
+	switch msg.Kind {
 	case "hello":
 		if h.successor != nil {
-			h.successor.lost(errors.New("another came"))
+			h.successor.disconnected(errors.New("replaced by another successor"))
 		}
-		h.successor = m
-		p.control.Pause() // what is saved by now is what the other starts with
-		p.limitMemory(pairMemory)
-		m.send(p.handoverState())
-		p.loop.After(takeOverWithin, func() {
-			if h.successor == m && !h.successorServes {
-				m.lost(errors.New("it does not serve"))
+		h.successor = o
+		p.control.Pause() // the successor starts from the configuration saved so far
+		p.limitMemory(sharedMemoryFraction)
+		o.send(p.handoverState())
+		p.loop.After(takeoverTimeoutSeconds, func() {
+			if h.successor == o && !h.successorServes {
+				o.disconnected(errors.New("successor did not start to serve in time"))
 			}
 		})
 	case "state":
 		p.control.ReloadSaved() // the predecessor may have saved a newer configuration since this process started
-		p.takeOver(w, 0)
-		log.Printf("msg=handed_over backends=%d left_out=%d drained=%t", p.backends.readyCount, len(p.maintenance.Cordoned), w.Drained)
+		p.applyState(msg, 0)
+		log.Printf("msg=handed_over backends=%d left_out=%d drained=%t", p.backends.readyCount, len(p.maintenance.Cordoned),
+			msg.Drained)
 	case "serving":
-		p.giveWay(m)
+		p.yieldTo(o)
 	case "holds":
-		p.useSockets(p.startConfig.Limits.Sockets - w.Sockets)
+		p.limitDescriptors(p.startConfig.Limits.Sockets - msg.Sockets)
 	case "call":
-		log.Printf("msg=ops call=%s id=%q told=true", w.Call, w.ID)
-		p.operate(w.Call, w.ID)
-		p.promise(promiseWithin, func(err error) {
-			done := handoverMessage{Kind: "done", Number: w.Number}
+		log.Printf("msg=ops call=%s id=%q told=true", msg.Operation, msg.ID)
+		p.applyOperation(msg.Operation, msg.ID)
+		p.persist(persistTimeoutSeconds, func(err error) {
+			done := handoverMessage{Kind: "done", Number: msg.Number}
 			if err != nil {
-				done.Failed = err.Error()
+				done.Error = err.Error()
 			}
-			m.send(done)
+			o.send(done)
 		})
 	case "done":
 		var err error
-		if w.Failed != "" {
-			err = errors.New(w.Failed)
+		if msg.Error != "" {
+			err = errors.New(msg.Error)
 		}
-		h.answered(w.Number, err)
+		h.operationDone(msg.Number, err)
 	}
 }
 
-// handoverState is what the next version must know to keep the rules.
+// handoverState returns what the next version must know to keep the rules.
 func (p *Proxy) handoverState() handoverMessage {
 	names := map[balance.State]string{}
 	for name, s := range endpointStates {
 		names[s] = name
 	}
-	l := &endpointUpdate{Index: p.watch.index, Snapshot: true}
-	for _, t := range p.backends.byName {
-		if t.listed.State != balance.Gone {
-			l.Endpoints = append(l.Endpoints, endpoint{Name: t.name, Address: t.addr.String(), Zone: p.names.Zones[t.listed.Zone],
-				Group: t.listed.Cell, Status: names[t.listed.State], Weight: t.listed.Capacity, SinceMs: t.sinceMs})
+	list := &endpointUpdate{Index: p.watch.index, Snapshot: true}
+	for _, b := range p.backends.byName {
+		if b.listed.State != balance.Gone {
+			list.Endpoints = append(list.Endpoints, endpoint{Name: b.name, Address: b.addr.String(),
+				Zone:  p.names.Zones[b.listed.Zone],
+				Group: b.listed.Cell, Status: names[b.listed.State], Weight: b.listed.Capacity, SinceMs: b.sinceMs})
 		}
 	}
-	slices.SortFunc(l.Endpoints, func(a, b endpoint) int { return strings.Compare(a.Name, b.Name) })
-	return handoverMessage{Kind: "state", Discovery: p.watch.addr.String(), List: l, Maintenance: &p.maintenance, Ages: p.ages(), Drained: p.drain.active}
+	slices.SortFunc(list.Endpoints, func(a, b endpoint) int { return strings.Compare(a.Name, b.Name) })
+	return handoverMessage{Kind: "state", Discovery: p.watch.addr.String(), List: list, Maintenance: &p.maintenance,
+		Ages: p.collectAges(), Drained: p.drain.active}
 }
 
-// takeOver goes on from the predecessor's state, as it was so many seconds ago. The list's index counts only with the
-// discovery that it is from.
-func (p *Proxy) takeOver(w *handoverMessage, elapsed float64) {
-	if w.Maintenance != nil {
-		p.maintenance = *w.Maintenance
+// applyState continues from the predecessor's state, which is elapsed seconds old. The list's index is valid only for
+// the discovery address that it is from.
+func (p *Proxy) applyState(msg *handoverMessage, elapsed float64) {
+	if msg.Maintenance != nil {
+		p.maintenance = *msg.Maintenance
 	}
-	p.takeAges(w.Ages, w.List, elapsed)
-	if w.List != nil && !w.OldList && !p.watch.Received {
-		p.applyEndpoints(w.List)
-		p.watch.hasList = w.Discovery == p.watch.addr.String()
+	p.applyAges(msg.Ages, msg.List, elapsed)
+	if msg.List != nil && !msg.AgesOnly && !p.watch.Received {
+		p.applyEndpoints(msg.List)
+		p.watch.hasList = msg.Discovery == p.watch.addr.String()
 	} else {
 		for _, name := range slices.Sorted(maps.Keys(p.backends.byName)) {
 			p.refreshBackend(name)
 		}
 	}
-	if w.Drained {
+	if msg.Drained {
 		p.startDrain()
 	}
-	p.handed()
+	p.finishHandover()
 }
 
-// giveWay leaves new connections to the process after. What is open here is finished.
-func (p *Proxy) giveWay(m *otherProcess) {
+// yieldTo leaves new connections to the successor. What is open here is finished.
+func (p *Proxy) yieldTo(o *otherProcess) {
 	h := &p.handover
-	if h.successor != m || h.successorServes {
+	if h.successor != o || h.successorServes {
 		return
 	}
-	h.successorServes, h.since = true, p.loop.Now()
+	h.successorServes, h.yieldedAt = true, p.loop.Now()
 	p.listener.Pause()
 	if h.listener != nil {
 		h.listener.Release()
@@ -386,79 +402,79 @@
 		p.peers.socket = nil
 	}
 	log.Printf("msg=succeeded open=%d clients=%d", len(p.commands), p.clients.count)
-	p.giveWayOn(m)
+	p.drainToSuccessor(o)
 }
 
-// giveWayOn closes what rests and leaves once nothing is open.
-func (p *Proxy) giveWayOn(m *otherProcess) {
+// drainToSuccessor closes idle connections and exits once nothing is open.
+func (p *Proxy) drainToSuccessor(o *otherProcess) {
 	h := &p.handover
-	if h.successor != m || p.shutdown.closingConns {
+	if h.successor != o || p.shutdown.closingConns {
 		return
 	}
-	t := p.loop.Now() - h.since
-	p.closeIdleGradually(t, shedFrom, shedTo)
+	elapsed := p.loop.Now() - h.yieldedAt
+	p.closeIdleGradually(elapsed, idleCloseStartSeconds, idleCloseEndSeconds)
 	p.backends.maxConns = min(p.backends.maxConns, max(p.clients.count, len(p.backends.conns), 1))
-	m.send(handoverMessage{Kind: "holds", Sockets: p.reservedDescriptors() + p.clients.count + p.backends.maxConns})
-	if t > stayLeast && p.clients.count == 0 && len(p.commands) == 0 {
+	o.send(handoverMessage{Kind: "holds", Sockets: p.reservedDescriptors() + p.clients.count + p.backends.maxConns})
+	if elapsed > minStaySeconds && p.clients.count == 0 && len(p.commands) == 0 {
 		log.Printf("msg=left")
 		p.loop.Stop()
 		return
 	}
-	p.loop.After(lookEvery, func() { p.giveWayOn(m) })
+	p.loop.After(handoverPollSeconds, func() { p.drainToSuccessor(o) })
 }
 
-// others are the processes that must do what operators say as well.
+// otherProcesses returns the connected processes that must apply operations, too.
 func (p *Proxy) otherProcesses() (all []*otherProcess) {
-	for _, m := range []*otherProcess{p.handover.predecessor, p.handover.successor} {
-		if m != nil && m.up {
-			all = append(all, m)
+	for _, o := range []*otherProcess{p.handover.predecessor, p.handover.successor} {
+		if o != nil && o.connected {
+			all = append(all, o)
 		}
 	}
 	return all
 }
 
-// operateAll carries out a call here and in the other process, and calls back once it holds in both and is on the disk that
-// lasts, where there is one, or with the error why it is not. Another process that says nothing has stopped, and sends nothing
-// new either.
-func (p *Proxy) operateAll(what, id string, then func(error)) {
-	p.operate(what, id)
-	var failed error
-	left := 1
+// applyEverywhere applies an operation here and in the other process. It calls back once both have applied and
+// persisted it, or with the first error. A process that does not answer has stopped, and sends nothing new either.
+func (p *Proxy) applyEverywhere(operation, id string, callback func(error)) {
+	p.applyOperation(operation, id)
+	var firstErr error
+	remaining := 1
 	done := func(err error) {
-		failed = cmp.Or(failed, err) // the first
-		if left--; left == 0 {
-			then(failed)
+		firstErr = cmp.Or(firstErr, err) // keeps the first error
+		if remaining--; remaining == 0 {
+			callback(firstErr)
 		}
 	}
-	for _, m := range p.otherProcesses() {
-		left++
-		p.tellOther(m, what, id, done)
+	for _, o := range p.otherProcesses() {
+		remaining++
+		p.forwardOperation(o, operation, id, done)
 	}
-	p.promise(promiseWithin, done)
+	p.persist(persistTimeoutSeconds, done)
 }
 
-// tellOther has another process carry out a call, and calls back when it has, or has taken too long.
-func (p *Proxy) tellOther(m *otherProcess, what, id string, done func(error)) {
+// forwardOperation sends an operation to another process, and calls back when it is confirmed or the wait has been
+// too long.
+func (p *Proxy) forwardOperation(o *otherProcess, operation, id string, done func(error)) {
 	h := &p.handover
-	if h.waits == nil {
-		h.waits = map[int]func(error){}
-	}
-	h.asked++
-	n := h.asked
-	h.waits[n] = done
-	m.send(handoverMessage{Kind: "call", Number: n, Call: what, ID: id})
-	p.loop.After(operateWithin, func() { h.answered(n, nil) })
+	if h.pendingOperations == nil {
+		h.pendingOperations = map[int]func(error){}
+	}
+	h.lastOperation++
+	n := h.lastOperation
+	h.pendingOperations[n] = done
+	o.send(handoverMessage{Kind: "call", Number: n, Operation: operation, ID: id})
+	p.loop.After(operationTimeoutSeconds, func() { h.operationDone(n, nil) })
 }
 
-// answered ends the wait for another process's word on a call, if it has not ended.
-func (h *handover) answered(n int, err error) {
-	if done := h.waits[n]; done != nil {
-		delete(h.waits, n)
+// operationDone ends the wait for another process's confirmation, if it has not ended.
+func (h *handover) operationDone(n int, err error) {
+	if done := h.pendingOperations[n]; done != nil {
+		delete(h.pendingOperations, n)
 		done(err)
 	}
 }
 
-// meetAt is the path of the Unix socket for the proxy that listens at this address.
+// handoverSocketPath returns the path of the Unix socket for the proxy that listens at the given address.
 func handoverSocketPath(listen string) string {
 	return filepath.Join(os.TempDir(), "sandpass-"+listen+".sock")
 }
--- a/internal/proxy/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -1,16 +1,17 @@
-// This file owns which backends operators have cordoned, and when each was uncordoned. It must never do I/O, nor know what
-// discovery lists: both are combined in applyMaintenance.
+// This file records which backends operators have cordoned and when each was uncordoned. It does no I/O and doesn't
+// know the endpoint list: applyMaintenance combines the two.
+
 package proxy
 
 import "sandpass/balance"
 
-// maintenance is what operators asked for, by the backend's name: targets come and go with the list.
+// maintenance holds the operators' requests by backend name, since the backends themselves come and go with the list.
 type maintenance struct {
-	Cordoned   map[string]bool    `json:"out"`  // cordoned
-	Uncordoned map[string]float64 `json:"back"` // when each was uncordoned last
+	Cordoned   map[string]bool    `json:"out"`
+	Uncordoned map[string]float64 `json:"back"` // when each was last uncordoned, by the loop's clock
 }
 
-// cordon notes a backend; once or many times is the same.
+// cordon marks a backend as cordoned. It is idempotent.
 func (m *maintenance) cordon(name string) {
 	if m.Cordoned == nil {
 		m.Cordoned = map[string]bool{}
@@ -18,8 +19,8 @@
 	m.Cordoned[name] = true
 }
 
-// uncordon has it back, warming up from now on: it was restarted meanwhile, whether the list says so or not. One that was
-// not cordoned stays as it is.
+// uncordon clears the mark and lets the backend warm up from now on: it was restarted meanwhile, whether the list
+// says so or not. A backend that is not cordoned is left unchanged.
 func (m *maintenance) uncordon(name string, now float64) {
 	if !m.Cordoned[name] {
 		return
@@ -31,7 +32,7 @@
 	m.Uncordoned[name] = now
 }
 
-// forget drops the times of backends that are not listed any more.
+// forget deletes the uncordon times of backends that are no longer listed.
 func (m *maintenance) forget(listed func(name string) bool) {
 	for name := range m.Uncordoned {
 		if !listed(name) {
@@ -40,7 +41,7 @@
 	}
 }
 
-// applyTo gives the entry that counts for a backend from the listed one.
+// applyTo returns a backend's effective entry for the listed one.
 func (m *maintenance) applyTo(name string, listed balance.Entry) balance.Entry {
 	if m.Cordoned[name] && listed.State == balance.Ready {
 		listed.State = balance.Draining
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -1,5 +1,6 @@
-// This file owns the messages between peers: the socket and the peers' addresses. It must never wait for a message, nor pass
-// on one from anybody else.
+// This file sends and receives the messages between peer proxies. It must not wait for a message, and drops messages
+// from unknown addresses.
+
 package proxy
 
 import (
@@ -12,51 +13,52 @@
 	"sandpass/internal/settings"
 )
 
-const peerMessageMost = 256 // bytes of a message
+const maxPeerMessageBytes = 256
 
-// peers are the proxies that the configuration names, by their numbers, this one among them.
+// peers holds the proxies that the configuration names, in the order of their numbers, including this one.
 type peers struct {
-	addrs                   []netip.AddrPort // none where messages are not allowed
+	addrs                   []netip.AddrPort // empty if messages are disabled
 	self                    int
 	socket                  *loop.DatagramSocket
-	sent, received, invalid int // messages since the last summary; invalid are a stranger's, or in no known form
+	sent, received, invalid int // messages since the last summary; invalid ones are from an unknown address or malformed
 }
 
-// parsePeers decodes the addresses and compares them with the settings. Without messages the addresses are not used.
-func parsePeers(texts []string, links settings.NetworkSettings) (s peers, err error) {
-	s.self = links.OwnIndex
-	for i, text := range texts {
-		at, err := netip.ParseAddrPort(text)
+// parsePeers parses the addresses and checks them against the settings. They are dropped if messages are disabled.
+func parsePeers(addresses []string, network settings.NetworkSettings) (parsed peers, err error) {
+	parsed.self = network.OwnIndex
+	for i, text := range addresses {
+		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return s, fmt.Errorf("peers[%d]: %w", i, err)
+			return parsed, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		if slices.Contains(s.addrs, at) {
-			return s, fmt.Errorf("peers[%d]: %s comes twice", i, at)
+		if slices.Contains(parsed.addrs, addr) {
+			return parsed, fmt.Errorf("peers[%d]: %s comes twice", i, addr)
 		}
-		s.addrs = append(s.addrs, at)
+		parsed.addrs = append(parsed.addrs, addr)
 	}
-	if !links.PeerMessages {
-		s.addrs = nil
-	} else if len(s.addrs) != links.PeerCount || s.self >= len(s.addrs) {
-		return s, fmt.Errorf("peers: %d addresses for %d siblings with number %d", len(s.addrs), links.PeerCount, s.self)
+	if !network.PeerMessages {
+		parsed.addrs = nil
+	} else if len(parsed.addrs) != network.PeerCount || parsed.self >= len(parsed.addrs) {
+		return parsed, fmt.Errorf("peers: %d addresses for %d siblings with number %d", len(parsed.addrs),
+			network.PeerCount, parsed.self)
 	}
-	return s, nil
+	return parsed, nil
 }
 
-// joinPeers sends and receives messages by these addresses from now on, or changes nothing where the socket can't be opened.
+// applyPeers starts to use these addresses. If the socket can't be opened, nothing changes.
 func (p *Proxy) applyPeers(next peers) error {
-	was := p.peers
-	next.socket, next.sent, next.received, next.invalid = was.socket, was.sent, was.received, was.invalid
-	same := was.socket != nil && len(next.addrs) > 0 && was.addrs[was.self] == next.addrs[next.self]
-	if !same && len(next.addrs) > 0 {
-		sock, err := p.loop.OpenDatagramSocket(next.addrs[next.self], peerMessageMost, p.receivePeerMessage)
+	previous := p.peers
+	next.socket, next.sent, next.received, next.invalid = previous.socket, previous.sent, previous.received, previous.invalid
+	sameAddr := previous.socket != nil && len(next.addrs) > 0 && previous.addrs[previous.self] == next.addrs[next.self]
+	if !sameAddr && len(next.addrs) > 0 {
+		socket, err := p.loop.OpenDatagramSocket(next.addrs[next.self], maxPeerMessageBytes, p.receivePeerMessage)
 		if err != nil {
 			return err
 		}
-		next.socket = sock
+		next.socket = socket
 	}
-	if !same && was.socket != nil {
-		was.socket.Close()
+	if !sameAddr && previous.socket != nil {
+		previous.socket.Close()
 		if len(next.addrs) == 0 {
 			next.socket = nil
 		}
@@ -75,10 +77,10 @@
 	}
 }
 
-// Send sends a peer a message, which may be lost.
+// SendToPeer sends a message to a peer. It may be lost.
 func (p *Proxy) SendToPeer(to int, text []byte) {
-	if s := &p.peers; s.socket != nil && to >= 0 && to < len(s.addrs) {
-		s.sent++
-		s.socket.Send(s.addrs[to], text)
+	if peers := &p.peers; peers.socket != nil && to >= 0 && to < len(peers.addrs) {
+		peers.sent++
+		peers.socket.Send(peers.addrs[to], text)
 	}
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -1,5 +1,6 @@
-// This file owns the endpoints that discovery lists: the form of an update and what follows from it. It must never drop the
-// last list it had.
+// This file handles the endpoint list of discovery: the form of its updates and how they are applied. The last list
+// received stays in use until a newer one replaces it.
+
 package proxy
 
 import (
@@ -14,16 +15,16 @@
 	"sandpass/internal/watch"
 )
 
-const maxEndpointUpdateBytes = 8 << 20 // bytes of an update: tens of thousands of backends
+const maxEndpointUpdateBytes = 8 << 20 // tens of thousands of backends
 
-// endpointUpdate is a message of discovery: the whole list, or what has changed.
+// endpointUpdate is a message of discovery: the whole list, or the changes.
 type endpointUpdate struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
 }
 
-// endpoint is one backend in it.
+// endpoint is one backend in an update.
 type endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -34,6 +35,7 @@
 	SinceMs float64 `json:"since_ms"`
 }
 
+// endpointStates maps the status texts of endpoints to states.
 var endpointStates = map[string]balance.State{"ready": balance.Ready, "draining": balance.Draining, "gone": balance.Gone}
 
 // endpointWatch is the watch on discovery.
@@ -42,22 +44,23 @@
 	addr         netip.AddrPort // discovery's address
 	index        int64
 	hasList      bool           // a whole list was received
-	listReceived bool           // and has been used: what is new from then on has just started
-	next         endpointUpdate // decoded, to be applied
+	listReceived bool           // a whole list was received and applied: backends that appear later have just started
+	pending      endpointUpdate // decoded, not yet applied
 }
 
-// watchDiscovery moves the watch to another address. Indexes need not mean the same there, so the whole list is requested;
-// the known one is used until it is received.
-func (p *Proxy) watchDiscovery(at netip.AddrPort) {
-	if w := &p.watch; at != w.addr {
-		w.addr, w.hasList = at, false
-		w.SetServers(at)
+// watchDiscovery moves the watch to another address. Indexes may differ there, so the whole list is requested; the
+// known list is used until it is received.
+func (p *Proxy) watchDiscovery(addr netip.AddrPort) {
+	if w := &p.watch; addr != w.addr {
+		w.addr, w.hasList = addr, false
+		w.SetServers(addr)
 	}
 }
 
 // endpointWatcher receives the endpoint updates of discovery's watch.
 type endpointWatcher struct{ p *Proxy }
 
+// RequestHead returns the request that opens the watch.
 func (h endpointWatcher) RequestHead(to netip.AddrPort) []byte {
 	query := "GET /api/targets?follow=1"
 	if h.p.watch.hasList {
@@ -66,25 +69,30 @@
 	return []byte(query + " HTTP/1.1\r\nHost: " + to.String() + "\r\n\r\n")
 }
 
+// FirstMessage returns nil: nothing follows the request.
 func (h endpointWatcher) FirstMessage() []byte { return nil }
 
+// Decode parses an update.
 func (h endpointWatcher) Decode(object []byte) error {
-	h.p.watch.next = endpointUpdate{}
-	return json.Unmarshal(object, &h.p.watch.next)
+	h.p.watch.pending = endpointUpdate{}
+	return json.Unmarshal(object, &h.p.watch.pending)
 }
 
+// Apply applies the update that was decoded last.
 func (h endpointWatcher) Apply() error {
-	next := h.p.watch.next
-	h.p.watch.next = endpointUpdate{}
-	if h.p.applyEndpoints(&next); !h.p.watch.hasList {
-		return errors.New("changes before any list")
+	update := h.p.watch.pending
+	h.p.watch.pending = endpointUpdate{}
+	if h.p.applyEndpoints(&update); !h.p.watch.hasList {
+		return errors.New("changes received before a whole list")
 	}
 	h.p.watch.listReceived = true
 	return nil
 }
 
+// Reconnected logs that the watch works again.
 func (h endpointWatcher) Reconnected() { log.Printf("msg=watch_back index=%d", h.p.watch.index) }
 
+// Disconnected logs the loss of the watch, if it is new, and tells the Balancer.
 func (h endpointWatcher) Disconnected(err error, news bool) {
 	if w := &h.p.watch; news {
 		log.Printf("msg=watch_lost error=%q index=%d byte=%d", err, w.index, w.BodyBytesReceived())
@@ -92,75 +100,76 @@
 	h.p.balancer.BackendListFailed(h.p.loop.Now())
 }
 
-// applyEndpoints updates the backends and the Balancer. Changes without a list before them hold for the backends that they
-// name, drains above all, but never stand for the whole list, which is still to be requested.
+// applyEndpoints updates the backends and the Balancer. Changes received before any whole list apply to the backends
+// that they name, above all drains, but don't count as a list: the whole list is still to be requested.
 func (p *Proxy) applyEndpoints(update *endpointUpdate) {
-	s := &p.backends
+	pool := &p.backends
 	if !update.Snapshot && p.watch.hasList && update.Index < p.watch.index {
-		log.Printf("msg=old_news index=%d known=%d", update.Index, p.watch.index) // a later update may have said the contrary
+		log.Printf("msg=old_news index=%d known=%d", update.Index, p.watch.index) // a later update may have said otherwise
 		return
 	}
 	if update.Snapshot || p.watch.hasList {
 		p.watch.index, p.watch.hasList = update.Index, true
 	}
 	var entries []balance.Entry
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, e := range update.Endpoints {
-		state, known := endpointStates[e.Status]
-		at, err := netip.ParseAddrPort(e.Address)
-		if !known || e.Name == "" || err != nil && state != balance.Gone {
+		state, valid := endpointStates[e.Status]
+		addr, err := netip.ParseAddrPort(e.Address)
+		if !valid || e.Name == "" || err != nil && state != balance.Gone {
 			log.Printf("msg=list_entry_unknown name=%q status=%q address=%q", e.Name, e.Status, e.Address)
 			continue
 		}
-		t := s.byName[e.Name]
-		if t == nil {
-			t = &backend{name: e.Name, id: s.assignID(e.Name), state: balance.Gone}
-			s.byName[e.Name], s.byID[t.id] = t, t
+		b := pool.byName[e.Name]
+		if b == nil {
+			b = &backend{name: e.Name, id: pool.assignID(e.Name), state: balance.Gone}
+			pool.byName[e.Name], pool.byID[b.id] = b, b
 		}
-		if t.addr != at || t.sinceMs != e.SinceMs {
-			t.closeIdle() // they lead to a process that has ended, though its machine may not have closed them
-			t.sinceMs = e.SinceMs
+		if b.addr != addr || b.sinceMs != e.SinceMs {
+			b.closeIdle() // the old process has ended, but its machine may not have closed them
+			b.sinceMs = e.SinceMs
 		}
 		if err == nil {
-			t.addr = at
+			b.addr = addr
 		}
-		named[e.Name] = true
-		t.listed = balance.Entry{ID: t.id, Zone: p.zoneIndex(e.Zone), Cell: e.Group, State: state, Capacity: e.Weight, StartedAt: p.startOf(e.Name, e.SinceMs)}
-		entries = append(entries, p.applyMaintenance(t))
+		listed[e.Name] = true
+		b.listed = balance.Entry{ID: b.id, Zone: p.zoneIndex(e.Zone), Cell: e.Group, State: state, Capacity: e.Weight,
+			StartedAt: p.processStart(e.Name, e.SinceMs)}
+		entries = append(entries, p.applyMaintenance(b))
 	}
 	if update.Snapshot {
-		for name, t := range s.byName {
-			if !named[name] {
-				t.listed.State = balance.Gone
-				p.applyMaintenance(t)
+		for name, b := range pool.byName {
+			if !listed[name] {
+				b.listed.State = balance.Gone
+				p.applyMaintenance(b)
 			}
 		}
-		p.maintenance.forget(func(name string) bool { return named[name] })
+		p.maintenance.forget(func(name string) bool { return listed[name] })
 	}
-	p.forgetStarts()
+	p.pruneStarts()
 	p.balancer.UpdateBackends(p.loop.Now(), update.Snapshot, entries)
 }
 
-// applyMaintenance combines what discovery lists with what operators asked for into the backend's state.
-func (p *Proxy) applyMaintenance(t *backend) balance.Entry {
-	e := p.maintenance.applyTo(t.name, t.listed)
-	p.setState(t, e.State)
+// applyMaintenance combines a backend's listed state with the operators' requests and sets the result.
+func (p *Proxy) applyMaintenance(b *backend) balance.Entry {
+	e := p.maintenance.applyTo(b.name, b.listed)
+	p.setState(b, e.State)
 	return e
 }
 
-// knows tells whether a backend of that name is listed or cordoned.
-func (p *Proxy) knows(name string) bool {
-	t := p.backends.byName[name]
-	return t != nil && t.listed.State != balance.Gone || p.maintenance.Cordoned[name]
+// knowsBackend reports whether a backend of that name is listed or cordoned.
+func (p *Proxy) knowsBackend(name string) bool {
+	b := p.backends.byName[name]
+	return b != nil && b.listed.State != balance.Gone || p.maintenance.Cordoned[name]
 }
 
-// cordon keeps new requests from a backend until uncordon.
+// cordon stops sending new relays to a backend until uncordon.
 func (p *Proxy) cordon(name string) {
 	p.maintenance.cordon(name)
 	p.refreshBackend(name)
 }
 
-// uncordon has a backend used again, as one that has just started.
+// uncordon uses a backend again, as one that has just started.
 func (p *Proxy) uncordon(name string) {
 	p.maintenance.uncordon(name, p.loop.Now())
 	p.refreshBackend(name)
@@ -168,12 +177,12 @@
 
 // refreshBackend passes a backend's state to the Balancer again.
 func (p *Proxy) refreshBackend(name string) {
-	if t := p.backends.byName[name]; t != nil && t.listed.State != balance.Gone {
-		p.balancer.UpdateBackends(p.loop.Now(), false, []balance.Entry{p.applyMaintenance(t)})
+	if b := p.backends.byName[name]; b != nil && b.listed.State != balance.Gone {
+		p.balancer.UpdateBackends(p.loop.Now(), false, []balance.Entry{p.applyMaintenance(b)})
 	}
 }
 
-// zone is the number of a zone; one that the settings don't name gets one of its own.
+// zoneIndex returns the number of a zone. A zone that the settings don't name is given a new number.
 func (p *Proxy) zoneIndex(name string) int {
 	n := slices.Index(p.names.Zones, name)
 	if n < 0 {
@@ -183,18 +192,18 @@
 	return n
 }
 
-// setState notes a backend's state. Idle connections to one that takes nothing new are closed.
-func (p *Proxy) setState(t *backend, state balance.State) {
-	if (t.state == balance.Ready) != (state == balance.Ready) {
+// setState sets a backend's effective state and closes its idle connections if it takes no new commands.
+func (p *Proxy) setState(b *backend, state balance.State) {
+	if (b.state == balance.Ready) != (state == balance.Ready) {
 		if state == balance.Ready {
 			p.backends.readyCount++
 		} else {
 			p.backends.readyCount--
 		}
 	}
-	t.state = state
+	b.state = state
 	if state != balance.Ready {
-		t.closeIdle()
+		b.closeIdle()
 	}
-	p.backends.removeIfGone(t)
+	p.backends.removeIfGone(b)
 }
