--- a/internal/proxy/admin_test.go
+++ b/internal/proxy/admin_test.go
@@ -15,9 +15,9 @@
 // runWithAdmin runs a proxy with an admin endpoint.
 func runWithAdmin(t *testing.T, known string, discovery net.Listener) *testProxy {
 	t.Helper()
-	l := testConfig(known, discovery, settingsText)
-	l.Ops = "127.0.0.1:0"
-	p, err := New(l)
+	cfg := testConfig(known, discovery, settingsText)
+	cfg.Ops = "127.0.0.1:0"
+	p, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,9 +122,9 @@
 	})
 	t.Run("a bad address fails the start", func(t *testing.T) {
 		t.Parallel()
-		l := testConfig("", nil, settingsText)
-		l.Ops = "nowhere"
-		if _, err := New(l); err == nil || !strings.HasPrefix(err.Error(), "ops: ") {
+		cfg := testConfig("", nil, settingsText)
+		cfg.Ops = "nowhere"
+		if _, err := New(cfg); err == nil || !strings.HasPrefix(err.Error(), "ops: ") {
 			t.Errorf("started with %v", err)
 		}
 	})
@@ -227,8 +227,8 @@
 		p.wantAdminStatus(t, 200, "POST", "/admin/cordon/s-1")
 		before := one.commands.Load()
 		applyList := func(text string) {
-			l := parseUpdate(t, text)
-			p.onLoop(func() { p.applyEndpoints(l) })
+			update := parseUpdate(t, text)
+			p.onLoop(func() { p.applyEndpoints(update) })
 		}
 		restarted := readyEndpoint("s-1", one)
 		restarted["since_ms"] = 5000.0
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -26,6 +26,7 @@
 	updates chan string // complete lines
 }
 
+// newReplica starts a replica for the duration of the test.
 func newReplica(t *testing.T) *replica {
 	t.Helper()
 	r := startReplica(t, "127.0.0.1:0")
@@ -33,6 +34,7 @@
 	return r
 }
 
+// startReplica starts a replica at an address.
 func startReplica(t *testing.T, at string) *replica {
 	t.Helper()
 	r := &replica{hellos: make(chan revision.Hello, 100), reports: make(chan revision.Report, 100),
@@ -54,6 +56,7 @@
 	r.Close()
 }
 
+// watch serves one watch.
 func (r *replica) watch(w http.ResponseWriter, request *http.Request) {
 	control := http.NewResponseController(w)
 	if request.Method != "POST" || request.URL.Path != revision.WatchPath || control.EnableFullDuplex() != nil {
@@ -155,6 +158,7 @@
 		Scopes: []revision.Change{{Scope: scope, Number: h.revision, From: before.Number, Patch: patch}}}
 }
 
+// checksum returns the checksum of the effective configuration.
 func (h *history) checksum(t *testing.T) string {
 	t.Helper()
 	var held []revision.ScopeDocument
@@ -178,6 +182,7 @@
 	return u
 }
 
+// send queues an update.
 func (r *replica) send(u revision.Update) {
 	text, _ := json.Marshal(u)
 	r.updates <- string(text) + "\n"
@@ -185,15 +190,15 @@
 
 // controlledConfig is a configuration that names these replicas.
 func controlledConfig(known, folder string, replicas ...*replica) *Config {
-	l := testConfig(known, nil, settingsText)
-	l.Control = operator.Control{Fleet: "shop", Zone: "eu-1"}
+	cfg := testConfig(known, nil, settingsText)
+	cfg.Control = operator.Control{Fleet: "shop", Zone: "eu-1"}
 	for _, r := range replicas {
-		l.Control.Replicas = append(l.Control.Replicas, r.address())
+		cfg.Control.Replicas = append(cfg.Control.Replicas, r.address())
 	}
 	if folder != "" {
-		l.State = operator.State{Folder: folder, Fleet: "shop", SaveInterval: 1}
+		cfg.State = operator.State{Folder: folder, Fleet: "shop", SaveInterval: 1}
 	}
-	return l
+	return cfg
 }
 
 func (r *testProxy) controlStatus() (s configwatch.Status) {
@@ -277,8 +282,8 @@
 	t.Parallel()
 	folder, h := t.TempDir(), newHistory()
 	r := newReplica(t)
-	l := controlledConfig("", folder, r)
-	first, err := New(l)
+	cfg := controlledConfig("", folder, r)
+	first, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -293,7 +298,7 @@
 	}
 	address := r.address()
 	r.stop()
-	again, err := New(l)
+	again, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -342,13 +347,13 @@
 func TestReloadMergesHeldConfig(t *testing.T) {
 	t.Parallel()
 	r, h := newReplica(t), newHistory()
-	l := controlledConfig("", "", r)
-	p := startProxy(t, l)
+	cfg := controlledConfig("", "", r)
+	p := startProxy(t, cfg)
 	receive(t, r.hellos)
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"realms": [{"name": "mill", "allowance_per_s": 5}]}}`))
 	wantsReport(t, r, 1, revision.InForce)
 	other := newFakeBackend(t, echo)
-	changed := *l
+	changed := *cfg
 	changed.Discovery = other.Addr().String()
 	p.Reload(&changed)
 	p.await(t, "the new discovery address is in use",
@@ -365,18 +370,18 @@
 func TestNewVersionStartsFromSavedConfig(t *testing.T) {
 	t.Parallel()
 	r, h := newReplica(t), newHistory()
-	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
+	cfg := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
 	controlledCfg := controlledConfig("", t.TempDir(), r)
-	l.Control, l.State = controlledCfg.Control, controlledCfg.State
-	fd, _ := strconv.Atoi(l.Socket)
-	one := startProxy(t, l)
+	cfg.Control, cfg.State = controlledCfg.Control, controlledCfg.State
+	fd, _ := strconv.Atoi(cfg.Socket)
+	one := startProxy(t, cfg)
 	receive(t, r.hellos)
 	r.send(h.change(t, revision.FleetScope, `{"settings": {"tick_ms": 6}}`))
 	wantsReport(t, r, 1, revision.InForce)
 	open := one.dial(t) // keeps the old version running
 	open.roundTrip(requestText("look"))
 
-	newVersion, err := New(nextVersionConfig(t, l, fd))
+	newVersion, err := New(nextVersionConfig(t, cfg, fd))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -446,13 +451,13 @@
 	t.Parallel()
 	const updateCount = 30
 	r, h := newReplica(t), newHistory()
-	l := controlledConfig("", t.TempDir(), r)
-	p := startProxy(t, l)
+	cfg := controlledConfig("", t.TempDir(), r)
+	p := startProxy(t, cfg)
 	receive(t, r.hellos)
-	last := *l
+	last := *cfg
 	go func() {
 		for i := range updateCount {
-			changed := *l
+			changed := *cfg
 			changed.Discovery = fmt.Sprintf("127.0.0.1:%d", 1+i)
 			p.Reload(&changed)
 		}
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -20,38 +20,38 @@
 // descriptor.
 func inheritingConfig(t *testing.T, known string) *Config {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close(); os.Remove(handoverSocketPath(l.Addr().String())) })
-	raw, _ := l.(*net.TCPListener).SyscallConn()
+	t.Cleanup(func() { listener.Close(); os.Remove(handoverSocketPath(listener.Addr().String())) })
+	raw, _ := listener.(*net.TCPListener).SyscallConn()
 	dup := -1
 	raw.Control(func(fd uintptr) { dup, err = unix.Dup(int(fd)) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := testConfig(known, nil, settingsText)
-	c.Listen, c.Ops, c.Socket = l.Addr().String(), "127.0.0.1:0", strconv.Itoa(dup)
-	return c
+	cfg := testConfig(known, nil, settingsText)
+	cfg.Listen, cfg.Ops, cfg.Socket = listener.Addr().String(), "127.0.0.1:0", strconv.Itoa(dup)
+	return cfg
 }
 
 // nextVersionConfig is the configuration of a new version that runs beside this one.
-func nextVersionConfig(t *testing.T, l *Config, fd int) *Config {
+func nextVersionConfig(t *testing.T, cfg *Config, fd int) *Config {
 	t.Helper()
 	dup, err := unix.Dup(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	version := *l
+	version := *cfg
 	version.Socket = strconv.Itoa(dup)
 	return &version
 }
 
 // startProxy creates and runs a proxy.
-func startProxy(t *testing.T, l *Config) *testProxy {
+func startProxy(t *testing.T, cfg *Config) *testProxy {
 	t.Helper()
-	p, err := New(l)
+	p, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,13 +62,13 @@
 // without effect.
 func TestHandoverRejectsInvalidMessages(t *testing.T) {
 	t.Parallel()
-	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
-	p := startProxy(t, l)
+	cfg := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
+	p := startProxy(t, cfg)
 	p.wantAdminStatus(t, 200, "GET", "/admin/health")
 	for _, sent := range []string{"noise\n", `{"v":99,"say":"hello"}` + "\n", strings.Repeat("x", 5<<20),
 		`{"v":1,"say":"call","call":"quiesce"}` + "\n", `{"v":1,"say":"serving"}` + "\n",
 		`{"v":1,"say":"hello"}` + "\n" + `{"v":1,"say":"state","drained":true,"maintenance":{"out":{"s-1":true}}}` + "\n"} {
-		c, err := net.Dial("unix", handoverSocketPath(l.Listen))
+		c, err := net.Dial("unix", handoverSocketPath(cfg.Listen))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,13 +94,13 @@
 // While two versions run, each must keep to its part of the limits. The one that remains gets the whole again.
 func TestLimitsDuringHandover(t *testing.T) {
 	t.Parallel()
-	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
-	one := startProxy(t, l)
+	cfg := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
+	one := startProxy(t, cfg)
 	one.wantAdminStatus(t, 200, "GET", "/admin/health")
-	fd, _ := strconv.Atoi(l.Socket)
+	fd, _ := strconv.Atoi(cfg.Socket)
 	open := one.dial(t) // keeps the old process running
 	open.roundTrip(requestText("look"))
-	two := startProxy(t, nextVersionConfig(t, l, fd))
+	two := startProxy(t, nextVersionConfig(t, cfg, fd))
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 		var serves, gaveWay bool
 		two.onLoop(func() { serves = two.acceptsClients() })
@@ -149,10 +149,10 @@
 // open.
 func TestShutdownWithInheritedListener(t *testing.T) {
 	t.Parallel()
-	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
-	fd, _ := strconv.Atoi(l.Socket)
-	nextConfig := nextVersionConfig(t, l, fd)
-	p := startProxy(t, l)
+	cfg := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
+	fd, _ := strconv.Atoi(cfg.Socket)
+	nextConfig := nextVersionConfig(t, cfg, fd)
+	p := startProxy(t, cfg)
 	p.wantAdminStatus(t, 200, "GET", "/admin/health")
 	p.requestShutdown()
 	for began := time.Now(); time.Since(began) < 400*time.Millisecond; time.Sleep(20 * time.Millisecond) {
@@ -164,7 +164,7 @@
 		t.Error(err)
 	}
 	p.runResult <- nil
-	c, err := net.Dial("tcp", l.Listen)
+	c, err := net.Dial("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatalf("the platform's socket is closed: %v", err)
 	}
@@ -184,11 +184,11 @@
 		t.Fatal(err)
 	}
 	t.Setenv("TMPDIR", dir)
-	l := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
-	one := startProxy(t, l)
+	cfg := inheritingConfig(t, endpointList(1, true, readyEndpoint("s-1", newFakeBackend(t, echo))))
+	one := startProxy(t, cfg)
 	one.wantAdminStatus(t, 200, "GET", "/admin/health")
-	fd, _ := strconv.Atoi(l.Socket)
-	two := startProxy(t, nextVersionConfig(t, l, fd))
+	fd, _ := strconv.Atoi(cfg.Socket)
+	two := startProxy(t, nextVersionConfig(t, cfg, fd))
 	two.wantAdminStatus(t, 200, "POST", "/admin/resume") // waits for the handover
 	two.onLoop(func() {
 		if two.handover.predecessor == nil {
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -33,9 +33,9 @@
 
 // connecting returns a connection to the backend that is still being opened for a relay, or nil.
 func (p *Proxy) connecting(name string) *backendConn {
-	for l := range p.backends.conns {
-		if l.backend.name == name && !l.connected && l.relay != nil {
-			return l
+	for bc := range p.backends.conns {
+		if bc.backend.name == name && !bc.connected && bc.relay != nil {
+			return bc
 		}
 	}
 	return nil
@@ -47,10 +47,10 @@
 	t.Parallel()
 	first, second := newFakeBackend(t, resetConn), newFakeBackend(t, echo)
 	const windowSeconds = 1.0
-	l := testConfig(endpointList(1, true, readyEndpoint("s-1", first)), nil,
+	cfg := testConfig(endpointList(1, true, readyEndpoint("s-1", first)), nil,
 		strings.Replace(settingsText, `"key_scope": "cell", "window_ms": 5000`,
 			`"key_scope": "cell", "window_ms": 1000`, 1))
-	p, err := New(l)
+	p, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,10 +62,10 @@
 			listed = true
 			p.applyEndpoints(both)
 		}
-		if l := p.connecting("s-2"); l != nil && !held.Load() {
+		if bc := p.connecting("s-2"); bc != nil && !held.Load() {
 			held.Store(true)
 			waitUntil(t, "the window has passed",
-				func() bool { return float64(time.Now().UnixMicro())/1e6 > l.relay.cmd.relays[0].sentAt+windowSeconds })
+				func() bool { return float64(time.Now().UnixMicro())/1e6 > bc.relay.cmd.relays[0].sentAt+windowSeconds })
 		}
 	})
 	status, _, _ := r.dial(t).roundTrip(requestText("order", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n"))
@@ -295,6 +295,7 @@
 	backends [2]*fakeBackend
 }
 
+// newTrap starts the two backends.
 func newTrap(t *testing.T) *trap {
 	x := &trap{got: make(chan bool, 9), cue: make(chan bool)}
 	for i := range x.backends {
@@ -333,6 +334,7 @@
 	return p
 }
 
+// commands returns how many commands both have received.
 func (x *trap) commands() int32 { return x.backends[0].commands.Load() + x.backends[1].commands.Load() }
 
 // If the failure of a relay and the client's disconnect are handled in the same turn, the failure first, no further
@@ -348,11 +350,11 @@
 		var cmd *command
 		for _, cmd = range p.commands {
 		}
-		from, l := cmd.client.conn, cmd.relays[0].conn.conn
+		fromClient, toBackend := cmd.client.conn, cmd.relays[0].conn.conn
 		x.cue <- true
-		waitUntil(t, "the reset is received", l.PeerClosed)
+		waitUntil(t, "the reset is received", toBackend.PeerClosed)
 		c.Close()
-		waitUntil(t, "the client's disconnect is noticed", from.PeerClosed)
+		waitUntil(t, "the client's disconnect is noticed", fromClient.PeerClosed)
 		time.Sleep(lateHold)
 	})
 	p.await(t, "the client's departure is counted", func() bool { return p.departedCount == 1 && len(p.commands) == 0 })
@@ -372,11 +374,11 @@
 	var c atomic.Pointer[testClient]
 	var held atomic.Bool
 	r := runProxyWithHook(t, p, func() {
-		if l := p.connecting("s-1"); l != nil && !held.Load() {
+		if bc := p.connecting("s-1"); bc != nil && !held.Load() {
 			held.Store(true)
-			from := l.relay.cmd.client.conn
+			fromClient := bc.relay.cmd.client.conn
 			c.Load().Close()
-			waitUntil(t, "the client's disconnect is noticed", from.PeerClosed)
+			waitUntil(t, "the client's disconnect is noticed", fromClient.PeerClosed)
 			time.Sleep(lateHold)
 		}
 	})
@@ -417,10 +419,11 @@
 
 // ---- Relays and the list.
 
+// movedEndpoint is an entry that moves a backend to another process.
 func movedEndpoint(name string, to net.Listener) jsonObject {
-	l := readyEndpoint(name, to)
-	l["since_ms"] = 5 // long ago, but another process
-	return l
+	entry := readyEndpoint(name, to)
+	entry["since_ms"] = 5 // long ago, but another process
+	return entry
 }
 
 // If the list moves a backend to another process while a connection to the old one is being opened, the connection
@@ -432,13 +435,14 @@
 	movedUpdate := parseUpdate(t, endpointList(2, false, movedEndpoint("s-1", newProcess)))
 	var held atomic.Bool
 	r := runProxyWithHook(t, p, func() {
-		if l := p.connecting("s-1"); l != nil && !held.Load() {
+		if bc := p.connecting("s-1"); bc != nil && !held.Load() {
 			held.Store(true)
 			p.applyEndpoints(movedUpdate)
 		}
 	})
 	status, _, _ := r.dial(t).roundTrip(requestText("pay", "Content-Length: 0\r\n"))
-	if !held.Load() || status != 503 || oldProcess.commands.Load()+newProcess.commands.Load() != 0 { // there is no other backend: declined
+	// Declined, since there is no other backend.
+	if !held.Load() || status != 503 || oldProcess.commands.Load()+newProcess.commands.Load() != 0 {
 		t.Errorf("held %t, status %d, commands run: %d by the old process, %d by the new", held.Load(), status,
 			oldProcess.commands.Load(), newProcess.commands.Load())
 	}
@@ -462,8 +466,8 @@
 		t.Errorf("the old process answered %d", status)
 	}
 	time.Sleep(2 * reuseDelaySeconds * 1e9)
-	if status, _, _ := c.roundTrip(requestText("pay", "Content-Length: 0\r\n")); status != 200 || oldProcess.commands.Load() != 1 ||
-		newProcess.commands.Load() != 1 {
+	if status, _, _ := c.roundTrip(requestText("pay", "Content-Length: 0\r\n")); status != 200 ||
+		oldProcess.commands.Load() != 1 || newProcess.commands.Load() != 1 {
 		t.Errorf("status %d, commands run: %d by the old process, %d by the new", status, oldProcess.commands.Load(),
 			newProcess.commands.Load())
 	}
@@ -511,7 +515,7 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		for at := 0; at < len(body); at += 4 << 10 {
 			c.Write(body[at : at+4<<10])
-			time.Sleep(15 * time.Millisecond) // so that 64 KiB take longer than endlessFrom
+			time.Sleep(15 * time.Millisecond) // so that 64 KiB take longer than the rest of the time limit
 		}
 		c.Close()
 	})
@@ -537,12 +541,12 @@
 func TestStartWaitsForDiscovery(t *testing.T) {
 	t.Parallel()
 	b := newFakeBackend(t, echo)
-	say := make(chan bool)
+	release := make(chan bool)
 	draining := readyEndpoint("s-1", b)
 	draining["status"] = "draining"
 	d, requests := newWatchServer(t, func(n int, c net.Conn, _ *http.Request) {
 		io.WriteString(c, chunkedHead)
-		<-say
+		<-release
 		writeChunk(c, endpointList(7, true, draining)+"\n")
 		c.Read(make([]byte, 1))
 	})
@@ -553,7 +557,7 @@
 	if status, text, h := c.roundTrip(requestText("look")); status != 503 || h.Get("Connection") == "close" {
 		t.Errorf("%d %s %v before the first list", status, text, h)
 	}
-	close(say)
+	close(release)
 	p.await(t, "the list is received", func() bool { return p.watch.Received })
 	if status, _, _ := c.roundTrip(requestText("look")); status != 503 || b.commands.Load() != 0 {
 		t.Errorf("%d with only a draining backend, which ran %d commands", status, b.commands.Load())
@@ -714,17 +718,17 @@
 	for name, old := range map[string]string{"HTTP/1.1": "HTTP/1.1", "HTTP/1.0": "HTTP/1.0"} {
 		c := p.dial(t)
 		io.WriteString(c, strings.Replace(requestText("pay", "Content-Length: 0\r\n"), "HTTP/1.1", old, 1))
-		var l *backendConn
+		var paused *backendConn
 		p.await(t, "the answer is held for its client", func() bool {
-			for x := range p.backends.conns {
-				if x.readPaused {
-					l = x
+			for bc := range p.backends.conns {
+				if bc.readPaused {
+					paused = bc
 				}
 			}
-			return l != nil
+			return paused != nil
 		})
 		reset <- true
-		p.await(t, "the reset is received", func() bool { return l.conn.PeerClosed() || !l.conn.IsIdle() })
+		p.await(t, "the reset is received", func() bool { return paused.conn.PeerClosed() || !paused.conn.IsIdle() })
 		if status, got, _ := c.readAnswer(); status == 200 {
 			t.Errorf("%s: a cut answer of %d bytes seemed complete", name, len(got))
 		}
@@ -764,8 +768,8 @@
 	c := p.dial(t)
 	io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
 	p.await(t, "the answer is held for its client", func() bool {
-		for l := range p.backends.conns {
-			if l.readPaused {
+		for bc := range p.backends.conns {
+			if bc.readPaused {
 				return true
 			}
 		}
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -150,9 +150,9 @@
 					completed.Add(1)
 				}
 			}()
-			l := testConfig(endpointList(1, true, readyEndpoint("s-a", listener)), nil,
+			cfg := testConfig(endpointList(1, true, readyEndpoint("s-a", listener)), nil,
 				strings.Replace(settingsText, `"cancel": true`, fmt.Sprintf(`"cancel": %t`, cancel), 1))
-			p, err := New(l)
+			p, err := New(cfg)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -175,10 +175,10 @@
 // A configuration must be validated and applied even if the system lacks descriptors: it is to be in force 4 s after
 // SIGHUP.
 func TestCheckWithoutDescriptors(t *testing.T) {
-	l := testConfig("", nil, settingsText)
+	cfg := testConfig("", nil, settingsText)
 	loop.Faults = func(loop.Syscall) (int, error) { return 0, unix.ENFILE }
 	defer func() { loop.Faults = nil }()
-	if err := Check(l); err != nil {
+	if err := Check(cfg); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -182,10 +182,10 @@
 }
 
 // countEnded counts a command that has had its final answer.
-func (m *snapshotState) countEnded(answered bool) {
-	m.ended++
+func (s *snapshotState) countEnded(answered bool) {
+	s.ended++
 	if answered {
-		m.answered++
+		s.answered++
 	}
 }
 
--- a/internal/proxy/snapshot_test.go
+++ b/internal/proxy/snapshot_test.go
@@ -14,15 +14,15 @@
 
 // persistentConfig is a configuration whose proxy saves snapshots to a folder.
 func persistentConfig(dir, known string) *Config {
-	l := testConfig(known, nil, settingsText)
-	l.State.Folder, l.State.Fleet, l.State.SaveInterval = dir, "shop", 0.1
-	return l
+	cfg := testConfig(known, nil, settingsText)
+	cfg.State.Folder, cfg.State.Fleet, cfg.State.SaveInterval = dir, "shop", 0.1
+	return cfg
 }
 
 // startPersistent creates and runs a proxy.
-func startPersistent(t *testing.T, l *Config) *testProxy {
+func startPersistent(t *testing.T, cfg *Config) *testProxy {
 	t.Helper()
-	p, err := New(l)
+	p, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,15 +123,15 @@
 	}
 	dir := t.TempDir()
 	os.WriteFile(filepath.Join(dir, "n0.state"), valid, 0o600)
-	l := persistentConfig(dir, "")
-	l.State.Fleet = "mill"
+	cfg := persistentConfig(dir, "")
+	cfg.State.Fleet = "mill"
 	var foreign *snapshot.FleetMismatchError
-	if _, err := New(l); !errors.As(err, &foreign) {
+	if _, err := New(cfg); !errors.As(err, &foreign) {
 		t.Errorf("the folder of another fleet: %v", err)
 	}
 	// Saved in 1970: the learned values are too old, the operators' requests are not.
-	l = persistentConfig(dir, endpointList(1, true, readyEndpoint("s-b", b)))
-	r := startPersistent(t, l)
+	cfg = persistentConfig(dir, endpointList(1, true, readyEndpoint("s-b", b)))
+	r := startPersistent(t, cfg)
 	r.onLoop(func() {
 		if m := r.balancer.Snapshot(); m.TypicalLatency != 0 || m.Incarnation <= 5 || !r.drain.active {
 			t.Errorf("usual %v, incarnation %d, drained %t", m.TypicalLatency, m.Incarnation, r.drain.active)
--- a/internal/proxy/starttimes_test.go
+++ b/internal/proxy/starttimes_test.go
@@ -23,9 +23,9 @@
 
 // started is a list entry whose process started so many seconds ago by the true clock.
 func started(name string, b *fakeBackend, ago float64) jsonObject {
-	l := readyEndpoint(name, b)
-	l["since_ms"] = time.Now().UnixMilli() - int64(1000*ago)
-	return l
+	entry := readyEndpoint(name, b)
+	entry["since_ms"] = time.Now().UnixMilli() - int64(1000*ago)
+	return entry
 }
 
 // agesOf returns the seconds since each backend's effective start, by the proxy's own clock.
@@ -38,9 +38,9 @@
 }
 
 // newUnstartedProxy creates a proxy that is not run: the test's goroutine acts as its loop.
-func newUnstartedProxy(t *testing.T, l *Config) *Proxy {
+func newUnstartedProxy(t *testing.T, cfg *Config) *Proxy {
 	t.Helper()
-	p, err := New(l)
+	p, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
