--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -1,6 +1,6 @@
-// This file owns connections: their descriptors, read buffers and bytes still to be written. A connection tells its
-// Handler what happens, never from inside one of its own methods, and never after Close. It must not look into the
-// bytes, and gives its descriptor back in Close alone.
+// This file implements connections: their descriptors, read buffers and unsent bytes. A connection reports events to its
+// Handler, but never from inside one of its own methods and never after Close. It does not interpret the bytes, and closes
+// its descriptor only in Close.
 package loop
 
 import (
@@ -12,60 +12,62 @@
 )
 
 const (
-	bufferFirst = 4 << 10   // bytes of a first read buffer: most messages fit
-	sparesKept  = 256       // first buffers kept at rest, 1 MiB
-	bufferWide  = 32 << 10  // bytes of a read buffer through which a long message passes
-	kernelSend  = 128 << 10 // bytes that the kernel may hold for an accepted connection: more hides whether they are taken
+	initialBufferBytes = 4 << 10   // size of a connection's first read buffer; most messages fit
+	maxFreeBuffers     = 256       // initial buffers kept for reuse, 1 MiB
+	largeBufferBytes   = 32 << 10  // size of the read buffer through which a long message is streamed
+	sendBufferBytes    = 128 << 10 // SO_SNDBUF of accepted connections; a larger one hides whether the peer reads
 )
 
-// ErrTooMuch ends a connection whose unread bytes pass what its owner allows.
-var ErrReadBufferFull = errors.New("more bytes than allowed")
+// ErrReadBufferFull ends a connection whose unconsumed bytes exceed the limit set by its owner.
+var ErrReadBufferFull = errors.New("unconsumed bytes exceed the read buffer limit")
 
-// Handler is told what happens on a connection.
+// Handler receives the events of a connection.
 type Handler interface {
-	OnConnect(c *Conn)               // a dialled connection is up
-	OnData(c *Conn)                  // there is more in In
-	OnFlushed(c *Conn)               // all that was to be written is with the kernel
-	OnDisconnect(c *Conn, err error) // it has ended, io.EOF if the other side ended it well; Close is still due
+	OnConnect(c *Conn)               // a dialed connection is established
+	OnData(c *Conn)                  // Unconsumed has more bytes
+	OnFlushed(c *Conn)               // the kernel has taken all written bytes
+	OnDisconnect(c *Conn, err error) // it has ended, with io.EOF if the peer closed it cleanly; Close must still be called
 }
 
-// Conn is one TCP connection.
+// Conn is a stream connection, over TCP or a Unix socket.
 type Conn struct {
-	loop     *Loop
-	fd       int // -1 once closed
-	handler  Handler
-	most     int // bytes that In may hold
-	buffer   []byte
-	from     int // unread bytes start here
-	to       int
-	out      []byte
-	mask     uint32
-	dialing  bool
-	paused   bool
-	waits    float64 // since when something has waited to be read while it was paused, 0 if nothing has
-	came     float64 // by when the bytes read last had come
-	held     bool    // as paused, but what comes with the end is still wanted
-	wide     bool    // keeps its buffer, a wide one
-	sentAt   float64 // when the kernel took something last
-	down     bool    // Down was called or is to be
-	accepted bool
-	drains   int // bytes that may still be thrown away, once Drain was called
+	loop          *Loop
+	fd            int // -1 once closed
+	handler       Handler
+	maxUnconsumed int // upper bound of unconsumed bytes
+	buffer        []byte
+	start         int // offset of the first unconsumed byte in buffer
+	end           int // offset after the last one
+	unsent        []byte
+	interest      uint32
+	dialing       bool
+	paused        bool
+	inputSince    float64 // when input was first seen waiting while the connection was paused, 0 if none was
+	receivedAt    float64 // time by which the bytes read last had arrived
+	pausedWithEOF bool    // paused, and the peer's close is reported only after all bytes before it
+	largeBuffer   bool    // uses a large buffer and keeps it while it is empty
+	lastSentAt    float64 // when the kernel last accepted written bytes
+	disconnected  bool    // OnDisconnect was called or is scheduled
+	accepted      bool
+	discardLimit  int // bytes that may still be discarded after a call of Discard
 }
 
-func (l *Loop) newConn(fd int, h Handler, most int, mask uint32) (*Conn, error) {
+// newConn registers a connection for a descriptor, which it closes if that fails.
+func (l *Loop) newConn(fd int, h Handler, maxUnconsumed int, interest uint32) (*Conn, error) {
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &Conn{loop: l, fd: fd, handler: h, most: most, mask: mask}
-	if err := l.add(fd, c, mask); err != nil {
+	c := &Conn{loop: l, fd: fd, handler: h, maxUnconsumed: maxUnconsumed, interest: interest}
+	if err := l.register(fd, c, interest); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
 	return c, nil
 }
 
-const reading = unix.EPOLLIN | unix.EPOLLRDHUP
+// readEvents are the wanted events of a connection that is read.
+const readEvents = unix.EPOLLIN | unix.EPOLLRDHUP
 
-// Dial starts a connection; Up or Down follows on a later turn.
-func (l *Loop) Dial(to netip.AddrPort, h Handler, most int) (*Conn, error) {
+// Dial starts a TCP connection; OnConnect or OnDisconnect follows in a later iteration.
+func (l *Loop) Dial(to netip.AddrPort, h Handler, maxUnconsumed int) (*Conn, error) {
 	domain := unix.AF_INET
 	if to.Addr().Is6() {
 		domain = unix.AF_INET6
@@ -78,13 +80,14 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	c, err := l.newConn(fd, h, most, reading|unix.EPOLLOUT)
+	c, err := l.newConn(fd, h, maxUnconsumed, readEvents|unix.EPOLLOUT)
 	if err == nil {
 		c.dialing = true
 	}
 	return c, err
 }
 
+// sockaddr converts an address for the socket system calls.
 func sockaddr(a netip.AddrPort) unix.Sockaddr {
 	if a.Addr().Is6() {
 		return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
@@ -92,14 +95,14 @@
 	return &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}
 }
 
-// In is what has been read and not consumed; it stays in place until the next read or Consume.
-func (c *Conn) Unconsumed() []byte { return c.buffer[c.from:c.to] }
+// Unconsumed returns the bytes that were read and not yet consumed. They stay in place until the next read or Consume.
+func (c *Conn) Unconsumed() []byte { return c.buffer[c.start:c.end] }
 
-// Age is for how many seconds the latest bytes have been with the kernel: a process that stood still reads late what came
-// in time. It costs a system call.
+// LastReceiveAge returns how many seconds ago the kernel received the latest bytes: a process that was stalled reads bytes
+// late that arrived in time. It costs a system call.
 func (c *Conn) LastReceiveAge() float64 { return LastReceiveAge(c.fd) }
 
-// Age is the same of any TCP connection by its descriptor.
+// LastReceiveAge returns the same for any TCP connection, given its descriptor.
 func LastReceiveAge(fd int) float64 {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
@@ -108,187 +111,193 @@
 	return float64(info.Last_data_recv) / 1000
 }
 
-// Came is by when the latest bytes in In had come, by the loop's clock: where it was paused, when the first of them did.
-func (c *Conn) ReceivedAt() float64 { return c.came }
+// ReceivedAt returns the time, by the loop's clock, by which the latest unconsumed bytes had arrived. If the connection was
+// paused, it is the time at which the first of them arrived.
+func (c *Conn) ReceivedAt() float64 { return c.receivedAt }
 
-// Look takes what has come on the connection before anything else has its turn.
+// ReadNow reads the bytes that have arrived on the connection at once, before other events are handled.
 func (c *Conn) ReadNow() {
 	if c.fd >= 0 && !c.dialing {
-		c.event(unix.EPOLLIN)
+		c.handleEvents(unix.EPOLLIN)
 	}
 }
 
-// Consume gives up the first n bytes of In; an empty buffer goes back to rest.
+// Consume drops the first n bytes of Unconsumed. An empty buffer is returned to the free list.
 func (c *Conn) Consume(n int) {
-	c.from += n
-	if c.from < c.to {
+	c.start += n
+	if c.start < c.end {
 		return
 	}
-	c.from, c.to = 0, 0
-	if c.wide {
+	c.start, c.end = 0, 0
+	if c.largeBuffer {
 		return
 	}
-	if len(c.buffer) == bufferFirst && len(c.loop.spare) < sparesKept {
-		c.loop.spare = append(c.loop.spare, c.buffer)
+	if len(c.buffer) == initialBufferBytes && len(c.loop.freeBuffers) < maxFreeBuffers {
+		c.loop.freeBuffers = append(c.loop.freeBuffers, c.buffer)
 	}
-	c.loop.grown -= max(0, len(c.buffer)-bufferFirst)
+	c.loop.bufferedBytes -= max(0, len(c.buffer)-initialBufferBytes)
 	c.buffer = nil
 }
 
-// Full tells that nothing more can be read before something is consumed.
+// ReadBufferFull reports whether nothing more can be read before something is consumed.
 func (c *Conn) ReadBufferFull() bool {
-	return c.from == 0 && c.to == len(c.buffer) && c.to > 0 && c.next() == 0
+	return c.start == 0 && c.end == len(c.buffer) && c.end > 0 && c.nextBufferSize() == 0
 }
 
-// next is the size that the buffer may have instead of its own, 0 if none: its owner and all buffers have a bound.
-func (c *Conn) next() int {
-	size := max(bufferFirst, min(c.most, 2*len(c.buffer)))
-	if c.wide && c.buffer == nil {
-		size = bufferWide
+// nextBufferSize returns the size to which the buffer may grow, 0 if it may not grow. The connection's owner limits its
+// buffer, and the loop limits the sum of all buffers.
+func (c *Conn) nextBufferSize() int {
+	size := max(initialBufferBytes, min(c.maxUnconsumed, 2*len(c.buffer)))
+	if c.largeBuffer && c.buffer == nil {
+		size = largeBufferBytes
 	}
-	all := c.loop.MaxBufferBytes
+	limit := c.loop.MaxBufferBytes
 	if c.accepted {
-		all /= 2 // what comes in must not keep out the answers to what has
+		limit /= 2 // requests must not use up the space for responses to earlier ones
 	}
-	if size <= len(c.buffer) || size > bufferFirst && c.loop.grown+size-max(bufferFirst, len(c.buffer)) > all {
+	if size <= len(c.buffer) ||
+		size > initialBufferBytes && c.loop.bufferedBytes+size-max(initialBufferBytes, len(c.buffer)) > limit {
 		if c.buffer == nil {
-			return bufferFirst
+			return initialBufferBytes
 		}
 		return 0
 	}
 	return size
 }
 
-// Drain throws away what is there and up to so many bytes of what comes; what is past that is left with the kernel.
-func (c *Conn) Discard(most int) {
-	c.drains = most
-	c.Consume(c.to - c.from)
+// Discard drops the unconsumed bytes and up to limit bytes of what arrives later; bytes beyond that stay in the kernel.
+func (c *Conn) Discard(limit int) {
+	c.discardLimit = limit
+	c.Consume(c.end - c.start)
 	c.Resume()
 }
 
-// Unsent tells whether some of what was to be written has not reached the kernel.
-func (c *Conn) HasUnsent() bool { return len(c.out) > 0 }
+// HasUnsent reports whether the kernel has not yet taken all written bytes.
+func (c *Conn) HasUnsent() bool { return len(c.unsent) > 0 }
 
-// Undelivered tells whether some of what was to be written has not been acknowledged by the other side's machine: closed as it
-// is, the kernel would go on to deliver it. It costs a system call.
+// HasUnacknowledged reports whether the peer's host has not acknowledged all written bytes; after Close the kernel would
+// still try to deliver those it has. It costs a system call.
 func (c *Conn) HasUnacknowledged() bool {
-	if c.fd < 0 || len(c.out) > 0 {
-		return len(c.out) > 0
+	if c.fd < 0 || len(c.unsent) > 0 {
+		return len(c.unsent) > 0
 	}
 	n, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	return err == nil && n > 0
 }
 
-// Backlog is how many bytes of what was to be written have not reached the kernel.
-func (c *Conn) UnsentBytes() int { return len(c.out) }
+// UnsentBytes returns how many written bytes the kernel has not yet taken.
+func (c *Conn) UnsentBytes() int { return len(c.unsent) }
 
-// SentAt is when the kernel last took something, by the loop's clock: where its own buffer is full, the other side took it.
-func (c *Conn) LastSentAt() float64 { return c.sentAt }
+// LastSentAt returns when the kernel last took written bytes, by the loop's clock. While the kernel's send buffer is full,
+// that is when the peer last read.
+func (c *Conn) LastSentAt() float64 { return c.lastSentAt }
 
-// Widen readies the connection for a long message that is read as it comes; Narrow ends that.
-func (c *Conn) UseLargeBuffer() { c.wide = true }
+// UseLargeBuffer prepares the connection for a long message that is streamed; ReleaseLargeBuffer ends that.
+func (c *Conn) UseLargeBuffer() { c.largeBuffer = true }
 
-// Narrow gives the wide buffer back once it is empty.
+// ReleaseLargeBuffer lets the large buffer be freed once it is empty.
 func (c *Conn) ReleaseLargeBuffer() {
-	c.wide = false
+	c.largeBuffer = false
 	c.Consume(0)
 }
 
-// Quiet tells whether the other side has neither sent anything nor ended: only then may an idle connection be used,
-// since what is written after its end counts as sent.
+// IsIdle reports whether the peer has neither sent unread bytes nor closed the connection. An idle connection may be reused
+// only then, since bytes written after the peer's close count as sent.
 func (c *Conn) IsIdle() bool {
 	var b [1]byte
 	_, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	return err == unix.EAGAIN && !c.down
+	return err == unix.EAGAIN && !c.disconnected
 }
 
-// Gone tells whether the other side has ended the connection or reset it, behind what was read: the loop may not have come
-// to that yet. Where more has come before the end it does not show.
+// PeerClosed reports whether the peer has closed or reset the connection after the bytes that were read, even if the loop
+// has not handled that event yet. It cannot see a close behind unread bytes.
 func (c *Conn) PeerClosed() bool {
-	if c.fd < 0 || c.down {
+	if c.fd < 0 || c.disconnected {
 		return true
 	}
 	var b [1]byte
 	n, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	return n == 0 && err == nil || err != nil && !again(err)
+	return n == 0 && err == nil || err != nil && !isRetryable(err)
 }
 
-// Pause stops reading, so that In stays in place; that the other side is gone is still noticed. The kernel is told only
-// if something comes meanwhile: most pauses are over before, and each word to it is a system call. In a long message
-// something will.
+// Pause stops reading, so that the unconsumed bytes stay in place; the peer's close is still reported. The epoll interest is
+// changed only if input arrives meanwhile: most pauses are shorter, and each change is a system call. While a long message
+// is read, input is certain, so it is changed at once.
 func (c *Conn) Pause() {
 	c.paused = true
-	if c.wide || len(c.buffer) > bufferFirst {
-		c.want()
+	if c.largeBuffer || len(c.buffer) > initialBufferBytes {
+		c.updateInterest()
 	}
 }
 
-// Hold stops reading for a while: the other side's end is noticed once all before it has been read, a reset as well, since
-// what came before that may be all. Only of an accepted connection is a reset noticed at once: who sent is no more.
-func (c *Conn) PauseWithEOF() { c.held = true; c.want() }
+// PauseWithEOF stops reading and also defers the peer's close, or a reset, until all bytes before it have been read, since
+// they may be a whole message. Only on an accepted connection is a reset reported at once: the client is gone.
+func (c *Conn) PauseWithEOF() { c.pausedWithEOF = true; c.updateInterest() }
 
-// Resume reads on.
+// Resume reads on after Pause or PauseWithEOF.
 func (c *Conn) Resume() {
-	if c.paused && c.mask&unix.EPOLLIN == 0 && c.waits == 0 && c.fd >= 0 && !c.IsIdle() {
-		c.waits = c.loop.turn - c.LastReceiveAge() // nothing told when it came
+	if c.paused && c.interest&unix.EPOLLIN == 0 && c.inputSince == 0 && c.fd >= 0 && !c.IsIdle() {
+		c.inputSince = c.loop.iterationStart - c.LastReceiveAge() // no event showed when the input arrived
 	}
-	c.paused, c.held = false, false
-	c.want()
+	c.paused, c.pausedWithEOF = false, false
+	c.updateInterest()
 }
 
-// Abort has Close reset the connection, for a message that would else look whole.
+// ResetOnClose makes Close reset the connection, so that a truncated message does not look complete to the peer.
 func (c *Conn) ResetOnClose() {
 	if c.fd >= 0 {
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 }
 
-func (c *Conn) want() {
-	mask := uint32(unix.EPOLLRDHUP)
-	if c.held && c.accepted {
-		mask = 0
-	} else if c.held {
-		mask = unix.EPOLLET // an end that can't be masked out is told once and not in every turn
+// updateInterest computes the wanted events from the connection's state and passes changes to epoll.
+func (c *Conn) updateInterest() {
+	interest := uint32(unix.EPOLLRDHUP)
+	if c.pausedWithEOF && c.accepted {
+		interest = 0
+	} else if c.pausedWithEOF {
+		interest = unix.EPOLLET // EPOLLHUP and EPOLLERR can't be masked out; report them once and not in every iteration
 	} else if !c.paused {
-		mask = reading
+		interest = readEvents
 	}
-	if c.dialing || len(c.out) > 0 {
-		mask |= unix.EPOLLOUT
+	if c.dialing || len(c.unsent) > 0 {
+		interest |= unix.EPOLLOUT
 	}
-	if mask != c.mask && c.fd >= 0 && !c.down {
-		c.mask = mask
-		c.loop.change(c.fd, mask)
+	if interest != c.interest && c.fd >= 0 && !c.disconnected {
+		c.interest = interest
+		c.loop.setInterest(c.fd, interest)
 	}
 }
 
-// Write sends the parts in order; what the kernel does not take is copied and follows. An error shows in Down.
+// Write sends the parts in order. Bytes that the kernel does not take are copied and sent later. An error is reported by
+// OnDisconnect.
 func (c *Conn) Write(parts ...[]byte) {
-	if c.fd < 0 || c.down {
+	if c.fd < 0 || c.disconnected {
 		return
 	}
 	n := 0
-	if len(c.out) == 0 && !c.dialing {
+	if len(c.unsent) == 0 && !c.dialing {
 		var err error
 		n, err = c.loop.write(c.fd, parts...)
-		if err != nil && !again(err) {
-			c.fail(err)
+		if err != nil && !isRetryable(err) {
+			c.disconnectLater(err)
 		}
 		if n = max(n, 0); n > 0 {
-			c.sentAt = c.loop.turn
+			c.lastSentAt = c.loop.iterationStart
 		}
 	}
 	for _, p := range parts {
 		skip := min(n, len(p))
 		n -= skip
-		c.out = append(c.out, p[skip:]...)
-		c.loop.grown += len(p) - skip
+		c.unsent = append(c.unsent, p[skip:]...)
+		c.loop.bufferedBytes += len(p) - skip
 	}
-	c.want()
+	c.updateInterest()
 }
 
-// fail reports an error of the connection's own methods on the next turn.
-func (c *Conn) fail(err error) {
-	c.down = true
+// disconnectLater reports an error of the connection's own methods in the next iteration.
+func (c *Conn) disconnectLater(err error) {
+	c.disconnected = true
 	c.loop.Post(func() {
 		if c.fd >= 0 {
 			c.handler.OnDisconnect(c, err)
@@ -296,145 +305,148 @@
 	})
 }
 
-func (c *Conn) end(err error) {
-	if !c.down {
-		c.down = true
-		c.loop.change(c.fd, 0)
+// disconnect reports the end of the connection to its handler, once.
+func (c *Conn) disconnect(err error) {
+	if !c.disconnected {
+		c.disconnected = true
+		c.loop.setInterest(c.fd, 0)
 		c.handler.OnDisconnect(c, err)
 	}
 }
 
-// EndWriting tells the other side that nothing follows.
+// CloseWrite shuts down the sending side of the connection.
 func (c *Conn) CloseWrite() {
 	if c.fd >= 0 {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
 }
 
-// Close ends the connection without a word to its handler and gives back what it holds.
+// Close closes the connection without calling its handler and releases its buffers.
 func (c *Conn) Close() {
 	if c.fd < 0 {
 		return
 	}
-	c.loop.drop(c.fd)
-	c.loop.grown -= len(c.out)
-	c.fd, c.out, c.wide = -1, nil, false
-	c.Consume(c.to - c.from)
+	c.loop.closeDescriptor(c.fd)
+	c.loop.bufferedBytes -= len(c.unsent)
+	c.fd, c.unsent, c.largeBuffer = -1, nil, false
+	c.Consume(c.end - c.start)
 }
 
-func (c *Conn) event(mask uint32) {
-	if c.down {
+// handleEvents completes a dial, flushes unsent bytes and reads, as the events and the connection's state demand.
+func (c *Conn) handleEvents(events uint32) {
+	if c.disconnected {
 		return
 	}
 	if c.dialing {
-		if mask&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) == 0 {
+		if events&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) == 0 {
 			return
 		}
 		if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || code != 0 {
-			c.end(unix.Errno(code))
+			c.disconnect(unix.Errno(code))
 			return
 		}
 		c.dialing = false
-		c.want()
+		c.updateInterest()
 		c.handler.OnConnect(c)
 		return
 	}
-	if mask&unix.EPOLLOUT != 0 && len(c.out) > 0 {
-		n, err := c.loop.write(c.fd, c.out)
-		if err != nil && !again(err) {
-			c.end(err)
+	if events&unix.EPOLLOUT != 0 && len(c.unsent) > 0 {
+		n, err := c.loop.write(c.fd, c.unsent)
+		if err != nil && !isRetryable(err) {
+			c.disconnect(err)
 			return
 		}
 		if n > 0 {
-			c.sentAt = c.loop.turn
+			c.lastSentAt = c.loop.iterationStart
 		}
-		c.out = c.out[:copy(c.out, c.out[max(n, 0):])]
-		c.loop.grown -= max(n, 0)
-		if len(c.out) == 0 {
-			c.out = nil
-			c.want()
+		c.unsent = c.unsent[:copy(c.unsent, c.unsent[max(n, 0):])]
+		c.loop.bufferedBytes -= max(n, 0)
+		if len(c.unsent) == 0 {
+			c.unsent = nil
+			c.updateInterest()
 			c.handler.OnFlushed(c)
-			if c.fd < 0 || c.down {
+			if c.fd < 0 || c.disconnected {
 				return
 			}
 		}
 	}
-	const ended = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
+	const endEvents = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
 	switch {
-	case c.held:
-		if c.accepted && mask&(unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-			c.end(io.ErrUnexpectedEOF)
+	case c.pausedWithEOF:
+		if c.accepted && events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 {
+			c.disconnect(io.ErrUnexpectedEOF)
 		}
 	case c.paused:
-		if mask&ended != 0 {
-			c.end(io.EOF)
-		} else if mask&unix.EPOLLIN != 0 {
-			if c.waits == 0 {
-				c.waits = c.loop.turn
+		if events&endEvents != 0 {
+			c.disconnect(io.EOF)
+		} else if events&unix.EPOLLIN != 0 {
+			if c.inputSince == 0 {
+				c.inputSince = c.loop.iterationStart
 			}
-			c.want()
+			c.updateInterest()
 		}
-	case mask&(unix.EPOLLIN|ended) != 0:
+	case events&(unix.EPOLLIN|endEvents) != 0:
 		c.read()
 	}
 }
 
+// read makes one read call and reports its bytes, the peer's close or an error to the handler.
 func (c *Conn) read() {
-	if c.drains > 0 {
-		n, _, err := unix.Recvfrom(c.fd, c.loop.sink, unix.MSG_TRUNC|unix.MSG_DONTWAIT)
-		if c.drains -= max(n, 0); c.drains <= 0 {
+	if c.discardLimit > 0 {
+		n, _, err := unix.Recvfrom(c.fd, c.loop.discardBuffer, unix.MSG_TRUNC|unix.MSG_DONTWAIT)
+		if c.discardLimit -= max(n, 0); c.discardLimit <= 0 {
 			c.Pause()
-		} else if n <= 0 && !again(err) {
-			c.end(io.EOF)
+		} else if n <= 0 && !isRetryable(err) {
+			c.disconnect(io.EOF)
 		}
 		return
 	}
-	if !c.room() {
-		c.end(ErrReadBufferFull)
+	if !c.ensureSpace() {
+		c.disconnect(ErrReadBufferFull)
 		return
 	}
-	n, err := c.loop.read(c.fd, c.buffer[c.to:])
+	n, err := c.loop.read(c.fd, c.buffer[c.end:])
 	if n > 0 {
-		c.to += n
-		if c.came = c.loop.turn; c.waits > 0 {
-			c.came, c.waits = c.waits, 0
+		c.end += n
+		if c.receivedAt = c.loop.iterationStart; c.inputSince > 0 {
+			c.receivedAt, c.inputSince = c.inputSince, 0
 		}
 		c.handler.OnData(c)
 		return
 	}
 	c.Consume(0)
-	if again(err) {
+	if isRetryable(err) {
 		return
 	}
 	if err == nil {
 		err = io.EOF
 	}
-	c.end(err)
+	c.disconnect(err)
 }
 
-// room makes space for the next read, within what the owner allows.
-func (c *Conn) room() bool {
-	if c.to < len(c.buffer) {
+// ensureSpace makes space in the buffer for the next read and reports whether the limits allow it.
+func (c *Conn) ensureSpace() bool {
+	if c.end < len(c.buffer) {
 		return true
 	}
-	held := c.to - c.from
+	unconsumed := c.end - c.start
 	switch {
-	case c.buffer == nil && len(c.loop.spare) > 0 && !c.wide:
-		last := len(c.loop.spare) - 1
-		c.buffer = c.loop.spare[last]
-		c.loop.spare = c.loop.spare[:last]
-	case c.from > 0 && (held <= len(c.buffer)/2 || c.next() == 0):
+	case c.buffer == nil && len(c.loop.freeBuffers) > 0 && !c.largeBuffer:
+		last := len(c.loop.freeBuffers) - 1
+		c.buffer = c.loop.freeBuffers[last]
+		c.loop.freeBuffers = c.loop.freeBuffers[:last]
+	case c.start > 0 && (unconsumed <= len(c.buffer)/2 || c.nextBufferSize() == 0):
 		copy(c.buffer, c.Unconsumed())
 	default:
-		size := c.next()
+		size := c.nextBufferSize()
 		if size == 0 {
 			return false
 		}
-		bigger := make([]byte, size)
-		copy(bigger, c.Unconsumed())
-		c.loop.grown += size - max(bufferFirst, len(c.buffer))
-		c.buffer = bigger
+		larger := make([]byte, size)
+		copy(larger, c.Unconsumed())
+		c.loop.bufferedBytes += size - max(initialBufferBytes, len(c.buffer))
+		c.buffer = larger
 	}
-	c.from, c.to = 0, held
+	c.start, c.end = 0, unconsumed
 	return true
 }
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -1,5 +1,5 @@
-// This file owns the one socket on which short messages go between siblings. It must never wait: a message that can't
-// leave is lost, and its owner must be able to do without it.
+// This file implements the UDP socket on which sibling proxies exchange short messages. It never blocks: a message that
+// can't be sent at once is lost, and its sender must tolerate that.
 package loop
 
 import (
@@ -9,58 +9,60 @@
 	"golang.org/x/sys/unix"
 )
 
-const datagramsTurn = 256 // messages taken in one turn, so that the others get theirs
+const maxDatagramsPerEvent = 256 // bound on the messages handled at once, so that other descriptors are served too
 
-// Datagrams is a UDP socket.
+// DatagramSocket is a UDP socket that receives and sends messages without blocking.
 type DatagramSocket struct {
-	loop *Loop
-	fd   int
-	in   []byte // one byte more than allowed
-	take func(from netip.AddrPort, text []byte)
+	loop      *Loop
+	fd        int
+	buffer    []byte // one byte larger than the longest message allowed
+	onMessage func(from netip.AddrPort, message []byte)
 }
 
-// Datagrams opens the socket; take gets each message, of a longer one than so many bytes the first
-// and one more, in a buffer that is soon used again.
-func (l *Loop) OpenDatagramSocket(at netip.AddrPort, most int, take func(netip.AddrPort, []byte)) (*DatagramSocket, error) {
+// OpenDatagramSocket opens a UDP socket at an address. onMessage is called with each message, which is valid only during
+// the call. A message longer than maxBytes is truncated to maxBytes+1 bytes.
+func (l *Loop) OpenDatagramSocket(address netip.AddrPort, maxBytes int,
+	onMessage func(netip.AddrPort, []byte)) (*DatagramSocket, error) {
 	domain := unix.AF_INET
-	if at.Addr().Is6() {
+	if address.Addr().Is6() {
 		domain = unix.AF_INET6
 	}
 	fd, err := l.socket(domain, unix.SOCK_DGRAM)
 	if err != nil {
 		return nil, fmt.Errorf("socket: %w", err)
 	}
-	d := &DatagramSocket{loop: l, fd: fd, in: make([]byte, most+1), take: take}
-	if err = l.bind(fd, sockaddr(at)); err == nil {
-		err = l.add(fd, d, unix.EPOLLIN)
+	d := &DatagramSocket{loop: l, fd: fd, buffer: make([]byte, maxBytes+1), onMessage: onMessage}
+	if err = l.bind(fd, sockaddr(address)); err == nil {
+		err = l.register(fd, d, unix.EPOLLIN)
 	}
 	if err != nil {
 		unix.Close(fd)
-		return nil, fmt.Errorf("messages at %s: %w", at, err)
+		return nil, fmt.Errorf("bind datagram socket at %s: %w", address, err)
 	}
 	return d, nil
 }
 
-func (d *DatagramSocket) event(uint32) {
-	for range datagramsTurn {
+// handleEvents receives messages and passes them to onMessage.
+func (d *DatagramSocket) handleEvents(uint32) {
+	for range maxDatagramsPerEvent {
 		if d.fd < 0 {
-			return // closed by what the last message led to
+			return // closed by onMessage
 		}
-		n, from, err := unix.Recvfrom(d.fd, d.in, 0)
+		n, from, err := unix.Recvfrom(d.fd, d.buffer, 0)
 		if err == unix.EINTR || err == unix.ECONNREFUSED {
-			continue // the latter tells of an earlier message that nobody took
+			continue // ECONNREFUSED reports that an earlier message had no receiver
 		}
 		if err != nil {
 			return
 		}
-		d.take(addrPort(from), d.in[:n])
+		d.onMessage(addrPort(from), d.buffer[:n])
 	}
 }
 
-// Drop throws away what has come and was not taken.
+// DiscardPending drops the messages that have arrived and were not handled, and returns how many there were.
 func (d *DatagramSocket) DiscardPending() (dropped int) {
 	for d.fd >= 0 {
-		if _, _, err := unix.Recvfrom(d.fd, d.in, 0); err != nil && err != unix.EINTR && err != unix.ECONNREFUSED {
+		if _, _, err := unix.Recvfrom(d.fd, d.buffer, 0); err != nil && err != unix.EINTR && err != unix.ECONNREFUSED {
 			break
 		}
 		dropped++
@@ -68,15 +70,15 @@
 	return dropped
 }
 
-// Send has a message leave now or never.
-func (d *DatagramSocket) Send(to netip.AddrPort, text []byte) {
-	unix.Sendto(d.fd, text, 0, sockaddr(to))
+// Send sends a message at once or drops it.
+func (d *DatagramSocket) Send(to netip.AddrPort, message []byte) {
+	unix.Sendto(d.fd, message, 0, sockaddr(to))
 }
 
-// Close gives the socket back.
+// Close closes the socket.
 func (d *DatagramSocket) Close() {
 	if d.fd >= 0 {
-		d.loop.drop(d.fd)
+		d.loop.closeDescriptor(d.fd)
 		d.fd = -1
 	}
 }
--- a/internal/loop/faults_test.go
+++ b/internal/loop/faults_test.go
@@ -6,13 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// accept(2) passes on errors that are pending on the connection it would have given; behind it others wait.
-func TestClosePassesOverErrorsOfSingleConnections(t *testing.T) {
+// accept(2) also returns errors that are pending on the new connection. DrainAndClose must skip them, since other
+// connections wait behind it.
+func TestDrainAndCloseSkipsErrorsOfSingleConnections(t *testing.T) {
 	for _, pending := range []error{unix.EPROTO, unix.ENETDOWN, unix.EHOSTUNREACH, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
 		unix.EOPNOTSUPP, unix.ENETUNREACH, unix.EPERM, unix.ETIMEDOUT, unix.ECONNABORTED, unix.EINTR} {
-		taken, calls := 0, 0
-		l, s := server(t, ear{}, 100, func(*Conn) { taken++ })
-		l.faults = func(call Syscall) (int, error) {
+		accepted, calls := 0, 0
+		l, s := listen(t, handlerFuncs{}, 100, func(*Conn) { accepted++ })
+		l.faultFunc = func(call Syscall) (int, error) {
 			if call != SyscallAccept {
 				return 0, nil
 			}
@@ -25,21 +26,21 @@
 			dial(t, s)
 		}
 		closed := s.DrainAndClose()
-		if taken != 3 || !closed {
-			t.Errorf("%v: %d of 3 taken, closed %t", pending, taken, closed)
+		if accepted != 3 || !closed {
+			t.Errorf("%v: accepted %d of 3 connections, closed %t", pending, accepted, closed)
 		}
 		l.Close()
 	}
 }
 
-// A ring that a signal's handler interrupts still wakes the loop.
-func TestRingIsNotLost(t *testing.T) {
+// A write to the eventfd that a signal handler interrupts (EINTR) must be retried, or the loop is not woken.
+func TestWakeUpRetriesInterruptedWrite(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	calls, rung := 0, false
-	l.faults = func(call Syscall) (int, error) {
+	calls, woken := 0, false
+	l.faultFunc = func(call Syscall) (int, error) {
 		if call != SyscallWrite {
 			return 0, nil
 		}
@@ -50,30 +51,30 @@
 	}
 	l.After(3, l.Stop)
 	l.WakeUp()
-	began := l.Now()
+	start := l.Now()
 	l.Run(func() {
-		if !rung && l.looked > 0 && calls > 0 {
-			rung = true
+		if !woken && l.previousStart > 0 && calls > 0 {
+			woken = true
 			l.Stop()
 		}
 	})
-	if took := l.clock() - began; took > 1 {
-		t.Errorf("woke after %.1f s, written %d times", took, calls)
+	if took := l.readClock() - start; took > 1 {
+		t.Errorf("woke after %.1f s and %d writes", took, calls)
 	}
 	l.Close()
 }
 
-// Where epoll_ctl fails for good, the loop goes on by looking itself.
-func TestEpollControlThatFailsForGood(t *testing.T) {
+// If epoll_ctl always fails with ENOSPC, the loop still serves its descriptors by polling them.
+func TestLoopPollsDescriptorsWhenEpollCtlAlwaysFails(t *testing.T) {
 	var l *Loop
-	heard := ""
-	l, s := server(t, ear{data: func(c *Conn) {
-		if heard += string(c.Unconsumed()); heard == "onetwo" {
+	received := ""
+	l, s := listen(t, handlerFuncs{onData: func(c *Conn) {
+		if received += string(c.Unconsumed()); received == "onetwo" {
 			c.Write([]byte("done"))
 		}
 		c.Consume(len(c.Unconsumed()))
-	}, down: func(*Conn, error) { l.Stop() }}, 100, nil)
-	l.faults = func(call Syscall) (int, error) {
+	}, onDisconnect: func(*Conn, error) { l.Stop() }}, 100, nil)
+	l.faultFunc = func(call Syscall) (int, error) {
 		if call == SyscallEpollControl {
 			return 0, unix.ENOSPC
 		}
@@ -89,8 +90,8 @@
 		n, _ := c.Read(b)
 		got <- string(b[:n])
 	}()
-	l.Run(none)
+	l.Run(noop)
 	if text := <-got; text != "done" {
-		t.Errorf("answered %q, heard %q", text, heard)
+		t.Errorf("answered %q, received %q", text, received)
 	}
 }
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -1,5 +1,5 @@
-// This file owns the listening socket. It hands on each connection it accepts and must never leave one in the
-// backlog while there is a descriptor for it: what waits there counts as taken.
+// This file implements listening sockets. Each accepted connection is passed to a callback. No connection may be left in the
+// backlog while a descriptor is available for it: to the client it is already established.
 package loop
 
 import (
@@ -10,30 +10,31 @@
 )
 
 const (
-	backlog     = 1024 // connections that may wait to be accepted
-	acceptsTurn = 64   // accepted in one turn, so that the others get theirs
-	acceptPause = 0.01 // seconds without accepting when there is no room
+	listenBacklog      = 1024 // connections that may wait to be accepted
+	maxAcceptsPerEvent = 64   // bound on the connections accepted at once, so that other descriptors are served too
+	acceptPauseSeconds = 0.01 // pause in accepting when there is no capacity or no descriptor
 )
 
-// Listener accepts connections at one address.
+// Listener accepts connections at one address or socket path.
 type Listener struct {
-	Address netip.AddrPort // the address that it got
-	loop    *Loop
-	fd      int
-	most    int // bytes that a connection may hold
-	room    func() bool
-	accept  func(*Conn) Handler
-	starved func()
-	held    bool    // accepts nothing
-	since   float64 // when something began to wait in the backlog, 0 while nothing is known to
+	Address       netip.AddrPort // address to which the socket is bound
+	loop          *Loop
+	fd            int
+	maxUnconsumed int // upper bound of a connection's unconsumed bytes
+	hasRoom       func() bool
+	onAccept      func(*Conn) Handler
+	onExhausted   func()
+	paused        bool    // accepts no connections
+	backlogSince  float64 // since when the backlog has not been empty, 0 if it is empty as far as known
 }
 
-// Listen opens the socket. Before a connection is taken, room tells whether there is any for it; accept gets each and
-// names its handler; starved is told when the system has no descriptor left.
-func (l *Loop) Listen(at netip.AddrPort, most int, room func() bool, accept func(*Conn) Handler,
-	starved func()) (*Listener, error) {
+// Listen opens a TCP listener. Before each accept, hasRoom reports whether there is capacity for another connection;
+// onAccept gets each connection and returns its handler; onExhausted is called when the system has no descriptor or memory
+// for one.
+func (l *Loop) Listen(address netip.AddrPort, maxUnconsumed int, hasRoom func() bool, onAccept func(*Conn) Handler,
+	onExhausted func()) (*Listener, error) {
 	domain := unix.AF_INET
-	if at.Addr().Is6() {
+	if address.Addr().Is6() {
 		domain = unix.AF_INET6
 	}
 	fd, err := l.socket(domain, unix.SOCK_STREAM)
@@ -41,27 +42,29 @@
 		return nil, fmt.Errorf("socket: %w", err)
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = l.bind(fd, sockaddr(at)); err == nil {
+	if err = l.bind(fd, sockaddr(address)); err == nil {
 		err = l.listen(fd)
 	}
-	s := &Listener{loop: l, fd: fd, most: most, room: room, accept: accept, starved: starved}
+	s := &Listener{loop: l, fd: fd, maxUnconsumed: maxUnconsumed, hasRoom: hasRoom, onAccept: onAccept,
+		onExhausted: onExhausted}
 	if err == nil {
-		err = l.add(fd, s, unix.EPOLLIN)
+		err = l.register(fd, s, unix.EPOLLIN)
 	}
 	if err != nil {
 		unix.Close(fd)
-		return nil, fmt.Errorf("listen at %s: %w", at, err)
+		return nil, fmt.Errorf("listen at %s: %w", address, err)
 	}
-	s.Address = address(fd)
+	s.Address = localAddress(fd)
 	return s, nil
 }
 
-// address is what a socket is bound to.
-func address(fd int) netip.AddrPort {
+// localAddress returns the address to which a socket is bound.
+func localAddress(fd int) netip.AddrPort {
 	a, _ := unix.Getsockname(fd)
 	return addrPort(a)
 }
 
+// addrPort converts a TCP or UDP socket address.
 func addrPort(a unix.Sockaddr) netip.AddrPort {
 	switch a := a.(type) {
 	case *unix.SockaddrInet4:
@@ -72,95 +75,99 @@
 	return netip.AddrPort{}
 }
 
-func (s *Listener) event(uint32) {
-	if s.since == 0 {
-		s.since = s.loop.Now()
+// handleEvents accepts connections unless the listener is paused.
+func (s *Listener) handleEvents(uint32) {
+	if s.backlogSince == 0 {
+		s.backlogSince = s.loop.Now()
 	}
-	if !s.held {
-		s.take(acceptsTurn)
+	if !s.paused {
+		s.acceptUpTo(maxAcceptsPerEvent)
 	}
 }
 
-// take accepts up to so many connections and tells whether the backlog is empty.
-func (s *Listener) take(most int) bool {
-	for range most {
-		if !s.room() {
-			s.pause()
+// acceptUpTo accepts at most limit connections and reports whether the backlog is empty.
+func (s *Listener) acceptUpTo(limit int) bool {
+	for range limit {
+		if !s.hasRoom() {
+			s.pauseBriefly()
 			return false
 		}
-		fd, err := s.loop.acceptFrom(s.fd)
+		fd, err := s.loop.accept(s.fd)
 		switch err {
 		case nil:
 		case unix.EAGAIN, unix.EBADF, unix.EINVAL, unix.ENOTSOCK:
-			s.since = 0
-			return true // nothing waits, or ever will
+			s.backlogSince = 0
+			return true // the backlog is empty, or the socket is unusable
 		case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
-			s.starved()
-			s.pause()
+			s.onExhausted()
+			s.pauseBriefly()
 			return false
 		default:
-			continue // interrupted, or the error of one connection; others may wait behind it
+			continue // interrupted, or an error pending on one connection; others may wait behind it
 		}
-		if c, err := s.loop.newConn(fd, nil, s.most, reading); err == nil {
-			unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, kernelSend)
+		if c, err := s.loop.newConn(fd, nil, s.maxUnconsumed, readEvents); err == nil {
+			unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, sendBufferBytes)
 			c.accepted = true
-			c.handler = s.accept(c)
+			c.handler = s.onAccept(c)
 		}
 	}
 	return false
 }
 
-// Waiting is for how many seconds the backlog has not been empty, as far as the loop has seen.
+// BacklogWait returns for how many seconds the backlog has not been empty, as far as the loop has seen.
 func (s *Listener) BacklogWait() float64 {
-	if s.since == 0 {
+	if s.backlogSince == 0 {
 		return 0
 	}
-	return s.loop.Now() - s.since
+	return s.loop.Now() - s.backlogSince
 }
 
-// pause leaves the backlog alone for a moment: it would wake the loop again and again.
-func (s *Listener) pause() {
-	s.loop.change(s.fd, 0)
-	s.loop.After(acceptPause, func() {
-		if s.fd >= 0 && !s.held {
-			s.loop.change(s.fd, unix.EPOLLIN)
+// pauseBriefly stops accepting for acceptPauseSeconds; otherwise the backlog would wake the loop again and again.
+func (s *Listener) pauseBriefly() {
+	s.loop.setInterest(s.fd, 0)
+	s.loop.After(acceptPauseSeconds, func() {
+		if s.fd >= 0 && !s.paused {
+			s.loop.setInterest(s.fd, unix.EPOLLIN)
 		}
 	})
 }
 
-// Hold leaves what comes to others who have the socket; Take accepts it again.
-func (s *Listener) Pause()  { s.hold(true, 0) }
-func (s *Listener) Resume() { s.hold(false, unix.EPOLLIN) }
+// Pause stops accepting and leaves new connections to other processes that share the socket.
+func (s *Listener) Pause() { s.setPaused(true, 0) }
 
-func (s *Listener) hold(held bool, mask uint32) {
+// Resume accepts connections again.
+func (s *Listener) Resume() { s.setPaused(false, unix.EPOLLIN) }
+
+// setPaused sets whether the listener is paused and the events that its socket waits for.
+func (s *Listener) setPaused(paused bool, interest uint32) {
 	if s.fd >= 0 {
-		s.held = held
-		s.loop.change(s.fd, mask)
+		s.paused = paused
+		s.loop.setInterest(s.fd, interest)
 	}
 }
 
-// Closed tells that Close has done its work.
+// Closed reports whether the socket has been closed, by DrainAndClose or Release.
 func (s *Listener) Closed() bool { return s.fd < 0 }
 
-// Close takes what still waits in the backlog and closes the socket; it tells whether there was room for all of that,
-// and is to be called again where not.
+// DrainAndClose accepts the connections that wait in the backlog and closes the socket. It returns false if there was no
+// room for all of them; the socket then stays open and DrainAndClose must be called again.
 func (s *Listener) DrainAndClose() bool {
 	if s.fd < 0 {
 		return true
 	}
-	if !s.take(backlog) {
+	if !s.acceptUpTo(listenBacklog) {
 		return false
 	}
 	s.Release()
 	return true
 }
 
-// Leave gives the descriptor back and what still waits with it, to others if they have the socket too. The loop is told
-// first: as long as others have it, its events would go on.
+// Release closes the descriptor without accepting what waits in the backlog, which is left to other processes that share the
+// socket. The descriptor is removed from epoll first: its events would go on as long as another process has the socket open.
 func (s *Listener) Release() {
 	if s.fd >= 0 {
-		unix.EpollCtl(s.loop.epoll, unix.EPOLL_CTL_DEL, s.fd, nil)
-		s.loop.drop(s.fd)
+		unix.EpollCtl(s.loop.epollFD, unix.EPOLL_CTL_DEL, s.fd, nil)
+		s.loop.closeDescriptor(s.fd)
 		s.fd = -1
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,6 +1,8 @@
-// Package loop is the project's own event loop on epoll. This file owns the epoll descriptor, the clock, the timers
-// and the list of things to do on the next turn. Everything it calls runs on the one goroutine in Run; it must never
-// block but in epoll_wait, never start anything for a connection, and know nothing of what the bytes mean.
+// Package loop implements a single-threaded event loop on epoll, with connections, listeners, datagram sockets and timers.
+//
+// This file has the epoll descriptor, the clock, the timers and the functions posted for the next iteration. All callbacks
+// run on the goroutine that called Run. The loop blocks only in epoll_wait, starts no goroutine per connection and does not
+// interpret the bytes it moves.
 package loop
 
 import (
@@ -13,261 +15,271 @@
 )
 
 const (
-	eventsATurn = 128       // events taken at once: timers and posted work get their turn in between
-	longestWait = 60.0      // seconds of one wait in the kernel
-	sinkSize    = 256 << 10 // bytes thrown away at once
-	stoodFrom   = 0.1       // seconds by which a turn comes too late, or lasts, from which the process has stood still
-	afterStand  = 64        // rounds of events that are taken then before what is due: 8,192, the rest keeps its turn
-	standRead   = 0.02      // seconds that these may take: limits that fall due just then have some 50 ms
-	sleptFrom   = 0.02      // seconds since the last look from which it may matter when what is read had come
-	backlogFor  = 1.0       // seconds after a pause in which what is read may be of it
+	maxEventsPerPoll         = 128       // events per epoll_wait call; timers and posted functions run in between
+	maxWaitSeconds           = 60.0      // longest wait in one epoll_wait call
+	discardBufferBytes       = 256 << 10 // bytes discarded per call
+	stallThresholdSeconds    = 0.1       // an iteration this late or this long is a stall of the process
+	maxRoundsAfterStall      = 64        // polls before due timers after a stall: 8,192 events, later ones wait
+	maxReadSecondsAfterStall = 0.02      // time for these polls; time limits that expire just then have some 50 ms
+	pollDelaySeconds         = 0.02      // delay between polls from which the arrival time of input may matter
+	stallBacklogSeconds      = 1.0       // time after a stall in which input read may have arrived during it
 )
 
-// source is what a descriptor belongs to.
-type source interface{ event(mask uint32) }
+// eventSource handles the events of a descriptor.
+type eventSource interface{ handleEvents(events uint32) }
 
-// place is a slot of the descriptor table; gen tells a descriptor from an earlier one of the same number.
-type place struct {
-	of     source
-	gen    int32
-	mask   uint32 // events that are wanted
-	known  bool   // the kernel has it in its set
-	behind bool   // and does not know what is wanted
+// descriptor is an entry of the descriptor table. generation tells a descriptor from an earlier one with the same number.
+type descriptor struct {
+	source     eventSource
+	generation int32
+	interest   uint32 // wanted events
+	registered bool   // added to epoll
+	unsynced   bool   // epoll does not have the current interest
 }
 
-// Loop waits for descriptors, timers and posted work, and calls back.
+// Loop waits for events of descriptors, timers and posted functions, and runs their callbacks.
 type Loop struct {
-	epoll, bell    int
-	ringing        sync.Mutex // what other goroutines touch: the bell, which is gone after Close, and called
-	started        time.Time
-	base           float64 // Unix time in seconds at the start
-	turn           float64 // when this turn began
-	now            float64 // when what runs now was called, 0 while nothing is
-	places         []place
-	timers         timers
-	posted         []func()
-	called         []func() // from other goroutines, under ringing
-	running        []func() // those of the turn before, kept for its space
-	spare          [][]byte // read buffers at rest
-	MaxBufferBytes int      // bytes that read buffers beyond their first size and unsent bytes may hold; accepted connections get half
-	grown          int      // bytes that they do hold
-	sink           []byte   // where bytes go that nobody wants; the kernel writes none, so it takes no memory
-	stopped        bool
-	faults         FaultFunc
-	behind         []behind         // descriptors of which the kernel does not know what is wanted
-	looked         float64          // when the turn before began
-	backlog        float64          // until when what is read may have come in a pause
-	OnStall        func(by float64) // is told, before anything else, that the process stood still so long: what it knows is old
+	epollFD, wakeupFD int
+	mu                sync.Mutex // guards wakeupFD, which is -1 after Close, and externalPosts
+	startedAt         time.Time
+	startUnix         float64 // Unix time in seconds at startedAt
+	iterationStart    float64 // when the current iteration began
+	callbackStart     float64 // when the running callback was called, 0 if none runs
+	descriptors       []descriptor
+	timers            timerHeap
+	posted            []func()
+	externalPosts     []func() // posted by other goroutines, guarded by mu
+	runningPosts      []func() // functions of the previous iteration, kept to reuse the slice
+	freeBuffers       [][]byte // initial-size read buffers for reuse
+	MaxBufferBytes    int      // limit of bufferedBytes; accepted connections may use half of it
+	bufferedBytes     int      // bytes of read buffers beyond their initial size, and unsent bytes
+	discardBuffer     []byte   // target of discarded bytes; the kernel writes nothing to it, so it takes no memory
+	stopped           bool
+	faultFunc         FaultFunc
+	unsynced          []unsyncedFD     // descriptors whose interest epoll does not have
+	previousStart     float64          // when the previous iteration began
+	backlogUntil      float64          // until when input may have arrived during a stall
+	OnStall           func(by float64) // called first after a stall, with its length: the process's state is outdated
 }
 
-// WallClock is what a new loop takes the time from. Tests replace it before they make a loop.
+// WallClock gives a new loop its start time. Tests replace it before they create a loop.
 var WallClock = time.Now
 
-// New makes a loop; its clock is the wall's at the start and monotonic from there, so that it compares with other
-// machines' times and never runs backwards.
+// New returns a Loop. Its clock starts at the wall clock's time and is monotonic from then on, so that it is comparable with
+// other machines' times and never runs backwards.
 func New() (*Loop, error) {
-	l := &Loop{started: time.Now(), base: float64(WallClock().UnixNano()) / 1e9, MaxBufferBytes: math.MaxInt, sink: make([]byte, sinkSize),
-		faults: Faults}
-	l.turn = l.base
-	if err := l.open(); err != nil {
+	l := &Loop{startedAt: time.Now(), startUnix: float64(WallClock().UnixNano()) / 1e9, MaxBufferBytes: math.MaxInt,
+		discardBuffer: make([]byte, discardBufferBytes), faultFunc: Faults}
+	l.iterationStart = l.startUnix
+	if err := l.openDescriptors(); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// open makes the loop's own descriptors.
-func (l *Loop) open() (err error) {
-	if _, err = l.fault(SyscallEpollCreate); err == nil {
-		l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+// openDescriptors opens the loop's own descriptors.
+func (l *Loop) openDescriptors() (err error) {
+	if _, err = l.injectFault(SyscallEpollCreate); err == nil {
+		l.epollFD, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	}
 	if err != nil {
 		return fmt.Errorf("epoll: %w", err)
 	}
-	if _, err = l.fault(SyscallEventfd); err == nil {
-		l.bell, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	if _, err = l.injectFault(SyscallEventfd); err == nil {
+		l.wakeupFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	}
 	if err != nil {
-		unix.Close(l.epoll)
+		unix.Close(l.epollFD)
 		return fmt.Errorf("eventfd: %w", err)
 	}
-	if err = l.add(l.bell, bellSource{l}, unix.EPOLLIN); err != nil {
-		unix.Close(l.bell)
-		unix.Close(l.epoll)
+	if err = l.register(l.wakeupFD, wakeupSource{l}, unix.EPOLLIN); err != nil {
+		unix.Close(l.wakeupFD)
+		unix.Close(l.epollFD)
 	}
 	return err
 }
 
-// Now is Unix time in seconds: while the loop calls something, the time at which it did, so that one call of many small
-// steps reads the clock once.
+// Now returns Unix time in seconds. Within a callback it returns the time at which the callback was called, so that a
+// callback of many small steps reads the clock once.
 func (l *Loop) Now() float64 {
-	if l.now > 0 {
-		return l.now
+	if l.callbackStart > 0 {
+		return l.callbackStart
 	}
-	return l.clock()
+	return l.readClock()
 }
 
-func (l *Loop) clock() float64 { return l.base + time.Since(l.started).Seconds() }
+// readClock returns the present Unix time in seconds.
+func (l *Loop) readClock() float64 { return l.startUnix + time.Since(l.startedAt).Seconds() }
 
-// Turn is when the turn began: what is handled now had arrived by then.
-func (l *Loop) IterationStart() float64 { return l.turn }
+// IterationStart returns when the current iteration began; the input handled now had arrived by then.
+func (l *Loop) IterationStart() float64 { return l.iterationStart }
 
-// Slept tells that the loop last looked, or stood still, so long ago that what is read now may have come a while before.
-func (l *Loop) PollDelayed() bool { return l.turn-l.looked > sleptFrom || l.turn < l.backlog }
+// PollDelayed reports whether the previous poll, or a stall, lies so far back that input read now may have arrived a while
+// ago.
+func (l *Loop) PollDelayed() bool {
+	return l.iterationStart-l.previousStart > pollDelaySeconds || l.iterationStart < l.backlogUntil
+}
 
-// Late tells the same, also of a turn that has gone on for so long: others' ends may wait to be read since.
-func (l *Loop) Lagging() bool { return l.PollDelayed() || l.clock()-l.turn > sleptFrom }
+// Lagging reports the same, or that the current iteration has taken so long that a peer's close may wait to be read.
+func (l *Loop) Lagging() bool {
+	return l.PollDelayed() || l.readClock()-l.iterationStart > pollDelaySeconds
+}
 
-// Post has f run on the next turn; only for the loop's own goroutine.
+// Post schedules f for the next iteration. It may be called only on the loop's goroutine.
 func (l *Loop) Post(f func()) { l.posted = append(l.posted, f) }
 
-// Held is how many bytes beyond first buffers connections hold.
-func (l *Loop) BufferedBytes() int { return l.grown }
+// BufferedBytes returns how many bytes read buffers beyond their initial size and unsent data hold; MaxBufferBytes limits it.
+func (l *Loop) BufferedBytes() int { return l.bufferedBytes }
 
-// Ring ends a wait from another goroutine, such as the one that receives signals. Once the loop is closed it does nothing:
-// the bell's number may be another's by then, a connection's, and would get these bytes.
+// WakeUp ends the loop's wait from another goroutine, such as the one that receives signals. Once the loop is closed it does
+// nothing: the number of wakeupFD may belong to a connection by then, which would get the bytes.
 func (l *Loop) WakeUp() {
-	l.ringing.Lock()
-	defer l.ringing.Unlock()
-	for err := error(unix.EINTR); err == unix.EINTR && l.bell >= 0; {
-		if _, err = l.fault(SyscallWrite); err == nil {
-			_, err = unix.Write(l.bell, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for err := error(unix.EINTR); err == unix.EINTR && l.wakeupFD >= 0; {
+		if _, err = l.injectFault(SyscallWrite); err == nil {
+			_, err = unix.Write(l.wakeupFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 		}
 	}
 }
 
-// Call has f run on the loop's goroutine soon; it may be called from any. A loop that is closed runs it no more.
+// PostFromAnyGoroutine schedules f to run on the loop's goroutine soon. A closed loop does not run it.
 func (l *Loop) PostFromAnyGoroutine(f func()) {
-	l.ringing.Lock()
-	l.called = append(l.called, f)
-	l.ringing.Unlock()
+	l.mu.Lock()
+	l.externalPosts = append(l.externalPosts, f)
+	l.mu.Unlock()
 	l.WakeUp()
 }
 
-// runCalled runs what other goroutines have asked for.
-func (l *Loop) runCalled() {
-	l.ringing.Lock()
-	called := l.called
-	l.called = nil
-	l.ringing.Unlock()
-	for _, f := range called {
-		l.now = l.clock()
+// runExternalPosts runs the functions posted by other goroutines.
+func (l *Loop) runExternalPosts() {
+	l.mu.Lock()
+	posts := l.externalPosts
+	l.externalPosts = nil
+	l.mu.Unlock()
+	for _, f := range posts {
+		l.callbackStart = l.readClock()
 		f()
 	}
 }
 
-// Close gives back what the loop itself holds, after Run.
+// Close closes the loop's own descriptors, after Run has returned.
 func (l *Loop) Close() {
-	l.ringing.Lock()
-	defer l.ringing.Unlock()
-	unix.Close(l.bell)
-	unix.Close(l.epoll)
-	l.bell = -1
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	unix.Close(l.wakeupFD)
+	unix.Close(l.epollFD)
+	l.wakeupFD = -1
 
 }
 
-// Stop lets Run return after this turn.
+// Stop makes Run return after the current iteration.
 func (l *Loop) Stop() { l.stopped = true }
 
-type bellSource struct{ l *Loop }
+// wakeupSource clears the eventfd by which WakeUp ends a wait.
+type wakeupSource struct{ loop *Loop }
 
-func (s bellSource) event(uint32) {
+func (s wakeupSource) handleEvents(uint32) {
 	var b [8]byte
-	unix.Read(s.l.bell, b[:])
+	unix.Read(s.loop.wakeupFD, b[:])
 }
 
-func (l *Loop) add(fd int, of source, mask uint32) error {
-	for fd >= len(l.places) {
-		l.places = append(l.places, place{})
+// register adds a descriptor to the table and to epoll.
+func (l *Loop) register(fd int, source eventSource, interest uint32) error {
+	for fd >= len(l.descriptors) {
+		l.descriptors = append(l.descriptors, descriptor{})
 	}
-	l.places[fd] = place{of: of, gen: l.places[fd].gen + 1, mask: mask}
-	if err := l.control(unix.EPOLL_CTL_ADD, fd); err != nil {
-		l.places[fd].of = nil
+	l.descriptors[fd] = descriptor{source: source, generation: l.descriptors[fd].generation + 1, interest: interest}
+	if err := l.syncInterest(unix.EPOLL_CTL_ADD, fd); err != nil {
+		l.descriptors[fd].source = nil
 		return fmt.Errorf("epoll add: %w", err)
 	}
 	return nil
 }
 
-func (l *Loop) change(fd int, mask uint32) {
-	p := &l.places[fd]
-	if p.mask = mask; !p.behind {
-		l.control(unix.EPOLL_CTL_MOD, fd) // fails otherwise only for a descriptor that is not there
+// setInterest sets the wanted events of a descriptor.
+func (l *Loop) setInterest(fd int, interest uint32) {
+	d := &l.descriptors[fd]
+	if d.interest = interest; !d.unsynced {
+		l.syncInterest(unix.EPOLL_CTL_MOD, fd) // any other error means that the descriptor is not open
 	}
 }
 
-// drop is the one place where a descriptor in the loop is given back.
-func (l *Loop) drop(fd int) {
-	l.places[fd].of = nil
+// closeDescriptor closes a registered descriptor; nothing else may do so.
+func (l *Loop) closeDescriptor(fd int) {
+	l.descriptors[fd].source = nil
 	unix.Close(fd)
 }
 
-// Run serves until Stop; each is called first in every turn.
-func (l *Loop) Run(each func()) error {
-	var events [eventsATurn]unix.EpollEvent
+// Run handles events until Stop; beforeEvents is called first in every iteration.
+func (l *Loop) Run(beforeEvents func()) error {
+	var events [maxEventsPerPoll]unix.EpollEvent
 	for !l.stopped {
-		wait := l.wait()
-		asked, began := l.clock(), l.turn
-		n, err := l.epollWait(events[:], wait)
+		timeout := l.waitMilliseconds()
+		pollStart, previousStart := l.readClock(), l.iterationStart
+		n, err := l.epollWait(events[:], timeout)
 		rounds := 1
-		if err == unix.EINTR { // also after a stop: what has come meanwhile goes before what is due
+		if err == unix.EINTR { // also after a stopped process resumes: pending input is handled before due timers
 			n, err = l.epollWait(events[:], 0)
 		}
 		if err != nil && err != unix.EINTR {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
-		l.looked, l.turn = began, l.clock()
-		l.now = l.turn
-		if by := max(l.turn-asked-float64(wait)/1000, asked-began); by > stoodFrom && l.OnStall != nil {
-			l.OnStall(by)
-			l.backlog = l.turn + backlogFor
-			rounds = afterStand
+		l.previousStart, l.iterationStart = previousStart, l.readClock()
+		l.callbackStart = l.iterationStart
+		if stall := max(l.iterationStart-pollStart-float64(timeout)/1000,
+			pollStart-previousStart); stall > stallThresholdSeconds && l.OnStall != nil {
+			l.OnStall(stall)
+			l.backlogUntil = l.iterationStart + stallBacklogSeconds
+			rounds = maxRoundsAfterStall
 		}
-		each()
-		l.runCalled()
+		beforeEvents()
+		l.runExternalPosts()
 		for ; n > 0 && rounds > 0; rounds-- {
 			for i := range n {
 				e := &events[i]
-				if p := l.places[e.Fd]; p.of != nil && p.gen == e.Pad {
-					l.now = l.clock()
-					p.of.event(e.Events)
+				if d := l.descriptors[e.Fd]; d.source != nil && d.generation == e.Pad {
+					l.callbackStart = l.readClock()
+					d.source.handleEvents(e.Events)
 				}
 			}
-			if n = 0; rounds > 1 && l.clock() < l.turn+standRead {
-				n, _ = l.epollWait(events[:], 0) // interrupted: the next turn has them
+			if n = 0; rounds > 1 && l.readClock() < l.iterationStart+maxReadSecondsAfterStall {
+				n, _ = l.epollWait(events[:], 0) // if interrupted, the next iteration gets the events
 			}
 		}
-		if len(l.behind) > 0 {
-			l.catchUp()
+		if len(l.unsynced) > 0 {
+			l.pollUnsynced()
 		}
-		for len(l.timers) > 0 && l.timers[0].at <= l.turn {
-			l.now = l.clock() // for each: those due after a pause are many, and what they do goes by the time
-			if t := l.timers.pop(); t.do != nil {
-				t.do()
-			} else if t.wake != nil {
-				t.wake(t.token)
+		for len(l.timers) > 0 && l.timers[0].at <= l.iterationStart {
+			l.callbackStart = l.readClock() // for each timer: after a stall many are due, and their callbacks depend on the time
+			if t := l.timers.pop(); t.callback != nil {
+				t.callback()
+			} else if t.tokenCallback != nil {
+				t.tokenCallback(t.token)
 			}
 		}
-		l.running, l.posted = l.posted, l.running[:0]
-		for i, f := range l.running {
-			l.now = l.clock()
+		l.runningPosts, l.posted = l.posted, l.runningPosts[:0]
+		for i, f := range l.runningPosts {
+			l.callbackStart = l.readClock()
 			f()
-			l.running[i] = nil
+			l.runningPosts[i] = nil
 		}
-		l.now = 0
+		l.callbackStart = 0
 	}
 	return nil
 }
 
-// wait is how many milliseconds may pass in the kernel.
-func (l *Loop) wait() int {
+// waitMilliseconds returns the timeout of the next epoll_wait call.
+func (l *Loop) waitMilliseconds() int {
 	if len(l.posted) > 0 {
 		return 0
 	}
-	for len(l.timers) > 0 && l.timers[0].t.off() {
+	for len(l.timers) > 0 && l.timers[0].timer.stopped() {
 		l.timers.pop()
 	}
-	seconds := longestWait
-	if len(l.behind) > 0 {
-		seconds = behindEvery
+	seconds := maxWaitSeconds
+	if len(l.unsynced) > 0 {
+		seconds = unsyncedPollSeconds
 	}
 	if len(l.timers) > 0 {
 		seconds = min(seconds, max(0, l.timers[0].at-l.Now()))
@@ -275,86 +287,90 @@
 	return int(math.Ceil(seconds * 1000))
 }
 
-// Timer is one call in the future.
+// Timer is a scheduled callback.
 type Timer struct {
-	do    func()
-	wake  func(uint64)
-	token uint64
+	callback      func()
+	tokenCallback func(uint64)
+	token         uint64
 }
 
-func (t *Timer) off() bool { return t.do == nil && t.wake == nil }
+// stopped reports whether the timer was stopped.
+func (t *Timer) stopped() bool { return t.callback == nil && t.tokenCallback == nil }
 
-// Stop calls it off; nil is fine.
+// Stop cancels the timer; t may be nil.
 func (t *Timer) Stop() {
 	if t != nil {
-		t.do, t.wake = nil, nil
+		t.callback, t.tokenCallback = nil, nil
 	}
 }
 
-// After has f run in so many seconds.
+// After schedules f to run in the given number of seconds.
 func (l *Loop) After(seconds float64, f func()) *Timer {
-	t := &Timer{do: f}
-	l.timers.push(due{l.Now() + max(0, seconds), t})
+	t := &Timer{callback: f}
+	l.timers.push(timerEntry{l.Now() + max(0, seconds), t})
 	return t
 }
 
-// Wake has f run with the token in so many seconds; it can't be called off, and nothing is made for it but its entry.
+// AfterToken schedules f to run with the token in the given number of seconds. It can't be canceled, and needs no closure:
+// it allocates only its entry.
 func (l *Loop) AfterToken(seconds float64, f func(uint64), token uint64) {
-	l.timers.push(due{l.Now() + max(0, seconds), &Timer{wake: f, token: token}})
+	l.timers.push(timerEntry{l.Now() + max(0, seconds), &Timer{tokenCallback: f, token: token}})
 }
 
-// due is a timer with its time beside it, so that ordering follows no pointer.
-type due struct {
-	at float64
-	t  *Timer
+// timerEntry is a timer and its due time, which is stored here so that comparing entries follows no pointer.
+type timerEntry struct {
+	at    float64
+	timer *Timer
 }
 
-// timers is a heap, four to a knot: there are tens of thousands where every command has some, and half as many steps
-// go through the memory for it.
-type timers []due
+// timerHeap is a 4-ary min-heap. With several timers per command it has tens of thousands of entries; compared with a binary
+// heap, half as many steps go through memory.
+type timerHeap []timerEntry
 
-func (h *timers) push(d due) {
-	*h = append(*h, d)
-	all := *h
-	i := len(all) - 1
+// push adds an entry.
+func (h *timerHeap) push(entry timerEntry) {
+	*h = append(*h, entry)
+	entries := *h
+	i := len(entries) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if all[up].at <= d.at {
+		parent := (i - 1) / 4
+		if entries[parent].at <= entry.at {
 			break
 		}
-		all[i] = all[up]
-		i = up
+		entries[i] = entries[parent]
+		i = parent
 	}
-	all[i] = d
+	entries[i] = entry
 }
 
-func (h *timers) pop() *Timer {
-	all := *h
-	first, n := all[0].t, len(all)-1
-	last := all[n]
-	all[n] = due{}
-	all = all[:n]
-	*h = all
+// pop removes the timer that is due first and returns it.
+func (h *timerHeap) pop() *Timer {
+	entries := *h
+	first, n := entries[0].timer, len(entries)-1
+	last := entries[n]
+	entries[n] = timerEntry{}
+	entries = entries[:n]
+	*h = entries
 	i := 0
 	for {
-		down := 4*i + 1
-		if down >= n {
+		child := 4*i + 1
+		if child >= n {
 			break
 		}
-		least := down
-		for k := down + 1; k < min(down+4, n); k++ {
-			if all[k].at < all[least].at {
-				least = k
+		earliest := child
+		for k := child + 1; k < min(child+4, n); k++ {
+			if entries[k].at < entries[earliest].at {
+				earliest = k
 			}
 		}
-		if last.at <= all[least].at {
+		if last.at <= entries[earliest].at {
 			break
 		}
-		all[i] = all[least]
-		i = least
+		entries[i] = entries[earliest]
+		i = earliest
 	}
 	if n > 0 {
-		all[i] = last
+		entries[i] = last
 	}
 	return first
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -12,54 +12,55 @@
 	"golang.org/x/sys/unix"
 )
 
-// ear is a handler made of functions.
-type ear struct {
-	data func(*Conn)
-	down func(*Conn, error)
-	up   func(*Conn)
+// handlerFuncs is a Handler made of functions, which may be nil.
+type handlerFuncs struct {
+	onData       func(*Conn)
+	onDisconnect func(*Conn, error)
+	onConnect    func(*Conn)
 }
 
-func (e ear) OnFlushed(*Conn) {}
+func (h handlerFuncs) OnFlushed(*Conn) {}
 
-func (e ear) OnConnect(c *Conn) {
-	if e.up != nil {
-		e.up(c)
+func (h handlerFuncs) OnConnect(c *Conn) {
+	if h.onConnect != nil {
+		h.onConnect(c)
 	}
 }
 
-func (e ear) OnData(c *Conn) {
-	if e.data != nil {
-		e.data(c)
+func (h handlerFuncs) OnData(c *Conn) {
+	if h.onData != nil {
+		h.onData(c)
 	}
 }
 
-func (e ear) OnDisconnect(c *Conn, err error) {
-	if e.down != nil {
-		e.down(c, err)
+func (h handlerFuncs) OnDisconnect(c *Conn, err error) {
+	if h.onDisconnect != nil {
+		h.onDisconnect(c, err)
 	}
 	c.Close()
 }
 
-// server is a loop that listens and treats every connection alike; it stops by itself after ten seconds.
-func server(t *testing.T, h Handler, most int, opened func(*Conn)) (*Loop, *Listener) {
+// listen returns a loop with a listener that uses one handler for every connection. The test fails after ten seconds.
+func listen(t *testing.T, h Handler, maxUnconsumed int, onAccept func(*Conn)) (*Loop, *Listener) {
 	t.Helper()
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), most, func() bool { return true }, func(c *Conn) Handler {
-		if opened != nil {
-			opened(c)
+	s, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), maxUnconsumed, func() bool { return true }, func(c *Conn) Handler {
+		if onAccept != nil {
+			onAccept(c)
 		}
 		return h
 	}, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.After(10, func() { t.Error("the story did not end"); l.Stop() })
+	l.After(10, func() { t.Error("the test did not finish within 10 s"); l.Stop() })
 	return l, s
 }
 
+// dial connects to the listener.
 func dial(t *testing.T, s *Listener) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Address.String())
@@ -70,15 +71,15 @@
 	return c
 }
 
-func none() {}
+func noop() {}
 
-func TestBytes(t *testing.T) {
-	t.Run("more than the kernel takes at once arrives whole, and the end is seen", func(t *testing.T) {
+func TestConnReadAndWrite(t *testing.T) {
+	t.Run("data larger than the kernel's buffers arrives complete, followed by EOF", func(t *testing.T) {
 		var l *Loop
-		l, s := server(t, ear{data: func(c *Conn) {
+		l, s := listen(t, handlerFuncs{onData: func(c *Conn) {
 			c.Write(c.Unconsumed())
 			c.Consume(len(c.Unconsumed()))
-		}, down: func(_ *Conn, err error) {
+		}, onDisconnect: func(_ *Conn, err error) {
 			if err != io.EOF {
 				t.Errorf("ended with %v", err)
 			}
@@ -89,20 +90,23 @@
 		go c.Write(want)
 		go func() {
 			got := make([]byte, len(want))
-			time.Sleep(50 * time.Millisecond) // the loop runs into a full connection
+			time.Sleep(50 * time.Millisecond) // the send buffer fills up meanwhile
 			if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
-				t.Errorf("came back changed, %v", err)
+				t.Errorf("echoed data differs, %v", err)
 			}
 			c.Close()
 		}()
-		l.Run(none)
+		l.Run(noop)
 	})
-	t.Run("a paused connection keeps its bytes in place and still sees the end", func(t *testing.T) {
+	t.Run("a paused connection keeps its unconsumed bytes in place and still reports the close", func(t *testing.T) {
 		var l *Loop
-		var held []byte
-		l, s := server(t, ear{data: func(c *Conn) { held = c.Unconsumed(); c.Pause() }, down: func(c *Conn, _ error) {
-			if string(held) != "one" || string(c.Unconsumed()) != "one" {
-				t.Errorf("holds %q, %q", held, c.Unconsumed())
+		var first []byte
+		l, s := listen(t, handlerFuncs{onData: func(c *Conn) {
+			first = c.Unconsumed()
+			c.Pause()
+		}, onDisconnect: func(c *Conn, _ error) {
+			if string(first) != "one" || string(c.Unconsumed()) != "one" {
+				t.Errorf("first read %q, unconsumed at the end %q", first, c.Unconsumed())
 			}
 			l.Stop()
 		}}, 100, nil)
@@ -113,22 +117,22 @@
 			io.WriteString(c, "two")
 			c.Close()
 		}()
-		l.Run(none)
+		l.Run(noop)
 	})
-	t.Run("more than its owner allows ends it", func(t *testing.T) {
+	t.Run("more unconsumed bytes than the owner allows end the connection", func(t *testing.T) {
 		var l *Loop
-		l, s := server(t, ear{down: func(_ *Conn, err error) {
+		l, s := listen(t, handlerFuncs{onDisconnect: func(_ *Conn, err error) {
 			if !errors.Is(err, ErrReadBufferFull) {
 				t.Errorf("ended with %v", err)
 			}
 			l.Stop()
 		}}, 5000, nil)
 		go dial(t, s).Write(make([]byte, 20000))
-		l.Run(none)
+		l.Run(noop)
 	})
 }
 
-func TestDial(t *testing.T) {
+func TestDialRefused(t *testing.T) {
 	free, _ := net.Listen("tcp", "127.0.0.1:0")
 	at := netip.MustParseAddrPort(free.Addr().String())
 	free.Close()
@@ -136,65 +140,72 @@
 	l.After(5, l.Stop)
 	var got error
 	fail := func(_ *Conn, err error) { got = err; l.Stop() }
-	if _, err := l.Dial(at, ear{down: fail, up: func(*Conn) { t.Error("it came up") }}, 10); err != nil {
+	if _, err := l.Dial(at, handlerFuncs{onDisconnect: fail, onConnect: func(*Conn) {
+		t.Error("the connection was established")
+	}}, 10); err != nil {
 		got = err
 	} else {
-		l.Run(none)
+		l.Run(noop)
 	}
 	if !errors.Is(got, unix.ECONNREFUSED) {
-		t.Errorf("nobody listens: %v", got)
+		t.Errorf("dial of a closed port: %v", got)
 	}
 }
 
-func TestTurns(t *testing.T) {
-	t.Run("a timer comes on time while a connection never rests", func(t *testing.T) {
-		l, s := server(t, ear{data: func(c *Conn) { c.Write(c.Unconsumed()); c.Consume(len(c.Unconsumed())) }}, 1<<16, nil)
+func TestIterations(t *testing.T) {
+	t.Run("a timer fires on time while a connection is always busy", func(t *testing.T) {
+		l, s := listen(t, handlerFuncs{onData: func(c *Conn) {
+			c.Write(c.Unconsumed())
+			c.Consume(len(c.Unconsumed()))
+		}}, 1<<16, nil)
 		c := dial(t, s)
 		go io.Copy(c, c)
 		io.WriteString(c, "round and round")
-		began := l.Now()
+		start := l.Now()
 		l.After(0.1, func() {
-			if late := l.Now() - began - 0.1; late < 0 || late > 0.1 {
+			if late := l.Now() - start - 0.1; late < 0 || late > 0.1 {
 				t.Errorf("late by %.3f s", late)
 			}
 			l.Stop()
 		})
-		l.Run(none)
+		l.Run(noop)
 	})
-	t.Run("a connection closed in a turn hears nothing more of it, nor does its descriptor's next owner", func(t *testing.T) {
+	t.Run("a connection closed in an iteration gets no more events, nor does its descriptor's next owner", func(t *testing.T) {
 		var l *Loop
 		var conns []*Conn
-		heard := 0
-		l, s := server(t, ear{data: func(*Conn) {
-			heard++
+		received := 0
+		l, s := listen(t, handlerFuncs{onData: func(*Conn) {
+			received++
 			for _, c := range conns {
 				c.Close()
 			}
-			l.Dial(s2(l, t), ear{data: func(*Conn) { t.Error("heard another's event") }}, 10)
+			l.Dial(otherAddress(l, t), handlerFuncs{onData: func(*Conn) {
+				t.Error("received the event of another connection")
+			}}, 10)
 			l.After(0.05, l.Stop)
 		}}, 100, func(c *Conn) { conns = append(conns, c) })
 		a, b := dial(t, s), dial(t, s)
-		l.After(0.05, func() { // both are accepted: both speak within one turn
+		l.After(0.05, func() { // both are accepted by now: both send within one iteration
 			io.WriteString(a, "x")
 			io.WriteString(b, "x")
 		})
-		l.Run(none)
-		if heard != 1 || len(conns) != 2 {
-			t.Errorf("heard %d of %d", heard, len(conns))
+		l.Run(noop)
+		if received != 1 || len(conns) != 2 {
+			t.Errorf("%d events on %d connections, want 1 on 2", received, len(conns))
 		}
 	})
-	t.Run("posted work and stopped timers", func(t *testing.T) {
+	t.Run("posted functions run in order and stopped timers do not fire", func(t *testing.T) {
 		l, _ := New()
 		order := ""
 		l.After(0.01, func() { order += "x" }).Stop()
 		l.After(0.02, l.Stop)
 		l.Post(func() { order += "a"; l.Post(func() { order += "c" }); order += "b" })
-		l.Run(none)
+		l.Run(noop)
 		if order != "abc" {
-			t.Errorf("came as %q", order)
+			t.Errorf("order %q", order)
 		}
 	})
-	t.Run("the clock is the wall's", func(t *testing.T) {
+	t.Run("the clock starts at the wall clock's time", func(t *testing.T) {
 		l, _ := New()
 		if d := l.Now() - float64(time.Now().UnixNano())/1e9; d < -0.05 || d > 0.05 {
 			t.Errorf("off by %.3f s", d)
@@ -202,8 +213,8 @@
 	})
 }
 
-// s2 is another place to connect to.
-func s2(l *Loop, t *testing.T) netip.AddrPort {
+// otherAddress opens another listener and returns its address.
+func otherAddress(l *Loop, t *testing.T) netip.AddrPort {
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -213,30 +224,30 @@
 }
 
 func TestBacklog(t *testing.T) {
-	t.Run("what waits there when the listener closes is taken", func(t *testing.T) {
-		taken := 0
-		l, s := server(t, ear{}, 100, func(*Conn) { taken++ })
+	t.Run("DrainAndClose accepts the waiting connections", func(t *testing.T) {
+		accepted := 0
+		l, s := listen(t, handlerFuncs{}, 100, func(*Conn) { accepted++ })
 		for range 5 {
 			dial(t, s)
 		}
 		at := s.Address.String()
 		s.DrainAndClose()
-		if taken != 5 {
-			t.Errorf("%d of 5 taken", taken)
+		if accepted != 5 {
+			t.Errorf("accepted %d of 5 connections", accepted)
 		}
 		if _, err := net.Dial("tcp", at); err == nil {
-			t.Error("it still listens")
+			t.Error("the address still accepts connections")
 		}
 		l.Stop()
 	})
-	t.Run("without descriptors it says so, waits, and takes them later", func(t *testing.T) {
+	t.Run("without descriptors the listener calls onExhausted, pauses and accepts later", func(t *testing.T) {
 		var old unix.Rlimit
 		unix.Getrlimit(unix.RLIMIT_NOFILE, &old)
-		taken, starved := 0, 0
+		accepted, exhausted := 0, 0
 		l, _ := New()
 		s, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), 10, func() bool { return true },
-			func(*Conn) Handler { taken++; l.Stop(); return ear{} }, func() {
-				if starved++; starved == 2 {
+			func(*Conn) Handler { accepted++; l.Stop(); return handlerFuncs{} }, func() {
+				if exhausted++; exhausted == 2 {
 					unix.Setrlimit(unix.RLIMIT_NOFILE, &old)
 				}
 			})
@@ -247,40 +258,40 @@
 		dial(t, s)
 		unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 3, Max: old.Max})
 		l.After(5, l.Stop)
-		l.Run(none)
-		if taken != 1 || starved != 2 {
-			t.Errorf("taken %d, starved %d times", taken, starved)
+		l.Run(noop)
+		if accepted != 1 || exhausted != 2 {
+			t.Errorf("accepted %d, exhausted %d times, want 1 and 2", accepted, exhausted)
 		}
 	})
 }
 
-// A signal that comes as the process ends rang the bell of a loop that was closed: a connection had its number by then, and
-// its client read eight bytes that nobody had sent.
-func TestABellRungAfterCloseReachesNobody(t *testing.T) {
+// A signal during shutdown called WakeUp on a closed loop. A connection had the number of its eventfd by then, and its client
+// read eight bytes that nobody had sent.
+func TestWakeUpAfterCloseWritesToNoDescriptor(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	bell := l.bell
+	wakeupFD := l.wakeupFD
 	l.Close()
-	for range 1000 { // until one end of a pair has its number: the kernel gives the lowest that is free
+	for range 1000 { // until one end of a pair has the number: the kernel assigns the lowest free one
 		ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer unix.Close(ends[0])
 		defer unix.Close(ends[1])
-		if ends[0] != bell && ends[1] != bell {
+		if ends[0] != wakeupFD && ends[1] != wakeupFD {
 			continue
 		}
 		l.WakeUp()
 		var got [8]byte
 		for _, end := range ends {
 			if n, _ := unix.Read(end, got[:]); n > 0 {
-				t.Errorf("%d bytes came to who has its number", n)
+				t.Errorf("%d bytes were written to the new owner of the descriptor number", n)
 			}
 		}
 		return
 	}
-	t.Fatal("nobody got its number")
+	t.Fatal("the descriptor number was not reused")
 }
--- a/internal/loop/syscalls.go
+++ b/internal/loop/syscalls.go
@@ -1,13 +1,13 @@
-// This file owns the system calls that the loop makes on its descriptors. Each goes through one method, so that tests can
-// have it fail as Linux documents; it must never decide what a failure means, which is the caller's affair.
+// This file wraps the system calls that the loop makes on its descriptors. Each goes through one method, so that tests can
+// make it fail as Linux documents. The methods do not interpret errors; that is up to the caller.
 package loop
 
 import "golang.org/x/sys/unix"
 
-// Call names a system call that a Fault may have fail.
+// Syscall names a system call that a FaultFunc may fail.
 type Syscall string
 
-// The calls that go through the seam.
+// The system calls for which faults can be injected.
 const (
 	SyscallSocket       Syscall = "socket"
 	SyscallBind         Syscall = "bind"
@@ -22,43 +22,44 @@
 	SyscallEventfd      Syscall = "eventfd"
 )
 
-// Fault is asked before each call. An error is what the call fails with instead of being made; most, where above 0, is how
-// many bytes a read or write may move at once.
-type FaultFunc func(call Syscall) (most int, err error)
+// FaultFunc is called before each system call. If it returns an error, the call fails with that and is not made. maxBytes, if
+// above 0, limits how many bytes a read or write may move.
+type FaultFunc func(call Syscall) (maxBytes int, err error)
 
-// Faults is the Fault of loops that are made from now on. It is nil but in tests, which set it before they start a loop.
+// Faults is the FaultFunc of loops created from now on. It is nil except in tests, which set it before they create a loop.
 var Faults FaultFunc
 
-func (l *Loop) fault(call Syscall) (most int, err error) {
-	if l.faults == nil {
+// injectFault asks the loop's FaultFunc, if any, what to do with a call.
+func (l *Loop) injectFault(call Syscall) (maxBytes int, err error) {
+	if l.faultFunc == nil {
 		return 0, nil
 	}
-	return l.faults(call)
+	return l.faultFunc(call)
 }
 
 func (l *Loop) socket(domain, kind int) (int, error) {
-	if _, err := l.fault(SyscallSocket); err != nil {
+	if _, err := l.injectFault(SyscallSocket); err != nil {
 		return -1, err
 	}
 	return unix.Socket(domain, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
-func (l *Loop) bind(fd int, at unix.Sockaddr) error {
-	if _, err := l.fault(SyscallBind); err != nil {
+func (l *Loop) bind(fd int, address unix.Sockaddr) error {
+	if _, err := l.injectFault(SyscallBind); err != nil {
 		return err
 	}
-	return unix.Bind(fd, at)
+	return unix.Bind(fd, address)
 }
 
 func (l *Loop) listen(fd int) error {
-	if _, err := l.fault(SyscallListen); err != nil {
+	if _, err := l.injectFault(SyscallListen); err != nil {
 		return err
 	}
-	return unix.Listen(fd, backlog)
+	return unix.Listen(fd, listenBacklog)
 }
 
-func (l *Loop) acceptFrom(fd int) (int, error) {
-	if _, err := l.fault(SyscallAccept); err != nil {
+func (l *Loop) accept(fd int) (int, error) {
+	if _, err := l.injectFault(SyscallAccept); err != nil {
 		return -1, err
 	}
 	accepted, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -66,30 +67,30 @@
 }
 
 func (l *Loop) connect(fd int, to unix.Sockaddr) error {
-	if _, err := l.fault(SyscallConnect); err != nil {
+	if _, err := l.injectFault(SyscallConnect); err != nil {
 		return err
 	}
 	return unix.Connect(fd, to)
 }
 
-func (l *Loop) read(fd int, into []byte) (int, error) {
-	most, err := l.fault(SyscallRead)
+func (l *Loop) read(fd int, buffer []byte) (int, error) {
+	maxBytes, err := l.injectFault(SyscallRead)
 	if err != nil {
 		return -1, err
 	}
-	if most > 0 {
-		into = into[:min(most, len(into))]
+	if maxBytes > 0 {
+		buffer = buffer[:min(maxBytes, len(buffer))]
 	}
-	return unix.Read(fd, into)
+	return unix.Read(fd, buffer)
 }
 
 func (l *Loop) write(fd int, parts ...[]byte) (int, error) {
-	most, err := l.fault(SyscallWrite)
+	maxBytes, err := l.injectFault(SyscallWrite)
 	if err != nil {
 		return -1, err
 	}
-	if most > 0 {
-		parts = firstBytes(parts, most)
+	if maxBytes > 0 {
+		parts = truncate(parts, maxBytes)
 	}
 	if len(parts) == 1 {
 		return unix.Write(fd, parts[0])
@@ -97,28 +98,28 @@
 	return unix.Writev(fd, parts)
 }
 
-// firstBytes is the beginning of the parts, so many bytes at most.
-func firstBytes(parts [][]byte, most int) (first [][]byte) {
+// truncate returns the first maxBytes bytes of the parts.
+func truncate(parts [][]byte, maxBytes int) (truncated [][]byte) {
 	for _, p := range parts {
-		n := min(most, len(p))
-		first = append(first, p[:n])
-		if most -= n; most == 0 {
+		n := min(maxBytes, len(p))
+		truncated = append(truncated, p[:n])
+		if maxBytes -= n; maxBytes == 0 {
 			break
 		}
 	}
-	return first
+	return truncated
 }
 
-func (l *Loop) epollControl(op, fd int, event *unix.EpollEvent) error {
-	if _, err := l.fault(SyscallEpollControl); err != nil {
+func (l *Loop) epollCtl(op, fd int, event *unix.EpollEvent) error {
+	if _, err := l.injectFault(SyscallEpollControl); err != nil {
 		return err
 	}
-	return unix.EpollCtl(l.epoll, op, fd, event)
+	return unix.EpollCtl(l.epollFD, op, fd, event)
 }
 
 func (l *Loop) epollWait(events []unix.EpollEvent, milliseconds int) (int, error) {
-	if _, err := l.fault(SyscallEpollWait); err != nil {
+	if _, err := l.injectFault(SyscallEpollWait); err != nil {
 		return -1, err
 	}
-	return unix.EpollWait(l.epoll, events, milliseconds)
+	return unix.EpollWait(l.epollFD, events, milliseconds)
 }
--- a/internal/loop/timer_test.go
+++ b/internal/loop/timer_test.go
@@ -6,53 +6,53 @@
 	"testing"
 )
 
-// Timers come exactly in the order of their times, whatever the order of asking; those called off don't come, those with a
-// token get it. All are asked for inside one call of the loop, within which its clock stands: however long the asking takes,
-// each time is counted from the same moment. The times lie 0.1 ms apart, more than a Unix time in seconds can round.
-func TestTimersInOrder(t *testing.T) {
+// Timers fire exactly in the order of their due times, whatever the order of scheduling; stopped timers do not fire, and
+// AfterToken passes the token. All are scheduled within one callback, in which the loop's clock is constant, so that all delays
+// count from the same moment. The delays are 0.1 ms apart, more than the rounding of a Unix time in seconds.
+func TestTimersFireInOrder(t *testing.T) {
 	l, _ := New()
 	defer l.Close()
 	r := rand.New(rand.NewPCG(1, 2))
-	var want, came []float64
+	var want, fired []float64
 	var start float64
 	l.Post(func() {
 		start = l.Now()
-		for i, place := range r.Perm(500) {
-			at := 1e-4 * float64(place)
+		for i, position := range r.Perm(500) {
+			at := 1e-4 * float64(position)
 			switch i % 3 {
 			case 0:
-				l.After(at, func() { came = append(came, at) })
+				l.After(at, func() { fired = append(fired, at) })
 				want = append(want, at)
 			case 1:
 				l.AfterToken(at, func(token uint64) {
 					if token != uint64(i) {
 						t.Errorf("token %d instead of %d", token, i)
 					}
-					came = append(came, at)
+					fired = append(fired, at)
 				}, uint64(i))
 				want = append(want, at)
 			case 2:
-				l.After(at, func() { t.Error("a timer that was called off came") }).Stop()
+				l.After(at, func() { t.Error("a stopped timer fired") }).Stop()
 			}
 		}
 		l.After(0.06, l.Stop)
 	})
 	l.Run(func() {})
 	slices.Sort(want)
-	if !slices.Equal(came, want) {
-		t.Errorf("%d timers came in the order\n%v, asked for were %d:\n%v", len(came), came, len(want), want)
+	if !slices.Equal(fired, want) {
+		t.Errorf("%d timers fired in the order\n%v, scheduled were %d:\n%v", len(fired), fired, len(want), want)
 	}
 	if len(want) != 334 {
-		t.Errorf("%d were asked for", len(want))
+		t.Errorf("%d timers were scheduled, want 334", len(want))
 	}
 	if took := l.Now() - start; took < 0.06 || took > 1 {
 		t.Errorf("took %v s", took)
 	}
 }
 
-// While something is called the clock stands at the call; between calls it goes on. A latency measured over two calls
-// is then right, and one call costs one look at the clock.
-func TestClockStandsWithinACall(t *testing.T) {
+// Within a callback the loop's clock is constant; between callbacks it advances. A latency measured across two callbacks is
+// correct, and each callback reads the clock once.
+func TestClockIsConstantWithinACallback(t *testing.T) {
 	l, _ := New()
 	defer l.Close()
 	var first, same, later float64
@@ -65,24 +65,24 @@
 	l.After(0.02, func() { later = l.Now(); l.Stop() })
 	l.Run(func() {})
 	if first != same || later < first+0.01 {
-		t.Errorf("at the call %v, within it %v, at the next %v", first, same, later)
+		t.Errorf("at the start of the callback %v, at its end %v, in the next callback %v", first, same, later)
 	}
 }
 
-// BenchmarkTimers is a timer asked for and come, with so many asked for.
+// BenchmarkTimers measures scheduling and firing one timer while n timers are scheduled.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{10, 1000, 100000} {
 		b.Run(map[int]string{10: "open=10", 1000: "open=1000", 100000: "open=100000"}[n], func(b *testing.B) {
-			var h timers
+			var h timerHeap
 			r := rand.New(rand.NewPCG(1, 2))
 			for range n {
-				h.push(due{r.Float64(), &Timer{}})
+				h.push(timerEntry{r.Float64(), &Timer{}})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				at := h[0].at
 				t := h.pop()
-				h.push(due{at + r.Float64(), t})
+				h.push(timerEntry{at + r.Float64(), t})
 			}
 		})
 	}
