--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,6 +1,7 @@
-// Package http1 reads HTTP/1.1 messages out of the bytes at hand. This file owns the heads: it keeps places within
-// the bytes, not copies, so that a buffer may move between calls. It must never do I/O, never take a message for
-// whole that is not, and never guess where a message ends: what is ambiguous is a Fault.
+// Package http1 parses HTTP/1.1 messages incrementally from a buffer. A command is a request of a client.
+//
+// The parser does no I/O. It stores offsets into the buffer and no copies, so that the buffer may move between calls. It never
+// reports an incomplete message as complete and never guesses where a message ends: an ambiguous message is a ProtocolError.
 package http1
 
 import (
@@ -9,58 +10,65 @@
 )
 
 const (
-	MaxHeadBytes = 16 << 10 // bytes of a head; common servers take 8 to 16 KiB
-	MaxBodyBytes = 32 << 20 // bytes of any body
-	// Held is how many bytes of an answer's body are kept together before any go on.
+	// MaxHeadBytes bounds a message's head; common servers accept 8 to 16 KiB.
+	MaxHeadBytes = 16 << 10
+	// MaxBodyBytes bounds a message's body.
+	MaxBodyBytes = 32 << 20
+	// MaxBufferedResponseBody is up to which size a response's body is buffered before any of it is forwarded.
 	MaxBufferedResponseBody = 64 << 10
-	// HeldCommand is the same for a command's.
+	// MaxBufferedCommandBody is the same for a command's body.
 	MaxBufferedCommandBody = 256 << 10
-	// Report is the field in which a backend tells its load.
-	LoadReportField = "Srv-Load"
-	nameMost        = 64 // bytes in which a line's beginning is judged before it is whole
-	// MaxMessage is what a buffer must hold for a command; one whose chunks take more goes on as it comes.
+	// LoadReportField is the name of the header field in which a backend reports its load.
+	LoadReportField        = "Srv-Load"
+	maxUnfinishedNameBytes = 64 // bytes of an incomplete line in which its name is checked
+	// MaxBufferedCommand is the size of a buffer for a complete command. A command whose chunks take more is streamed.
 	MaxBufferedCommand = MaxHeadBytes + MaxBufferedCommandBody
-	// MaxWhole is the same for an answer: chunks come with their own lines.
+	// MaxBufferedResponse is the same for a response; twice the body leaves room for the size lines of its chunks.
 	MaxBufferedResponse = MaxHeadBytes + 2*MaxBufferedResponseBody
 )
 
-// Fault is what is wrong with a message and the status that says so to a client.
+// ProtocolError says what is wrong with a message and which status reports that to a client.
 type ProtocolError struct {
 	Status int
 	Text   string
 }
 
-func (f *ProtocolError) Error() string { return f.Text }
+// Error returns the text.
+func (e *ProtocolError) Error() string { return e.Text }
 
-func fault(status int, text string) error { return &ProtocolError{status, text} }
+// newProtocolError returns a ProtocolError as an error.
+func newProtocolError(status int, text string) error { return &ProtocolError{status, text} }
 
-// span is a place in the message, counted from its start.
+// span is a range of bytes, as offsets from the start of the message.
 type span struct{ from, to int }
 
-func (s span) of(in []byte) []byte { return in[s.from:s.to] }
+// slice returns the bytes of the range.
+func (s span) slice(in []byte) []byte { return in[s.from:s.to] }
 
+// field is the range of a header field's name and of its value.
 type field struct{ name, value span }
 
-// Message is one command or answer, read step by step. The zero value is ready; Reset readies it for the next.
+// Message is a command or a response that is parsed step by step. The zero value is ready for use; Reset prepares it for the
+// next message.
 type Message struct {
-	Status    int  // of an answer
-	KeepAlive bool // the connection may carry another message
-	method    span
-	target    span
-	fields    []field
-	begun     bool // the first line has been read
-	old       bool // HTTP/1.0
-	at        int  // where the line starts that is being read
-	judged    int  // bytes looked at
-	head      int  // bytes of the head, 0 while it is not whole
-	length    int  // of the body, -1 if it goes on to the end of the connection
-	chunked   bool
-	chunks    ChunkReader
-	raw       int // bytes read of the message
-	body      int // bytes of the body decoded so far
+	Status     int  // of a response
+	KeepAlive  bool // the connection may carry another message
+	method     span
+	target     span
+	fields     []field
+	started    bool // the request line or status line has been parsed
+	http10     bool // HTTP/1.0
+	lineStart  int  // offset of the line that is being parsed
+	scanned    int  // offset up to which the bytes have been checked
+	headSize   int  // bytes of the head, 0 while it is incomplete
+	bodyLength int  // bytes of the body, -1 if it ends with the connection
+	chunked    bool
+	chunks     ChunkReader
+	size       int // bytes of the message parsed
+	decoded    int // bytes of the body decoded so far
 }
 
-// Blank is how many bytes of blank lines stand before a command; they are let pass.
+// LeadingBlankLines returns how many bytes of blank lines precede a command; they are to be skipped.
 func LeadingBlankLines(in []byte) (n int) {
 	for bytes.HasPrefix(in[n:], []byte("\r\n")) {
 		n += 2
@@ -68,87 +76,94 @@
 	return n
 }
 
-// Reset forgets the message.
+// Reset prepares m for the next message and keeps its memory.
 func (m *Message) Reset() { *m = Message{fields: m.fields[:0]} }
 
-// Size is how many bytes of the message have been read, of a whole one all that it took.
-func (m *Message) Size() int { return m.raw }
+// Size returns how many bytes of the message have been parsed; for a complete message, that is its length in the buffer.
+func (m *Message) Size() int { return m.size }
 
-// Length is how many bytes the body has, -1 where that is not said.
+// BodyLength returns how many bytes the body has, -1 if the head does not say.
 func (m *Message) BodyLength() int {
 	if m.chunked {
 		return -1
 	}
-	return m.length
+	return m.bodyLength
 }
 
-// Decoded is how many bytes of the body have been read.
-func (m *Message) DecodedBytes() int { return m.body }
+// DecodedBytes returns how many bytes of the body have been decoded.
+func (m *Message) DecodedBytes() int { return m.decoded }
 
-// Old tells a message of HTTP/1.0, whose sender knows no chunks.
-func (m *Message) IsHTTP10() bool { return m.old }
+// IsHTTP10 reports whether the message is HTTP/1.0, whose sender does not understand chunks.
+func (m *Message) IsHTTP10() bool { return m.http10 }
 
-// Rest reads on in a body whose head and first part, Size bytes, have been consumed: the next piece of it at the start of
-// in, how many bytes are done with, and whether the body is whole. With nothing used it needs more bytes.
+// ReadBodyPart continues a body after the head and the first part of it, Size bytes, have been consumed. It returns the next
+// piece of the body at the start of in, how many bytes of in were used, and whether the body is complete. If used is 0, it
+// needs more bytes.
 func (m *Message) ReadBodyPart(in []byte) (data []byte, used int, done bool, err error) {
 	switch {
 	case m.chunked:
 		data, used, done, err = m.chunks.Next(in)
-	case m.length < 0:
+	case m.bodyLength < 0:
 		data, used = in, len(in)
 	default:
-		used = min(m.length-m.body, len(in))
-		data, done = in[:used], m.body+used == m.length
+		used = min(m.bodyLength-m.decoded, len(in))
+		data, done = in[:used], m.decoded+used == m.bodyLength
 	}
-	if m.body += len(data); m.body > MaxBodyBytes && err == nil {
-		err = fault(413, "the body is too large")
+	if m.decoded += len(data); m.decoded > MaxBodyBytes && err == nil {
+		err = newProtocolError(413, "the body is too large")
 	}
 	return data, used, done, err
 }
 
-// Begun tells whether any of the message is there, interim answers apart.
-func (m *Message) Started(in []byte) bool { return m.begun || len(in) > m.at }
+// Started reports whether any byte of the message has arrived, apart from interim responses.
+func (m *Message) Started(in []byte) bool { return m.started || len(in) > m.lineStart }
 
-// HeadWhole tells whether the head has been read.
-func (m *Message) HeadComplete() bool { return m.head > 0 }
+// HeadComplete reports whether the head has been parsed.
+func (m *Message) HeadComplete() bool { return m.headSize > 0 }
 
-// HeadSize is how many bytes the head took.
-func (m *Message) HeadSize() int { return m.head }
+// HeadSize returns how many bytes the head has, 0 while it is incomplete.
+func (m *Message) HeadSize() int { return m.headSize }
 
-// Chunked tells whether the body comes in chunks.
+// Chunked reports whether the body has the chunked coding.
 func (m *Message) Chunked() bool { return m.chunked }
 
-func (m *Message) Method(in []byte) []byte { return m.method.of(in) }
-func (m *Message) Target(in []byte) []byte { return m.target.of(in) }
-func (m *Message) Body(in []byte) []byte   { return in[m.head : m.head+m.body] }
+// Method returns the method of a command.
+func (m *Message) Method(in []byte) []byte { return m.method.slice(in) }
 
-// Get is the value of the first field of that name, nil if there is none.
+// Target returns the request target of a command; of an absolute URI, the part from the path on.
+func (m *Message) Target(in []byte) []byte { return m.target.slice(in) }
+
+// Body returns the part of the body that has been decoded.
+func (m *Message) Body(in []byte) []byte { return in[m.headSize : m.headSize+m.decoded] }
+
+// Get returns the value of the first field with that name, nil if there is none.
 func (m *Message) Get(in []byte, name string) []byte {
 	for _, f := range m.fields {
-		if is(f.name.of(in), name) {
-			return f.value.of(in)
+		if equalFold(f.name.slice(in), name) {
+			return f.value.slice(in)
 		}
 	}
 	return nil
 }
 
-func is(text []byte, name string) bool {
+// equalFold reports whether the text is the name, ignoring case.
+func equalFold(text []byte, name string) bool {
 	return len(text) == len(name) && strings.EqualFold(string(text), name)
 }
 
-// hopByHop fields concern one connection or are written anew; they don't go on.
+// hopByHop lists the fields that concern one connection or are generated by the proxy; they are not forwarded.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", LoadReportField}
 
-// AppendFields writes the fields that go on with the message, but for those named.
-func (m *Message) AppendFields(to, in []byte, but ...string) []byte {
+// AppendFields appends the fields that are forwarded with the message, except those given.
+func (m *Message) AppendFields(to, in []byte, except ...string) []byte {
 	connection := m.CountFields(in, "Connection") > 0
 next:
 	for _, f := range m.fields {
-		name := f.name.of(in)
-		for _, list := range [2][]string{hopByHop, but} {
+		name := f.name.slice(in)
+		for _, list := range [2][]string{hopByHop, except} {
 			for _, n := range list {
-				if is(name, n) {
+				if equalFold(name, n) {
 					continue next
 				}
 			}
@@ -157,13 +172,13 @@
 			continue
 		}
 		to = append(append(to, name...), ": "...)
-		to = append(append(to, f.value.of(in)...), "\r\n"...)
+		to = append(append(to, f.value.slice(in)...), "\r\n"...)
 	}
 	return to
 }
 
-// lists tells whether a comma-separated value names the word.
-func lists(value, word string) bool {
+// listContains reports whether a comma-separated value contains the word.
+func listContains(value, word string) bool {
 	for part := range strings.SplitSeq(value, ",") {
 		if strings.EqualFold(strings.Trim(part, " \t"), word) {
 			return true
@@ -172,269 +187,276 @@
 	return false
 }
 
-// Command reads a command from the bytes that begin with it and tells whether it is whole.
+// ParseCommand parses a command at the start of in and reports whether it is complete.
 func (m *Message) ParseCommand(in []byte) (bool, error) {
-	if m.head == 0 {
-		whole, err := m.readHead(in, false)
-		if !whole || err != nil {
+	if m.headSize == 0 {
+		complete, err := m.readHead(in, false)
+		if !complete || err != nil {
 			return false, err
 		}
-		if hosts := m.CountFields(in, "Host"); hosts > 1 || hosts == 0 && !m.old {
-			return false, fault(400, "one Host field is needed")
+		if hosts := m.CountFields(in, "Host"); hosts > 1 || hosts == 0 && !m.http10 {
+			return false, newProtocolError(400, "one Host field is needed")
 		}
-		m.length = max(0, m.length)
-		m.head, m.raw = m.at, m.at
+		m.bodyLength = max(0, m.bodyLength)
+		m.headSize, m.size = m.lineStart, m.lineStart
 	}
 	return m.readBody(in, false)
 }
 
-// Answer reads an answer and tells whether it is whole; ended says that the connection has ended after these bytes.
+// ParseResponse parses a response at the start of in and reports whether it is complete. ended says that the connection was
+// closed after these bytes.
 func (m *Message) ParseResponse(in []byte, ended bool) (bool, error) {
-	if whole, err := m.ParseResponseHead(in); !whole || err != nil {
+	if complete, err := m.ParseResponseHead(in); !complete || err != nil {
 		return false, err
 	}
 	return m.readBody(in, ended)
 }
 
-// AnswerHead reads an answer's head alone, for a body that is used as it comes. Interim answers (1xx) are passed
-// over by taking their bytes for part of the head.
+// ParseResponseHead parses only the head of a response, for a body that is streamed, and reports whether the head is complete.
+// Interim responses (1xx) are skipped by counting their bytes as part of the head.
 func (m *Message) ParseResponseHead(in []byte) (bool, error) {
-	for m.head == 0 {
-		if whole, err := m.readHead(in, true); !whole || err != nil {
+	for m.headSize == 0 {
+		if complete, err := m.readHead(in, true); !complete || err != nil {
 			return false, err
 		}
 		switch n := m.Status; {
 		case n == 101:
-			return false, fault(502, "switching protocols was not asked for")
+			return false, newProtocolError(502, "switching protocols was not asked for")
 		case n < 200:
-			m.begun, m.fields = false, m.fields[:0]
+			m.started, m.fields = false, m.fields[:0]
 			continue
 		case n == 204 || n == 304:
-			m.length, m.chunked = 0, false
-		case m.length < 0 && !m.chunked:
+			m.bodyLength, m.chunked = 0, false
+		case m.bodyLength < 0 && !m.chunked:
 			m.KeepAlive = false
 		}
-		m.head, m.raw = m.at, m.at
+		m.headSize, m.size = m.lineStart, m.lineStart
 	}
 	return true, nil
 }
 
-// readHead judges the head's lines as they come, also the one that is not whole yet: what can't become a head any more
-// is a Fault at once, since nothing may follow. It tells whether the empty line has come.
-func (m *Message) readHead(in []byte, answer bool) (bool, error) {
+// readHead parses the lines of a head and reports whether the empty line after it has arrived. An incomplete line is checked
+// too: bytes that can't become a valid head are a ProtocolError at once, since the sender may send nothing more.
+func (m *Message) readHead(in []byte, response bool) (bool, error) {
 	for {
-		from := max(m.at, m.judged)
-		n := bytes.IndexByte(in[from:], '\n')
-		end := from + n + 1
-		if n < 0 {
+		from := max(m.lineStart, m.scanned)
+		lineFeed := bytes.IndexByte(in[from:], '\n')
+		end := from + lineFeed + 1
+		if lineFeed < 0 {
 			end = len(in)
 		}
-		if end > MaxHeadBytes || n < 0 && end == MaxHeadBytes {
-			return false, fault(431, "the head is too large")
+		if end > MaxHeadBytes || lineFeed < 0 && end == MaxHeadBytes {
+			return false, newProtocolError(431, "the head is too large")
 		}
-		text := in[m.at:end]
-		if n < 0 {
-			m.judged = max(m.at, end-1) // the last byte is looked at again: a line feed may follow it
-			return false, m.begins(bytes.TrimSuffix(text, []byte("\r")), from-m.at, answer)
+		text := in[m.lineStart:end]
+		if lineFeed < 0 {
+			m.scanned = max(m.lineStart, end-1) // the last byte is checked again: it may be a CR that a line feed follows
+			return false, m.checkLineStart(bytes.TrimSuffix(text, []byte("\r")), from-m.lineStart, response)
 		}
 		if !bytes.HasSuffix(text, []byte("\r\n")) {
-			return false, fault(400, "a line feed alone")
+			return false, newProtocolError(400, "a line feed alone")
 		}
 		text = text[:len(text)-2]
-		if err := m.begins(text, min(from-m.at, len(text)), answer); err != nil {
+		if err := m.checkLineStart(text, min(from-m.lineStart, len(text)), response); err != nil {
 			return false, err
 		}
-		at := m.at
-		m.at, m.judged = end, end
+		lineStart := m.lineStart
+		m.lineStart, m.scanned = end, end
 		var err error
 		switch {
-		case !m.begun && answer:
-			err = m.firstOfAnswer(text)
-		case !m.begun:
-			err = m.firstOfCommand(text, at)
+		case !m.started && response:
+			err = m.parseStatusLine(text)
+		case !m.started:
+			err = m.parseRequestLine(text, lineStart)
 		case len(text) > 0:
-			err = m.readField(text, at, answer)
+			err = m.parseField(text, lineStart, response)
 		default:
-			return true, m.framing()
+			return true, m.checkFraming()
 		}
 		if err != nil {
 			return false, err
 		}
-		m.begun = true
+		m.started = true
 	}
 }
 
-// begins tells what is wrong with a line so far, whose bytes before fresh were looked at before.
-func (m *Message) begins(text []byte, fresh int, answer bool) error {
-	const known = "HTTP/1."
-	mark := byte(':')
+// checkLineStart reports what is wrong with a line that may be incomplete. Its first checked bytes were checked before.
+func (m *Message) checkLineStart(text []byte, checked int, response bool) error {
+	const prefix = "HTTP/1."
+	delimiter := byte(':')
 	switch {
-	case !m.begun && answer:
-		if n := min(len(text), len(known)); string(text[:n]) != known[:n] {
-			return fault(502, "malformed first line")
+	case !m.started && response:
+		if n := min(len(text), len(prefix)); string(text[:n]) != prefix[:n] {
+			return newProtocolError(502, "malformed first line")
 		}
-		mark = 0
-	case !m.begun:
-		mark = ' '
-	case isReport(text):
-		return nil // what a backend tells of itself must not spoil its answer, and does not go on
+		delimiter = 0
+	case !m.started:
+		delimiter = ' '
+	case isLoadReport(text):
+		return nil // a malformed load report must not invalidate the response; the field is not forwarded
 	}
-	for _, b := range text[fresh:] {
+	for _, b := range text[checked:] {
 		if b < ' ' && b != '\t' || b == 0x7f {
-			return fault(400, "control bytes in the head")
+			return newProtocolError(400, "control bytes in the head")
 		}
 	}
-	if name, _, _ := bytes.Cut(text[:min(len(text), nameMost)], []byte{mark}); mark != 0 && len(name) > 0 && !token(name) {
-		return fault(400, "malformed line")
+	if name, _, _ := bytes.Cut(text[:min(len(text), maxUnfinishedNameBytes)], []byte{delimiter}); delimiter != 0 &&
+		len(name) > 0 && !isToken(name) {
+		return newProtocolError(400, "malformed line")
 	}
 	return nil
 }
 
-// isReport tells a line with a backend's load report.
-func isReport(text []byte) bool {
-	return len(text) > len(LoadReportField) && is(text[:len(LoadReportField)], LoadReportField) && text[len(LoadReportField)] == ':'
+// isLoadReport reports whether a line is a backend's load report.
+func isLoadReport(text []byte) bool {
+	return len(text) > len(LoadReportField) && equalFold(text[:len(LoadReportField)], LoadReportField) &&
+		text[len(LoadReportField)] == ':'
 }
 
-func (m *Message) firstOfCommand(text []byte, at int) error {
-	one, two := bytes.IndexByte(text, ' '), bytes.LastIndexByte(text, ' ')
-	if one <= 0 || two == one {
-		return fault(400, "malformed first line")
+// parseRequestLine parses the first line of a command, which starts at the given offset.
+func (m *Message) parseRequestLine(text []byte, lineStart int) error {
+	first, last := bytes.IndexByte(text, ' '), bytes.LastIndexByte(text, ' ')
+	if first <= 0 || last == first {
+		return newProtocolError(400, "malformed first line")
 	}
-	for _, b := range text[one+1 : two] {
+	for _, b := range text[first+1 : last] {
 		if b <= ' ' || b >= 0x7f {
-			return fault(400, "malformed target")
+			return newProtocolError(400, "malformed target")
 		}
 	}
-	m.method, m.target = span{at, at + one}, span{at + one + 1, at + two}
-	if scheme := "http://"; two-one > len(scheme) && strings.EqualFold(string(text[one+1:one+1+len(scheme)]), scheme) {
-		// The absolute form must be understood; what goes on is the path.
-		slash := bytes.IndexByte(text[one+1+len(scheme):two], '/')
+	m.method, m.target = span{lineStart, lineStart + first}, span{lineStart + first + 1, lineStart + last}
+	if scheme := "http://"; last-first > len(scheme) && strings.EqualFold(string(text[first+1:first+1+len(scheme)]), scheme) {
+		// A server must accept the absolute form (RFC 9112, 3.2.2); only the path is forwarded.
+		slash := bytes.IndexByte(text[first+1+len(scheme):last], '/')
 		if slash <= 0 {
-			return fault(400, "malformed target")
+			return newProtocolError(400, "malformed target")
 		}
 		m.target.from += len(scheme) + slash
 	}
-	return m.version(text[two+1:])
+	return m.parseVersion(text[last+1:])
 }
 
-func (m *Message) firstOfAnswer(text []byte) error {
+// parseStatusLine parses the first line of a response.
+func (m *Message) parseStatusLine(text []byte) error {
 	code, _, _ := bytes.Cut(text[min(len(text), 9):], []byte(" "))
 	if len(text) < 12 || text[8] != ' ' || len(code) != 3 {
-		return fault(502, "malformed first line")
+		return newProtocolError(502, "malformed first line")
 	}
-	n, ok := number(code, 10)
+	n, ok := parseNumber(code, 10)
 	if !ok || n < 100 {
-		return fault(502, "malformed status")
+		return newProtocolError(502, "malformed status")
 	}
 	m.Status = n
-	return m.version(text[:8])
+	return m.parseVersion(text[:8])
 }
 
-func (m *Message) version(text []byte) error {
-	m.old = string(text) == "HTTP/1.0"
-	m.length, m.chunked, m.KeepAlive = -1, false, !m.old
+// parseVersion parses the HTTP version and sets what it implies for body and connection.
+func (m *Message) parseVersion(text []byte) error {
+	m.http10 = string(text) == "HTTP/1.0"
+	m.bodyLength, m.chunked, m.KeepAlive = -1, false, !m.http10
 	switch {
-	case m.old || string(text) == "HTTP/1.1":
+	case m.http10 || string(text) == "HTTP/1.1":
 		return nil
 	case bytes.HasPrefix(text, []byte("HTTP/")):
-		return fault(505, "the HTTP version is not supported")
+		return newProtocolError(505, "the HTTP version is not supported")
 	}
-	return fault(400, "malformed first line")
+	return newProtocolError(400, "malformed first line")
 }
 
-// readField reads a field's line, and what it says of body and connection.
-func (m *Message) readField(text []byte, at int, answer bool) error {
+// parseField parses a field line, which starts at the given offset, and applies the fields on framing and connection.
+func (m *Message) parseField(text []byte, lineStart int, response bool) error {
 	colon := bytes.IndexByte(text, ':')
-	if colon <= 0 || !token(text[:colon]) {
-		return fault(400, "malformed field")
+	if colon <= 0 || !isToken(text[:colon]) {
+		return newProtocolError(400, "malformed field")
 	}
 	value := bytes.Trim(text[colon+1:], " \t")
-	from := at + colon + 1 + len(text[colon+1:]) - len(bytes.TrimLeft(text[colon+1:], " \t"))
-	m.fields = append(m.fields, field{span{at, at + colon}, span{from, from + len(value)}})
+	from := lineStart + colon + 1 + len(text[colon+1:]) - len(bytes.TrimLeft(text[colon+1:], " \t"))
+	m.fields = append(m.fields, field{span{lineStart, lineStart + colon}, span{from, from + len(value)}})
 	switch name := text[:colon]; {
-	case is(name, "Content-Length"):
-		n, ok := number(value, 10)
-		if !ok || m.length >= 0 && (!answer || n != m.length) {
-			return fault(400, "malformed or repeated Content-Length") // an answer's may be said twice alike
+	case equalFold(name, "Content-Length"):
+		n, ok := parseNumber(value, 10)
+		if !ok || m.bodyLength >= 0 && (!response || n != m.bodyLength) {
+			return newProtocolError(400, "malformed or repeated Content-Length") // a response may repeat the same length
 		}
-		m.length = n
-	case is(name, "Transfer-Encoding"):
-		if m.chunked || m.old || !is(value, "chunked") {
-			return fault(501, "only one transfer coding, chunked, is known")
+		m.bodyLength = n
+	case equalFold(name, "Transfer-Encoding"):
+		if m.chunked || m.http10 || !equalFold(value, "chunked") {
+			return newProtocolError(501, "only one transfer coding, chunked, is known")
 		}
 		m.chunked = true
-	case is(name, "Connection"):
-		if lists(string(value), "close") {
+	case equalFold(name, "Connection"):
+		if listContains(string(value), "close") {
 			m.KeepAlive = false
-		} else if m.old && lists(string(value), "keep-alive") {
+		} else if m.http10 && listContains(string(value), "keep-alive") {
 			m.KeepAlive = true
 		}
 	}
 	return nil
 }
 
-// framing judges what the whole head says of the body.
-func (m *Message) framing() error {
-	if m.chunked && m.length >= 0 {
-		return fault(400, "both Content-Length and Transfer-Encoding")
+// checkFraming checks what the complete head says about the body.
+func (m *Message) checkFraming() error {
+	if m.chunked && m.bodyLength >= 0 {
+		return newProtocolError(400, "both Content-Length and Transfer-Encoding")
 	}
-	if m.length > MaxBodyBytes {
-		return fault(413, "the body is too large")
+	if m.bodyLength > MaxBodyBytes {
+		return newProtocolError(413, "the body is too large")
 	}
 	return nil
 }
 
-// Count is how many fields have that name.
+// CountFields returns how many fields have that name.
 func (m *Message) CountFields(in []byte, name string) (n int) {
 	for _, f := range m.fields {
-		if is(f.name.of(in), name) {
+		if equalFold(f.name.slice(in), name) {
 			n++
 		}
 	}
 	return n
 }
 
-// Named tells whether a Connection field says that the named one concerns this connection alone.
+// IsConnectionOption reports whether a Connection field lists the named field as one that concerns only this connection.
 func (m *Message) IsConnectionOption(in []byte, name string) bool {
 	for _, f := range m.fields {
-		if is(f.name.of(in), "Connection") && lists(string(f.value.of(in)), name) {
+		if equalFold(f.name.slice(in), "Connection") && listContains(string(f.value.slice(in)), name) {
 			return true
 		}
 	}
 	return false
 }
 
-// readBody tells whether the body is whole. Chunks are moved together in place.
+// readBody reads the body and reports whether it is complete. The data of chunks is joined in place.
 func (m *Message) readBody(in []byte, ended bool) (bool, error) {
 	switch {
 	case m.chunked:
 		for {
-			data, used, done, err := m.chunks.Next(in[m.raw:])
+			data, used, done, err := m.chunks.Next(in[m.size:])
 			if err != nil {
 				return false, err
 			}
-			m.body += copy(in[m.head+m.body:], data)
-			m.raw += used
-			if m.body > MaxBodyBytes {
-				return false, fault(413, "the body is too large")
+			m.decoded += copy(in[m.headSize+m.decoded:], data)
+			m.size += used
+			if m.decoded > MaxBodyBytes {
+				return false, newProtocolError(413, "the body is too large")
 			}
 			if done || used == 0 {
 				return done, nil
 			}
 		}
-	case m.length < 0:
-		m.raw, m.body = len(in), len(in)-m.head
-		if m.body > MaxBodyBytes {
-			return false, fault(413, "the body is too large")
+	case m.bodyLength < 0:
+		m.size, m.decoded = len(in), len(in)-m.headSize
+		if m.decoded > MaxBodyBytes {
+			return false, newProtocolError(413, "the body is too large")
 		}
 		return ended, nil
 	}
-	m.body = min(m.length, len(in)-m.head)
-	m.raw = m.head + m.body
-	return m.body == m.length, nil
+	m.decoded = min(m.bodyLength, len(in)-m.headSize)
+	m.size = m.headSize + m.decoded
+	return m.decoded == m.bodyLength, nil
 }
 
-func token(text []byte) bool {
+// isToken reports whether the text is a token of RFC 9110.
+func isToken(text []byte) bool {
 	for _, b := range text {
 		switch {
 		case b >= '0' && b <= '9', b >= 'a' && b <= 'z', b >= 'A' && b <= 'Z':
@@ -446,8 +468,8 @@
 	return len(text) > 0
 }
 
-// number reads digits alone: no sign, no blanks, nothing that overflows.
-func number(text []byte, base int) (n int, ok bool) {
+// parseNumber parses digits only: no sign, no blanks, and no number over 1<<40.
+func parseNumber(text []byte, base int) (n int, ok bool) {
 	for _, b := range text {
 		var d int
 		switch {
