--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,46 +1,57 @@
-// Package shutdown plans a proxy's planned end: until when connections come, until when clients may rest on open ones, by
-// when the last answer is out, and when the process may stop.
+// Package shutdown computes the schedule of a proxy's graceful shutdown: when to stop accepting connections, when to close
+// idle ones, by when the last response must be sent, and when the process may stop.
 //
-// It is free of I/O and of a clock of its own. All times are in seconds after the end was asked for. It must never let a
-// step come later because it was told more: a kill that was announced does not wait.
+// It does no I/O and reads no clock. All times are in seconds after the shutdown was requested. Further information may only
+// move a step forward, never delay it: an announced kill does not wait.
 package shutdown
 
 const (
-	door       = 0.6  // seconds in which connections still come: 0.4, and some to spare
-	least      = 0.45 // seconds in which open connections go on at least, for the same reason
-	resting    = 1.4  // seconds in which they go on at most: the other proxies may be away as well
-	restPart   = 0.6  // of the time until the end, the same: who comes last still has the rest of it for the answer
-	killAfter  = 0.7  // seconds after the longest time limit at which the kill may follow
-	killMost   = 3.7  // seconds after which it may follow whatever the limits
-	killMargin = 0.3  // seconds before the kill by which the last answer is out
-	lastWords  = 0.2  // seconds after that from which what is not even whole is declined, and the process may stop
-	lastMargin = 0.05 // seconds before the kill by which that is done
-	newcomer   = 0.3  // seconds that a new connection has to say something: it is opened to do so
+	acceptSeconds        = 0.6  // new connections arrive for 0.4 s; the rest is a margin
+	minIdleSeconds       = 0.45 // open connections stay at least this long, for the same reason
+	maxIdleSeconds       = 1.4  // and at most this long: the other proxies may be unavailable as well
+	idleFraction         = 0.6  // and at most this part of the time until AnswerOpen, so that the last response has the rest
+	killDelaySeconds     = 0.7  // time after the longest time limit at which the kill may follow
+	maxKillSeconds       = 3.7  // time after which the kill may follow whatever the time limits
+	answerMarginSeconds  = 0.3  // time before the kill by which the last response must be sent
+	declineDelaySeconds  = 0.2  // time after that from which incomplete requests are declined and the process may stop
+	declineMarginSeconds = 0.05 // time before the kill by which that must be done
+	firstRequestSeconds  = 0.3  // time a new connection has for its first request, for which it was opened
 )
 
-// Plan is how a proxy ends. Make it with For.
+// Plan is the schedule of a graceful shutdown. Create it with NewPlan.
 type Plan struct {
-	StopAccepting     float64 // the listener closes
-	CloseIdle         float64 // from here on answers end their connection, and those that rest are closed
-	AnswerOpen        float64 // what is open gets its answer now; what is read later is declined at once
-	DeclineIncomplete float64 // what is still being sent is declined; the process may stop once all answers are with the kernel
+	StopAccepting     float64 // the listener is closed
+	CloseIdle         float64 // from here on responses end their connection, and idle connections are closed
+	AnswerOpen        float64 // open requests are answered now; requests read later are declined at once
+	DeclineIncomplete float64 // requests still being sent are declined; the process may stop once the kernel has all responses
 }
 
-// For plans by the longest time limit of the verbs, in seconds. The kill may follow as soon as the longest command that had
-// come by SIGTERM has had its time, so where verbs are short it comes early, and connections rest for less.
-func NewPlan(limit float64) Plan {
-	kill := min(killMost, limit+killAfter)
-	end := max(least, kill-killMargin)
-	return Plan{StopAccepting: min(door, end), CloseIdle: min(resting, max(least, restPart*end)), AnswerOpen: end, DeclineIncomplete: min(end+lastWords, kill-lastMargin)}
+// NewPlan computes the schedule from the longest time limit of the verbs, in seconds. The kill may follow as soon as the time
+// limit of the last command received before SIGTERM has passed. With short time limits it comes early, and idle connections
+// are closed sooner.
+func NewPlan(maxTimeLimit float64) Plan {
+	kill := min(maxKillSeconds, maxTimeLimit+killDelaySeconds)
+	answerOpen := max(minIdleSeconds, kill-answerMarginSeconds)
+	return Plan{
+		StopAccepting:     min(acceptSeconds, answerOpen),
+		CloseIdle:         min(maxIdleSeconds, max(minIdleSeconds, idleFraction*answerOpen)),
+		AnswerOpen:        answerOpen,
+		DeclineIncomplete: min(answerOpen+declineDelaySeconds, kill-declineMarginSeconds),
+	}
 }
 
-// Sooner is the plan in which each step comes as early as in either.
+// Earliest returns the plan in which each step comes at the earlier of its two times.
 func (p Plan) Earliest(q Plan) Plan {
-	return Plan{StopAccepting: min(p.StopAccepting, q.StopAccepting), CloseIdle: min(p.CloseIdle, q.CloseIdle), AnswerOpen: min(p.AnswerOpen, q.AnswerOpen), DeclineIncomplete: min(p.DeclineIncomplete, q.DeclineIncomplete)}
+	return Plan{
+		StopAccepting:     min(p.StopAccepting, q.StopAccepting),
+		CloseIdle:         min(p.CloseIdle, q.CloseIdle),
+		AnswerOpen:        min(p.AnswerOpen, q.AnswerOpen),
+		DeclineIncomplete: min(p.DeclineIncomplete, q.DeclineIncomplete),
+	}
 }
 
-// MayClose tells whether a connection with nothing under way may be closed, t after the end was asked for: not before
-// Leave, and one on which nothing has come yet only after it had time to say something.
-func (p Plan) MayClose(t float64, new bool, age float64) bool {
-	return t >= p.CloseIdle && (!new || age >= newcomer || t >= p.DeclineIncomplete)
+// MayClose reports whether a connection without a request may be closed, the given time after the shutdown was requested: not
+// before CloseIdle, and a connection that has not sent anything yet (isNew) only once it is old enough to have sent a request.
+func (p Plan) MayClose(elapsed float64, isNew bool, age float64) bool {
+	return elapsed >= p.CloseIdle && (!isNew || age >= firstRequestSeconds || elapsed >= p.DeclineIncomplete)
 }
