--- a/internal/logbuffer/logbuffer.go
+++ b/internal/logbuffer/logbuffer.go
@@ -1,8 +1,8 @@
-// Package logbuffer keeps a log's writing apart from those who log.
+// Package logbuffer provides an asynchronous log writer.
 //
-// Lines wait in a bounded buffer and are written by a goroutine of its own, so that whoever logs never waits for whoever
-// reads. Lines for which there is no room, or whose writing failed, are lost, counted, and told of in a line once writing
-// works again.
+// Lines are queued in a bounded buffer and written by a goroutine, so that logging never blocks on a slow reader of the log.
+// Lines that do not fit into the buffer, or whose write failed, are dropped and counted. The next successful write begins with
+// a line that reports their number.
 package logbuffer
 
 import (
@@ -12,82 +12,84 @@
 	"time"
 )
 
-const waitingMost = 256 << 10 // bytes of lines that may wait: some thousands
+const maxPendingBytes = 256 << 10 // some thousands of lines
 
-// Writer takes lines without waiting. Make it with New; its methods may be called from any goroutine.
+// Writer queues lines without blocking. Create it with New. Its methods are safe for concurrent use.
 type Writer struct {
-	to      io.Writer
-	mu      sync.Mutex
-	changed sync.Cond
-	waiting []byte
-	lines   int // in waiting
-	lost    int // since the last line that told so
-	closed  bool
-	done    chan struct{}
+	out          io.Writer
+	mu           sync.Mutex
+	changed      sync.Cond // pending or closed has changed
+	pending      []byte
+	pendingLines int // number of lines in pending
+	lostLines    int // lines dropped since the last report
+	closed       bool
+	done         chan struct{}
 }
 
-// New makes a Writer that writes to another, and starts its goroutine, which ends with Close.
-func New(to io.Writer) *Writer {
-	w := &Writer{to: to, done: make(chan struct{})}
+// New returns a Writer that writes to out, and starts its goroutine, which ends after Close.
+func New(out io.Writer) *Writer {
+	w := &Writer{out: out, done: make(chan struct{})}
 	w.changed.L = &w.mu
 	go w.run()
 	return w
 }
 
-// Write takes one line, or counts it as lost; it never fails.
+// Write queues one line, or counts it as lost. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.waiting)+len(line) > waitingMost || w.closed {
-		w.lost++
+	if len(w.pending)+len(line) > maxPendingBytes || w.closed {
+		w.lostLines++
 		return len(line), nil
 	}
-	w.waiting = append(w.waiting, line...)
-	w.lines++
+	w.pending = append(w.pending, line...)
+	w.pendingLines++
 	w.changed.Broadcast()
 	return len(line), nil
 }
 
-// Close has what waits written, for so long at most, and takes nothing more.
-func (w *Writer) Close(within time.Duration) {
+// Close stops accepting lines and waits, for at most the timeout, until the pending ones are written.
+func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
 	w.changed.Broadcast()
 	w.mu.Unlock()
 	select {
 	case <-w.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
 
-// next waits for lines and takes them, with a line before them that tells of lost ones.
-func (w *Writer) next(into []byte) (text []byte, lines int) {
+// takePending waits for lines and takes them, after a line that reports lost ones. It returns no lines once the Writer is
+// closed.
+func (w *Writer) takePending(buffer []byte) (text []byte, lines int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for w.lines == 0 && !w.closed {
+	for w.pendingLines == 0 && !w.closed {
 		w.changed.Wait()
 	}
-	text = into[:0]
-	if w.lost > 0 && w.lines > 0 {
-		text = fmt.Appendf(text, "msg=log_lines_lost lines=%d\n", w.lost)
-		w.lost = 0
+	text = buffer[:0]
+	if w.lostLines > 0 && w.pendingLines > 0 {
+		text = fmt.Appendf(text, "msg=log_lines_lost lines=%d\n", w.lostLines)
+		w.lostLines = 0
 	}
-	text, lines = append(text, w.waiting...), w.lines
-	w.waiting, w.lines = w.waiting[:0], 0
+	text, lines = append(text, w.pending...), w.pendingLines
+	w.pending, w.pendingLines = w.pending[:0], 0
 	return text, lines
 }
 
+// run writes pending lines until the Writer is closed.
 func (w *Writer) run() {
 	defer close(w.done)
 	var text []byte
 	for {
 		var lines int
-		if text, lines = w.next(text); lines == 0 {
+		if text, lines = w.takePending(text); lines == 0 {
 			return
 		}
-		if _, err := w.to.Write(text); err != nil {
+		if _, err := w.out.Write(text); err != nil {
 			w.mu.Lock()
-			w.lost += lines
+			w.lostLines += lines
 			w.mu.Unlock()
 		}
 	}
--- a/internal/logbuffer/logbuffer_test.go
+++ b/internal/logbuffer/logbuffer_test.go
@@ -9,55 +9,56 @@
 	"time"
 )
 
-// gate is a reader of the log that lets each writing wait, and has it fail where told so.
-type gate struct {
-	begun chan bool
-	pass  chan error
-	text  bytes.Buffer
+// blockingWriter is a destination whose writes block until the test releases them, with an error or without.
+type blockingWriter struct {
+	started chan bool
+	release chan error
+	text    bytes.Buffer
 }
 
-func (g *gate) Write(text []byte) (int, error) {
-	g.begun <- true
-	if err := <-g.pass; err != nil {
+func (w *blockingWriter) Write(text []byte) (int, error) {
+	w.started <- true
+	if err := <-w.release; err != nil {
 		return 0, err
 	}
-	return g.text.Write(text)
+	return w.text.Write(text)
 }
 
-func TestLinesForWhichThereIsNoRoomAreCounted(t *testing.T) {
-	g := &gate{begun: make(chan bool), pass: make(chan error)}
-	w := New(g)
+func TestLinesOverTheLimitAreCounted(t *testing.T) {
+	out := &blockingWriter{started: make(chan bool), release: make(chan error)}
+	w := New(out)
 	fmt.Fprintln(w, "first")
-	<-g.begun // and stands
+	<-out.started // and blocks
 	line := strings.Repeat("x", 1023)
-	for range waitingMost/1024 + 7 {
+	for range maxPendingBytes/1024 + 7 {
 		fmt.Fprintln(w, line)
 	}
-	g.pass <- nil
-	<-g.begun
-	g.pass <- nil
+	out.release <- nil
+	<-out.started
+	out.release <- nil
 	fmt.Fprintln(w, "last")
-	<-g.begun
-	g.pass <- nil
+	<-out.started
+	out.release <- nil
 	w.Close(time.Second)
-	text := g.text.String()
-	if n := strings.Count(text, line); n != waitingMost/1024 || !strings.HasPrefix(text, "first\n") || !strings.HasSuffix(text, "last\n") {
-		t.Errorf("%d lines of %d", n, waitingMost/1024)
+	text := out.text.String()
+	if n := strings.Count(text, line); n != maxPendingBytes/1024 ||
+		!strings.HasPrefix(text, "first\n") || !strings.HasSuffix(text, "last\n") {
+		t.Errorf("%d lines written, want %d", n, maxPendingBytes/1024)
 	}
 	if strings.Count(text, "msg=log_lines_lost lines=7\n") != 1 {
-		t.Error("the lost ones are not told")
+		t.Error("the lost lines are not reported")
 	}
 }
 
-func TestLinesWhoseWritingFailsAreCounted(t *testing.T) {
-	g := &gate{begun: make(chan bool), pass: make(chan error)}
-	w := New(g)
+func TestLinesWhoseWriteFailsAreCounted(t *testing.T) {
+	out := &blockingWriter{started: make(chan bool), release: make(chan error)}
+	w := New(out)
 	fmt.Fprintln(w, "first")
-	<-g.begun
-	g.pass <- errors.New("the reader has gone")
+	<-out.started
+	out.release <- errors.New("the reader has closed")
 	for {
 		w.mu.Lock()
-		counted := w.lost == 1
+		counted := w.lostLines == 1
 		w.mu.Unlock()
 		if counted {
 			break
@@ -65,22 +66,22 @@
 		time.Sleep(time.Millisecond)
 	}
 	fmt.Fprintln(w, "last")
-	<-g.begun
-	g.pass <- nil
+	<-out.started
+	out.release <- nil
 	w.Close(time.Second)
-	if text := g.text.String(); text != "msg=log_lines_lost lines=1\nlast\n" {
-		t.Errorf("%q", text)
+	if text := out.text.String(); text != "msg=log_lines_lost lines=1\nlast\n" {
+		t.Errorf("wrote %q", text)
 	}
 }
 
-func TestCloseWaitsNoLongerThanTold(t *testing.T) {
-	g := &gate{begun: make(chan bool, 9), pass: make(chan error)}
-	w := New(g)
-	fmt.Fprintln(w, "stands")
-	began := time.Now()
+func TestCloseTimesOut(t *testing.T) {
+	out := &blockingWriter{started: make(chan bool, 9), release: make(chan error)}
+	w := New(out)
+	fmt.Fprintln(w, "blocked")
+	start := time.Now()
 	w.Close(10 * time.Millisecond)
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("%v", took)
+	if took := time.Since(start); took > 5*time.Second {
+		t.Errorf("Close with a timeout of 10 ms took %v", took)
 	}
-	g.pass <- nil
+	out.release <- nil
 }
