--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,4 +1,5 @@
-// Package boottime tells a time that processes of one machine share and that no setting of the wall clock moves.
+// Package boottime reads the time since boot, which all processes of a machine share and which is independent of the wall
+// clock.
 package boottime
 
 import (
@@ -10,13 +11,13 @@
 
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// Mark is a moment of one run of a machine's kernel. The zero value is a moment of no known run.
+// Time is a point in time, measured from a machine's boot. The zero value is an unknown time.
 type Time struct {
-	BootID  string  `json:"boot,omitempty"`    // the run's own id
-	Seconds float64 `json:"seconds,omitempty"` // since it began, time asleep counted
+	BootID  string  `json:"boot,omitempty"`    // the kernel's id of this boot
+	Seconds float64 `json:"seconds,omitempty"` // since the boot, including time suspended
 }
 
-// Now is the present moment, the zero value where the kernel does not tell.
+// Now returns the current time, the zero value if the kernel does not provide it.
 func Now() Time {
 	id, err := os.ReadFile(bootIDPath)
 	if err != nil {
@@ -29,11 +30,11 @@
 	return Time{BootID: strings.TrimSpace(string(id)), Seconds: float64(t.Sec) + float64(t.Nsec)/1e9}
 }
 
-// Since tells how many seconds later than another moment this one is, and whether that is known: it is not across a start of
-// the machine.
-func (m Time) Since(before Time) (seconds float64, known bool) {
-	if m.BootID == "" || m.BootID != before.BootID || m.Seconds < before.Seconds {
+// Since returns how many seconds t is after another time, and whether that is known. It is not known if the machine was
+// rebooted in between.
+func (t Time) Since(before Time) (seconds float64, known bool) {
+	if t.BootID == "" || t.BootID != before.BootID || t.Seconds < before.Seconds {
 		return 0, false
 	}
-	return m.Seconds - before.Seconds, true
+	return t.Seconds - before.Seconds, true
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -10,10 +10,10 @@
 	}
 	for _, before := range []Time{{}, {BootID: "another", Seconds: 1}, {BootID: later.BootID, Seconds: later.Seconds + 1}} {
 		if _, known := later.Since(before); known {
-			t.Errorf("%v is known to be after %v", later, before)
+			t.Errorf("the time of %v since %v is reported as known", later, before)
 		}
 	}
 	if _, known := (Time{}).Since(Time{}); known {
-		t.Error("two moments of no known run")
+		t.Error("the time between two unknown times is reported as known")
 	}
 }
