--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -1,63 +1,66 @@
-// Package liveness says when a watch that should speak counts as dead, and after what wait it is opened again.
+// Package liveness decides when a watch, a long-lived streaming response, counts as dead, and after what backoff it is opened
+// again.
 //
-// It is free of I/O and of a clock of its own; all times are in seconds. It must never take anything but a whole line for a
-// sign of life, nor let what was missed go beyond the time after which it counts as received.
+// It does no I/O and reads no clock; all times are in seconds. Only a complete line proves that a watch is alive. A lost watch
+// must be recovered within the time after which the updates missed count as received.
 package liveness
 
 const (
-	// What is missed counts as received 6 s after the watch fell silent, or discovery could be reached again: silence, a wait and
-	// one opening that hangs must fit in, and so must an opening that hangs, the longest wait and another.
-	heartbeat  = 2.0 // seconds between empty lines while nothing changes
-	silence    = 3.0 // seconds without a whole line after which the watch is dead: a heartbeat and a half
-	opensIn    = 2.0 // seconds in which it must be up and its head there: connections may come up 1.5 s late
-	againFirst = 0.1 // seconds before a lost watch is opened again, doubling, with jitter
-	againLast  = 1.3 // seconds, longest such wait: one call a second, and see above
+	// Missed updates count as received 6 s after the watch fell silent or discovery became reachable again. These must fit in:
+	// the silence timeout, a backoff and one attempt that hangs; and an attempt that hangs, the longest backoff and another
+	// attempt.
+	heartbeatSeconds   = 2.0 // interval of the empty lines sent while nothing changes
+	silenceSeconds     = 3.0 // time without a complete line after which the watch is dead: one and a half heartbeats
+	openTimeoutSeconds = 2.0 // time limit for the connection and the response head; connections may take 1.5 s
+	minBackoffSeconds  = 0.1 // first wait before a lost watch is reopened; it doubles, with jitter
+	maxBackoffSeconds  = 1.3 // longest such wait: about one attempt a second, within the 6 s above
 )
 
-// Watch is one watch, over all its openings. The zero value is ready for the first.
+// Watch tracks one watch across its successive connections. The zero value is ready for use.
 type Watch struct {
-	Received bool // a line was had since the start
-	Lost     bool // and none since the last loss
-	why      string
-	wait     float64
-	lineAt   float64 // when this opening's first line came, 0 before
-	deadAt   float64
+	Received    bool // a line was received since the start
+	Lost        bool // no line was received since the last loss
+	lossReason  string
+	backoff     float64
+	firstLineAt float64 // when the first line of this connection was received, 0 before
+	deadAt      float64
 }
 
-// Opened says that an opening was begun.
-func (w *Watch) ConnectStarted(now float64) { w.lineAt, w.deadAt = 0, now+opensIn }
+// ConnectStarted notes that an attempt to open the watch began.
+func (w *Watch) ConnectStarted(now float64) { w.firstLineAt, w.deadAt = 0, now+openTimeoutSeconds }
 
-// Head says that the answer's head has come.
-func (w *Watch) HeadReceived(now float64) { w.deadAt = now + silence }
+// HeadReceived notes that the response's head was received.
+func (w *Watch) HeadReceived(now float64) { w.deadAt = now + silenceSeconds }
 
-// Line says that a whole line has come, and tells whether it ends a loss.
-func (w *Watch) LineReceived(now float64) (back bool) {
-	if w.lineAt == 0 {
-		w.lineAt = now
+// LineReceived notes that a complete line was received, and reports whether it ends a loss.
+func (w *Watch) LineReceived(now float64) (recovered bool) {
+	if w.firstLineAt == 0 {
+		w.firstLineAt = now
 	}
-	back = w.Lost
-	w.Received, w.Lost, w.deadAt = true, false, now+silence
-	return back
+	recovered = w.Lost
+	w.Received, w.Lost, w.deadAt = true, false, now+silenceSeconds
+	return recovered
 }
 
-// DeadAt is from when on it counts as dead, if nothing comes.
+// DeadAt returns from when on the watch counts as dead if nothing more is received.
 func (w *Watch) DeadAt() float64 { return w.deadAt }
 
-// Dead tells whether nothing is to be hoped for any more.
+// IsDead reports whether the watch counts as dead.
 func (w *Watch) IsDead(now float64) bool { return now > w.deadAt }
 
-// Ended says why an opening ended, and tells after what wait the next is due, and whether that is news: not again and again
-// while discovery is away. Chance is from 0 to 1. The wait grows until an opening has lasted: an answer that ends at once is
-// no reason to ask ten times a second.
-func (w *Watch) ConnectionLost(now float64, why string, chance float64) (wait float64, news bool) {
-	if w.lineAt > 0 && now-w.lineAt >= heartbeat {
-		w.wait = 0
+// ConnectionLost notes why a connection of the watch ended. It returns after what wait the next attempt is due, and whether
+// the loss is new or its reason changed: while discovery stays unreachable, that is logged once. random is from 0 to 1 and
+// gives the jitter. The backoff is reset only after a connection that lasted a heartbeat: a server that ends each response at
+// once must not be asked ten times a second.
+func (w *Watch) ConnectionLost(now float64, reason string, random float64) (wait float64, changed bool) {
+	if w.firstLineAt > 0 && now-w.firstLineAt >= heartbeatSeconds {
+		w.backoff = 0
 	}
-	news = !w.Lost || why != w.why
-	w.Lost, w.why, w.lineAt = true, why, 0
-	w.wait = min(againLast, max(againFirst, 2*w.wait))
-	return w.wait * (0.5 + 0.5*chance), news
+	changed = !w.Lost || reason != w.lossReason
+	w.Lost, w.lossReason, w.firstLineAt = true, reason, 0
+	w.backoff = min(maxBackoffSeconds, max(minBackoffSeconds, 2*w.backoff))
+	return w.backoff * (0.5 + 0.5*random), changed
 }
 
-// Anew says that another discovery is asked from now on: how the one before fared says nothing of it.
-func (w *Watch) ResetBackoff() { w.wait = 0 }
+// ResetBackoff forgets the backoff when another discovery server is used from now on.
+func (w *Watch) ResetBackoff() { w.backoff = 0 }
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -2,66 +2,67 @@
 
 import "testing"
 
-// What a silent watch misses counts as told 6 s after it fell silent, and what an opening that hangs misses 6 s after
-// discovery could be reached: each way to have the list again must fit in, also with another opening that hangs.
-func TestFitsInSixSeconds(t *testing.T) {
-	const dial, told, look = 1.5, 6.0, 0.25 // the latest connection, the rule, and the time between a front's looks
-	if worst := silence + look + againFirst + dial; worst > told-1 {
-		t.Errorf("%v s from the last line of a watch that falls silent", worst)
+// Updates missed by a silent watch count as received 6 s after it fell silent, and those missed by an attempt that hangs 6 s
+// after discovery became reachable. Each way to recover must fit into that time, even with another attempt that hangs.
+func TestRecoveryFitsInSixSeconds(t *testing.T) {
+	// In seconds: the slowest connection, the 6 s rule, and the interval at which a front checks its watch.
+	const dial, counted, poll = 1.5, 6.0, 0.25
+	if worst := silenceSeconds + poll + minBackoffSeconds + dial; worst > counted-1 {
+		t.Errorf("recovery takes %v s from the last line of a watch that falls silent", worst)
 	}
-	if worst := silence + look + againFirst + opensIn + look + 2*againFirst; worst > told {
-		t.Errorf("%v s where the next opening hangs", worst)
+	if worst := silenceSeconds + poll + minBackoffSeconds + openTimeoutSeconds + poll + 2*minBackoffSeconds; worst > counted {
+		t.Errorf("recovery takes %v s if the next attempt hangs", worst)
 	}
-	if worst := opensIn + look + againLast + dial; worst > told {
-		t.Errorf("%v s from an opening that hangs until just after the return", worst)
+	if worst := openTimeoutSeconds + poll + maxBackoffSeconds + dial; worst > counted {
+		t.Errorf("recovery takes %v s from an attempt that hangs until just after discovery is reachable", worst)
 	}
-	if silence < 1.25*heartbeat || opensIn <= dial {
-		t.Error("what lives would be given up")
+	if silenceSeconds < 1.25*heartbeatSeconds || openTimeoutSeconds <= dial {
+		t.Error("a live watch would be given up")
 	}
 }
 
-func TestWaitsGrowUntilOneLasted(t *testing.T) {
+func TestBackoffGrowsUntilAConnectionLasts(t *testing.T) {
 	var w Watch
 	now := 100.0
 	for i, want := range []float64{0.1, 0.2, 0.4, 0.8, 1.3, 1.3} {
 		w.ConnectStarted(now)
 		if w.LineReceived(now + 0.01); w.Lost {
-			t.Error("still lost after a line")
+			t.Error("still lost after a line was received")
 		}
-		if wait, news := w.ConnectionLost(now+0.1, "the answer ended", 1); wait != want || !news {
-			t.Errorf("the %d. wait is %v, news %t", i+1, wait, news)
+		if wait, changed := w.ConnectionLost(now+0.1, "the response ended", 1); wait != want || !changed {
+			t.Errorf("wait number %d is %v, new %t", i+1, wait, changed)
 		}
 		now += 2
 	}
 	w.ConnectStarted(now)
 	w.LineReceived(now)
-	w.LineReceived(now + heartbeat)
-	if wait, _ := w.ConnectionLost(now+heartbeat, "silent", 0); wait != againFirst/2 {
-		t.Errorf("%v s after one that lasted", wait)
+	w.LineReceived(now + heartbeatSeconds)
+	if wait, _ := w.ConnectionLost(now+heartbeatSeconds, "silent", 0); wait != minBackoffSeconds/2 {
+		t.Errorf("wait of %v s after a connection that lasted", wait)
 	}
-	if _, news := w.ConnectionLost(now+3, "refused", 0); !news {
-		t.Error("another reason is news")
+	if _, changed := w.ConnectionLost(now+3, "refused", 0); !changed {
+		t.Error("a loss with another reason is not reported as new")
 	}
-	if _, news := w.ConnectionLost(now+4, "refused", 0); news {
-		t.Error("the same again is none")
+	if _, changed := w.ConnectionLost(now+4, "refused", 0); changed {
+		t.Error("a loss with the same reason is reported as new")
 	}
-	if back := w.LineReceived(now + 5); !back || w.Lost || !w.Received {
-		t.Error("back")
+	if recovered := w.LineReceived(now + 5); !recovered || w.Lost || !w.Received {
+		t.Error("a line after a loss does not end it")
 	}
 }
 
-func TestDead(t *testing.T) {
+func TestIsDead(t *testing.T) {
 	var w Watch
 	w.ConnectStarted(10)
 	if w.IsDead(11.9) || !w.IsDead(12.1) {
-		t.Error("an opening that hangs")
+		t.Error("an attempt that hangs is not dead after openTimeoutSeconds")
 	}
 	w.HeadReceived(11)
 	if w.IsDead(13.9) || !w.IsDead(14.1) {
-		t.Error("a head and no line")
+		t.Error("a head without a line is not dead after silenceSeconds")
 	}
 	w.LineReceived(13)
 	if w.IsDead(15.9) || !w.IsDead(16.1) {
-		t.Error("silence after a line")
+		t.Error("silence after a line is not dead after silenceSeconds")
 	}
 }
