--- a/internal/membership/arrivals.go
+++ b/internal/membership/arrivals.go
@@ -1,143 +1,146 @@
-// Package membership tells a proxy how many of its peers are still there, so that its part of what is common goes by who is
-// there and not by who should be.
+// Package membership estimates how many of a proxy's peers are alive, so that the proxy's share of common limits depends on
+// the peers that run and not on those that are configured.
 //
-// Arrivals goes by what comes to the proxy itself and needs no message; View goes by what peers send. Both are free of
-// I/O and of a clock of their own: they are told times in seconds, which never run backwards. Neither may decide what a
-// share is of, nor be believed beyond the bound that its page states. docs/recovery.md has the design and its source.
+// ArrivalEstimator uses the request rate of the proxy itself and needs no messages; PeerView uses the messages of peers. Both
+// do no I/O and read no clock: the caller passes times in seconds, which never run backwards. Neither knows what is shared.
+// docs/recovery.md has the design, its source and the bounds within which the estimates hold.
 package membership
 
 import "math"
 
 const (
-	step       = 0.25  // seconds between looks at the rate that is usual
-	usualSpan  = 20.0  // seconds over which that is counted
-	newUsual   = 60.0  // and while a surge lasts: one that stays for minutes is the usual rate
-	usualLeast = 20    // steps until it is known
-	nowSpan    = 0.5   // seconds over which the present rate is counted
-	roots      = 2.0   // of what came lately by which it may be more by chance
-	surge      = 2.5   // times the usual rate from which peers may be missing: the fleet bears less by its usual room, and a surge is seldom more
-	lateSpan   = 0.5   // seconds over which it is counted what is late just now
-	lateGain   = 0.002 // by which each answer moves the part that usually is
-	lateMore   = 0.1   // more of them than usually that are still in good time
-	halve      = 0.25  // seconds in which the part that is believed to live halves at most, and answers in two
-	answersIn  = 2.0   // answers' times in which it does: what was let out has to come back first
-	mostSteps  = 400   // steps that are made up for after a pause; more say no more
+	stepSeconds           = 0.25 // interval at which the usual rate is updated
+	usualRateSeconds      = 20.0 // time over which the usual rate is averaged
+	surgeUsualRateSeconds = 60.0 // the same during a surge: a rate that lasts for minutes becomes the usual one
+	minUsualSteps         = 20   // steps after which the usual rate is known
+	recentSeconds         = 0.5  // time constant of the present rate
+	chanceDeviations      = 2.0  // standard deviations by which the recent count may be higher by chance
+	// surgeFactor is the multiple of the usual rate from which peers may be missing: the fleet's usual spare capacity covers
+	// less, and a surge of clients is rarely larger.
+	surgeFactor       = 2.5
+	lateSeconds       = 0.5   // time constant of the present fraction of late requests
+	minLateGain       = 0.002 // least weight of a request in the usual fraction of late ones
+	lateTolerance     = 0.1   // excess over the usual fraction of late requests that still counts as in time
+	minHalvingSeconds = 0.25  // the alive fraction halves at most once in this time
+	halvingResponses  = 2.0   // and at most once in so many response times, so that responses to new requests come back first
+	maxCatchUpSteps   = 400   // steps caught up on after a pause; more would not change the estimate
 )
 
-// Arrivals takes a lasting jump of what comes, while all that is sent is answered in good time, for peers that are no
-// more. The zero value is ready.
+// ArrivalEstimator infers from a lasting surge of requests, all of which are answered in time, that peers have failed. The zero
+// value is ready for use.
 //
-// A jump alone proves nothing, since a surge of all clients looks the same; so the part that is believed to live falls
-// step by step, never faster than answers come back, and rises twice as fast as soon as these are late. Where it is
-// wrong, each proxy counts itself as one of part times the siblings: all together take at most 1/part of what is
-// common, where 1/part is the factor by which arrivals rose, and only for as long as what they take is answered in time.
+// A surge alone proves nothing, since more traffic from all clients looks the same. The alive fraction therefore falls
+// gradually, never faster than responses come back, and rises twice as fast as soon as these are late. If the estimate is
+// wrong, each proxy assumes alive times the siblings: together they use at most 1/alive of a common limit, where 1/alive is the
+// factor by which arrivals rose, and only for as long as the requests they send are answered in time.
 type ArrivalEstimator struct {
-	usual            float64 // requests a second
-	count            float64 // that came in this step
-	steps            int
-	next             float64 // when the step ends
-	recent           float64 // came lately, fading
-	recentAt         float64
-	part             float64 // 0 before the first look
-	partAt           float64
-	ended, endedLate float64 // lately, fading
-	endedAt          float64
-	usuallyLate      float64 // part that is late while nothing has jumped
-	answers          float64
-	jumped           bool // more comes than chance and a swing explain
+	usualRate         float64 // usual rate, in requests a second
+	stepCount         float64 // requests that arrived in this step
+	steps             int
+	stepEnd           float64 // when the current step ends
+	recent            float64 // recent requests, exponentially decayed to recentAt
+	recentAt          float64
+	alive             float64 // the estimate, 0 before the first call of AliveFraction
+	aliveAt           float64
+	ended, endedLate  float64 // requests that ended recently, and the late ones of them, exponentially decayed to endedAt
+	endedAt           float64
+	usualLateFraction float64 // fraction of late requests while there is no surge
+	endedCount        float64
+	surging           bool // arrivals exceed what chance and normal variation explain
 }
 
-// Came notes a request that arrives.
+// RequestArrived notes that a request arrived.
 func (a *ArrivalEstimator) RequestArrived(now float64) {
-	a.turn(now)
-	a.count++
-	a.recent = a.faded(now) + 1
+	a.advance(now)
+	a.stepCount++
+	a.recent = a.decayedRecent(now) + 1
 	a.recentAt = now
 }
 
-func (a *ArrivalEstimator) faded(now float64) float64 {
-	return a.recent * math.Exp(-max(0, now-a.recentAt)/nowSpan)
+// decayedRecent returns the recent requests, decayed to now.
+func (a *ArrivalEstimator) decayedRecent(now float64) float64 {
+	return a.recent * math.Exp(-max(0, now-a.recentAt)/recentSeconds)
 }
 
-// Recall takes the rate that was usual for the process before this one.
+// RestoreUsualRate sets the usual rate to that of the previous process.
 func (a *ArrivalEstimator) RestoreUsualRate(now, rate float64) {
 	if a.steps == 0 {
-		a.usual, a.steps, a.next = rate, usualLeast, now+step
+		a.usualRate, a.steps, a.stepEnd = rate, minUsualSteps, now+stepSeconds
 	}
 }
 
-// Ended notes that a request has ended, and whether it was late by its user's measure.
+// RequestEnded notes that a request has ended, and whether it was late for its user.
 func (a *ArrivalEstimator) RequestEnded(now float64, late bool) {
 	x := 0.0
 	if late {
 		x = 1
 	}
-	fade := math.Exp(-max(0, now-a.endedAt) / lateSpan)
-	a.ended, a.endedLate, a.endedAt = a.ended*fade+1, a.endedLate*fade+x, now
-	if !a.jumped {
-		a.answers++
-		a.usuallyLate += (x - a.usuallyLate) * max(1/a.answers, lateGain)
+	decay := math.Exp(-max(0, now-a.endedAt) / lateSeconds)
+	a.ended, a.endedLate, a.endedAt = a.ended*decay+1, a.endedLate*decay+x, now
+	if !a.surging {
+		a.endedCount++
+		a.usualLateFraction += (x - a.usualLateFraction) * max(1/a.endedCount, minLateGain)
 	}
 }
 
-// inTime tells that no more is late than usually, but for chance.
-func (a *ArrivalEstimator) inTime() bool {
-	usual := (a.usuallyLate + lateMore) * a.ended
+// answeredInTime reports whether no more requests are late than usual, apart from chance.
+func (a *ArrivalEstimator) answeredInTime() bool {
+	usual := (a.usualLateFraction + lateTolerance) * a.ended
 	return a.endedLate <= usual+math.Sqrt(usual)
 }
 
-// turn ends the steps that are over.
-func (a *ArrivalEstimator) turn(now float64) {
-	if a.next == 0 {
-		a.next = now + step
+// advance ends the steps that are over and updates the usual rate.
+func (a *ArrivalEstimator) advance(now float64) {
+	if a.stepEnd == 0 {
+		a.stepEnd = now + stepSeconds
 	}
-	if behind := (now - a.next) / step; behind > mostSteps {
-		a.next += math.Floor(behind-mostSteps) * step
+	if behind := (now - a.stepEnd) / stepSeconds; behind > maxCatchUpSteps {
+		a.stepEnd += math.Floor(behind-maxCatchUpSteps) * stepSeconds
 	}
-	for now >= a.next {
+	for now >= a.stepEnd {
 		a.steps++
-		weight := max(1/float64(a.steps), step/usualSpan)
-		if a.jumped {
-			weight = step / newUsual
+		weight := max(1/float64(a.steps), stepSeconds/usualRateSeconds)
+		if a.surging {
+			weight = stepSeconds / surgeUsualRateSeconds
 		}
-		a.usual += (a.count/step - a.usual) * weight
-		a.count, a.next = 0, a.next+step
+		a.usualRate += (a.stepCount/stepSeconds - a.usualRate) * weight
+		a.stepCount, a.stepEnd = 0, a.stepEnd+stepSeconds
 	}
 }
 
-// Usual is how many requests a second come usually, 0 while that is not known.
+// UsualRate returns the usual rate in requests a second, 0 while it is unknown.
 func (a *ArrivalEstimator) UsualRate() float64 {
-	if a.steps < usualLeast {
+	if a.steps < minUsualSteps {
 		return 0
 	}
-	return a.usual
+	return a.usualRate
 }
 
-// Part is the part of the peers that is believed to run, from above 0 to 1. response is how long an answer usually
-// takes, in seconds, 0 where it is not known.
+// AliveFraction returns the fraction of peers believed to be alive, above 0 and at most 1. response is the usual response time
+// in seconds, 0 if it is unknown.
 func (a *ArrivalEstimator) AliveFraction(now, response float64) float64 {
-	a.turn(now)
-	if a.part == 0 {
-		a.part, a.partAt = 1, now
+	a.advance(now)
+	if a.alive == 0 {
+		a.alive, a.aliveAt = 1, now
 	}
-	since := max(0, now-a.partAt)
-	a.partAt = now
+	since := max(0, now-a.aliveAt)
+	a.aliveAt = now
 	target := 1.0
-	a.jumped = false
-	if n := a.faded(now); a.UsualRate() > 0 && response > 0 {
-		if times := (n - roots*math.Sqrt(n)) / nowSpan / a.usual; times > surge {
-			a.jumped = true
-			target = 1 / times
+	a.surging = false
+	if recent := a.decayedRecent(now); a.UsualRate() > 0 && response > 0 {
+		if ratio := (recent - chanceDeviations*math.Sqrt(recent)) / recentSeconds / a.usualRate; ratio > surgeFactor {
+			a.surging = true
+			target = 1 / ratio
 		}
 	}
-	pace := math.Exp2(since / max(halve, answersIn*response))
+	factor := math.Exp2(since / max(minHalvingSeconds, halvingResponses*response))
 	switch {
-	case target >= a.part:
-		a.part = min(target, a.part*pace*pace)
-	case a.inTime():
-		a.part = max(target, a.part/pace)
+	case target >= a.alive:
+		a.alive = min(target, a.alive*factor*factor)
+	case a.answeredInTime():
+		a.alive = max(target, a.alive/factor)
 	default:
-		a.part = min(1, a.part*pace*pace)
+		a.alive = min(1, a.alive*factor*factor)
 	}
-	return a.part
+	return a.alive
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,44 +1,45 @@
-// This file owns what a proxy knows of each peer by messages: its incarnation, whether it answers, and the form in which
-// messages are sent to it. It must never take a message of a former incarnation for one of the present, nor give a peer up
-// for good.
+// This file tracks what a proxy knows of each peer from messages: its incarnation, whether it responds, and the format in which
+// messages are sent to it. A message of a former incarnation must never count for the current one, and no peer is given up for
+// good.
 package membership
 
 import "math"
 
 const (
-	missesDead     = 2    // requests in a row without any message, each sent after the one before was given up
-	pauseFirst     = 0.5  // seconds for which a peer that does not answer is sent no request
-	pauseLast      = 4.0  // and at most, doubling: so long may a return stay unnoticed where the peer sends nothing itself
-	trialFor       = 0.1  // seconds for which one request alone tries it again
-	stepsBackAfter = 1.0  // seconds of messages of a lower incarnation, with none of the higher, after which the higher has ended
-	oldFor         = 10.0 // seconds for which a peer that does not answer in the new form is sent the old one
-	requestsKept   = 8    // requests of a peer that are remembered, to recognize repeats
-	repeatFor      = 0.2  // seconds for which they are: a number is used again after 255
+	missesUntilDead         = 2    // requests in a row without any message, each sent after the previous one timed out
+	minPauseSeconds         = 0.5  // first pause in which a peer that does not respond is sent no request
+	maxPauseSeconds         = 4.0  // longest pause, after doubling; a peer that sends nothing may be back unnoticed so long
+	trialSeconds            = 0.1  // time in which a single request tests the peer after a pause
+	lowerIncarnationSeconds = 1.0  // time with messages of a lower incarnation only, after which the higher one has ended
+	oldFormatSeconds        = 10.0 // time for which a peer that does not respond to the new format is sent the old one
+	maxRememberedRequests   = 8    // requests remembered per peer, to detect repeats
+	repeatWindowSeconds     = 0.2  // time for which they are remembered; numbers are reused after 255 requests
 )
 
-// View is what one proxy knows of its peers. The zero value knows none; Resize must follow.
+// PeerView is what one proxy knows of its peers. The zero value has no peers; Resize must be called first.
 type PeerView struct {
 	peers []peer
 }
 
+// peer is what is known of one peer.
 type peer struct {
-	incarnation         uint64  // 0: not known
-	incarnationReceived float64 // time of its latest message
-	lower               uint64  // a lower one received since
-	lowerFrom           float64 // and since when
+	incarnation         uint64  // 0 if unknown
+	incarnationReceived float64 // time of the incarnation's latest message
+	lowerIncarnation    uint64  // a lower incarnation received since then, 0 if none
+	lowerSince          float64 // when its first message was received
 	received            float64 // time of the latest message of any incarnation
 	misses              int
-	missedAt            float64            // when the last request was given up
-	pause               float64            // seconds of the next pause
-	pausedUntil         float64            // no request before
-	oldForm             bool               // sends the old form
-	oldFormUntil        float64            // is sent it
-	requests            [requestsKept]byte // numbers of its latest ones
-	requestedAt         [requestsKept]float64
+	missedAt            float64                     // when the last request timed out
+	pause               float64                     // seconds of the latest pause, 0 if none since the last message
+	pausedUntil         float64                     // no request is sent before this time
+	sendsOldFormat      bool                        // its messages have the old format
+	oldFormatUntil      float64                     // until when it is sent the old format
+	requests            [maxRememberedRequests]byte // numbers of its latest requests
+	requestedAt         [maxRememberedRequests]float64
 	nextRequest         int
 }
 
-// Resize sets how many peers there are; what is known of those that stay is kept.
+// Resize sets the number of peers and keeps what is known of those that remain.
 func (v *PeerView) Resize(n int) {
 	for len(v.peers) < n {
 		v.peers = append(v.peers, peer{received: math.Inf(-1), incarnationReceived: math.Inf(-1)})
@@ -46,86 +47,88 @@
 	v.peers = v.peers[:n]
 }
 
-// Received notes a message: incarnation is the sending peer's, 0 in the old form, which has none. It tells whether the
-// message counts, and whether it is the first of an incarnation, so that all that the former one sent is void.
-func (v *PeerView) MessageReceived(now float64, from int, incarnation uint64) (counts, fresh bool) {
-	if from < 0 || from >= len(v.peers) {
+// MessageReceived notes a message of a peer. incarnation is that of the sender, 0 in the old format, which has none. It reports
+// whether the message counts, and whether it is the first of an incarnation, which invalidates everything the former one sent.
+func (v *PeerView) MessageReceived(now float64, index int, incarnation uint64) (counts, first bool) {
+	if index < 0 || index >= len(v.peers) {
 		return false, false
 	}
-	s := &v.peers[from]
+	p := &v.peers[index]
 	switch {
-	case incarnation == 0: // a process of an earlier version
-		fresh = s.incarnation != 0
-		s.oldForm, s.incarnation = true, 0
-	case incarnation > s.incarnation:
-		fresh = s.incarnation != 0 || s.oldForm
-		s.incarnation, s.incarnationReceived, s.lower, s.oldForm = incarnation, now, 0, false
-	case incarnation == s.incarnation:
-		s.incarnationReceived, s.lower = now, 0
-	case incarnation != s.lower:
-		s.lower, s.lowerFrom = incarnation, now
+	case incarnation == 0: // a process of an older version
+		first = p.incarnation != 0
+		p.sendsOldFormat, p.incarnation = true, 0
+	case incarnation > p.incarnation:
+		first = p.incarnation != 0 || p.sendsOldFormat
+		p.incarnation, p.incarnationReceived, p.lowerIncarnation, p.sendsOldFormat = incarnation, now, 0, false
+	case incarnation == p.incarnation:
+		p.incarnationReceived, p.lowerIncarnation = now, 0
+	case incarnation != p.lowerIncarnation:
+		p.lowerIncarnation, p.lowerSince = incarnation, now
 		return false, false
-	case now < max(s.lowerFrom, s.incarnationReceived)+stepsBackAfter: // late messages of a former incarnation
+	case now < max(p.lowerSince, p.incarnationReceived)+lowerIncarnationSeconds: // delayed messages of a former incarnation
 		return false, false
-	default: // it goes on while the higher one is silent: a clock was set back
-		fresh = true
-		s.incarnation, s.incarnationReceived, s.lower = incarnation, now, 0
+	default: // it continues while the higher one is silent: the peer restarted with its clock set back
+		first = true
+		p.incarnation, p.incarnationReceived, p.lowerIncarnation = incarnation, now, 0
 	}
-	s.received, s.misses, s.pause, s.pausedUntil = now, 0, 0, 0
+	p.received, p.misses, p.pause, p.pausedUntil = now, 0, 0, 0
 	if incarnation != 0 {
-		s.oldFormUntil = 0
+		p.oldFormatUntil = 0
 	}
-	return true, fresh
+	return true, first
 }
 
-// Repeats tells whether a request of that number was received from a peer just now, and notes it.
-func (v *PeerView) IsRepeatedRequest(now float64, from int, number byte) bool {
-	s := &v.peers[from]
-	for i, known := range s.requests {
-		if known == number && now < s.requestedAt[i]+repeatFor {
+// IsRepeatedRequest reports whether a request with that number was received from a peer within repeatWindowSeconds, and
+// remembers it.
+func (v *PeerView) IsRepeatedRequest(now float64, index int, number byte) bool {
+	p := &v.peers[index]
+	for i, known := range p.requests {
+		if known == number && now < p.requestedAt[i]+repeatWindowSeconds {
 			return true
 		}
 	}
-	s.requests[s.nextRequest], s.requestedAt[s.nextRequest] = number, now
-	s.nextRequest = (s.nextRequest + 1) % len(s.requests)
+	p.requests[p.nextRequest], p.requestedAt[p.nextRequest] = number, now
+	p.nextRequest = (p.nextRequest + 1) % len(p.requests)
 	return false
 }
 
-// Missed notes that a request sent at a time was given up now without an answer.
-func (v *PeerView) RequestTimedOut(now float64, at int, sent float64) {
-	if at < 0 || at >= len(v.peers) {
+// RequestTimedOut notes that a request sent to a peer at the given time has timed out now.
+func (v *PeerView) RequestTimedOut(now float64, index int, sent float64) {
+	if index < 0 || index >= len(v.peers) {
 		return
 	}
-	s := &v.peers[at]
-	if s.received >= sent || s.misses > 0 && sent < s.missedAt {
-		return // it answered since, or this one was out beside one that counts already
+	p := &v.peers[index]
+	if p.received >= sent || p.misses > 0 && sent < p.missedAt {
+		return // the peer has sent a message since, or the request overlapped with one that was already counted
 	}
-	s.misses++
-	s.missedAt = now
-	if s.incarnation == 0 && !s.oldForm && now >= s.oldFormUntil { // never received in the new form: it may know only the old one
-		s.oldFormUntil = now + oldFor
+	p.misses++
+	p.missedAt = now
+	if p.incarnation == 0 && !p.sendsOldFormat && now >= p.oldFormatUntil {
+		// Nothing was received in the new format: the peer may know only the old one.
+		p.oldFormatUntil = now + oldFormatSeconds
 		return
 	}
-	if s.misses >= missesDead || s.pause > 0 {
-		s.pause = min(pauseLast, max(pauseFirst, 2*s.pause))
-		s.pausedUntil = now + s.pause
+	if p.misses >= missesUntilDead || p.pause > 0 {
+		p.pause = min(maxPauseSeconds, max(minPauseSeconds, 2*p.pause))
+		p.pausedUntil = now + p.pause
 	}
 }
 
-// Alive tells whether a peer is believed to be there.
-func (v *PeerView) IsAlive(now float64, at int) bool {
-	return at >= 0 && at < len(v.peers) && now >= v.peers[at].pausedUntil
+// IsAlive reports whether a peer is believed to be alive.
+func (v *PeerView) IsAlive(now float64, index int) bool {
+	return index >= 0 && index < len(v.peers) && now >= v.peers[index].pausedUntil
 }
 
-// Sending is called before a request is sent. A peer whose pause has ended is tried by one request at a time.
-func (v *PeerView) BeforeRequest(now float64, at int) {
-	if s := &v.peers[at]; s.pause > 0 {
-		s.pausedUntil = now + trialFor
+// BeforeRequest must be called before a request is sent. A peer whose pause has ended is tested by one request at a time.
+func (v *PeerView) BeforeRequest(now float64, index int) {
+	if p := &v.peers[index]; p.pause > 0 {
+		p.pausedUntil = now + trialSeconds
 	}
 }
 
-// UsesOldForm tells whether messages to a peer are sent in the old form.
-func (v *PeerView) UsesOldFormat(now float64, at int) bool {
-	s := &v.peers[at]
-	return s.oldForm || now < s.oldFormUntil
+// UsesOldFormat reports whether messages to a peer are sent in the old format.
+func (v *PeerView) UsesOldFormat(now float64, index int) bool {
+	p := &v.peers[index]
+	return p.sendsOldFormat || now < p.oldFormatUntil
 }
