--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -1,5 +1,5 @@
-// Package injected has system calls, writings of files and the wall clock of a process under test fail or step as a line of
-// text says. Test programs call Install before they start a proxy; nothing that operators run links it.
+// Package faultinject injects faults into a process under test: failing system calls, failing file writes and a wall clock with
+// an offset, as a line of rules says. Test programs call Install before they start a proxy. No production program links it.
 package faultinject
 
 import (
@@ -18,19 +18,20 @@
 	"sandpass/internal/statefile"
 )
 
-// Env is the environment's variable that has the rules, with commas between them:
+// Env is the environment variable with the rules, separated by commas:
 //
 //	socket@1=ENFILE       the first call fails
-//	sync_file@3-9=EIO     so do the third to the ninth
-//	epoll_ctl%7=ENOMEM    one call in seven fails, drawn by the seed
-//	read%3=1              one read in three moves one byte at most
-//	seed=5                for what is drawn; 0 without it
-//	clock=-3600           the wall clock is so many seconds off when the process starts
-//	clock~10              by a draw of so many seconds either way, by the seed and the name of the configuration's file
+//	sync_file@3-9=EIO     the third to the ninth call fail
+//	epoll_ctl%7=ENOMEM    one call in seven fails, drawn from the seed
+//	read%3=1              one read in three moves at most one byte
+//	seed=5                seed of the draws, default 0
+//	clock=-3600           offset of the wall clock in seconds, from the start of the process
+//	clock~10              offset drawn from -10 s to 10 s, from the seed and the name of the configuration file
 //
-// Calls are those of internal/loop, and the steps of internal/statefile with _file behind.
+// Calls are those of internal/loop, and the steps of internal/statefile with the suffix _file.
 const Env = "SANDPASS_INJECTED"
 
+// errnos are the errors that a rule may name.
 var errnos = map[string]unix.Errno{
 	"EADDRINUSE": unix.EADDRINUSE, "EADDRNOTAVAIL": unix.EADDRNOTAVAIL, "ECONNABORTED": unix.ECONNABORTED,
 	"EHOSTUNREACH": unix.EHOSTUNREACH, "EINTR": unix.EINTR, "EIO": unix.EIO, "EMFILE": unix.EMFILE, "ENETDOWN": unix.ENETDOWN,
@@ -38,56 +39,57 @@
 	"ENOSPC": unix.ENOSPC, "EPERM": unix.EPERM, "EPROTO": unix.EPROTO, "ETIMEDOUT": unix.ETIMEDOUT,
 }
 
-// fileSuffix sets the steps of writing a file apart from the calls on sockets.
+// fileSuffix distinguishes the steps of writing a file from the calls on sockets.
 const fileSuffix = "_file"
 
-// rule is one entry: which calls it is about, and what becomes of them.
+// rule is one entry of the rules: the calls it applies to and the effect on them.
 type rule struct {
 	call        string
-	first, last int // numbers of the calls, from 1; or
-	oneIn       int // the part of them that is drawn
-	most        int // bytes moved at most, or
+	first, last int // numbers of the calls, counted from 1; used if oneIn is 0
+	oneIn       int // one call in this many is drawn
+	maxBytes    int // bytes moved at most; used if err is nil
 	err         error
 }
 
-// Plan is what a process is to suffer. It may be asked by several goroutines.
+// Plan holds the faults to inject into a process. It is safe for concurrent use.
 type Plan struct {
-	ClockOffset time.Duration // by which the wall clock is off
+	ClockOffset time.Duration // offset of the wall clock
 	rules       []rule
 	seed        uint64
 	mu          sync.Mutex
 	calls       map[string]int
 }
 
-// Parse reads rules.
+// Parse parses rules separated by commas.
 func Parse(text string) (*Plan, error) {
 	p := &Plan{calls: map[string]int{}}
-	for _, word := range strings.Split(text, ",") {
-		if word == "" {
+	for _, entry := range strings.Split(text, ",") {
+		if entry == "" {
 			continue
 		}
-		if most, drawn := strings.CutPrefix(word, "clock~"); drawn {
-			word = "clock=" + p.drawnClock(most)
+		if limit, drawn := strings.CutPrefix(entry, "clock~"); drawn {
+			entry = "clock=" + p.drawClockOffset(limit)
 		}
-		name, value, found := strings.Cut(word, "=")
+		name, value, found := strings.Cut(entry, "=")
 		if !found {
-			return nil, fmt.Errorf("%q: no value", word)
+			return nil, fmt.Errorf("%q: no value", entry)
 		}
 		if err := p.add(name, value); err != nil {
-			return nil, fmt.Errorf("%q: %w", word, err)
+			return nil, fmt.Errorf("%q: %w", entry, err)
 		}
 	}
 	return p, nil
 }
 
-// drawnClock is a span of so many seconds at most either way.
-func (p *Plan) drawnClock(most string) string {
+// drawClockOffset draws an offset of at most limit seconds in either direction.
+func (p *Plan) drawClockOffset(limit string) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %s", p.seed, filepath.Base(os.Getenv("NODE_CONFIG")))
-	span, _ := strconv.ParseFloat(most, 64)
+	span, _ := strconv.ParseFloat(limit, 64)
 	return strconv.FormatFloat(span*(float64(h.Sum64()>>40)/(1<<23)-1), 'f', 3, 64)
 }
 
+// add parses one entry.
 func (p *Plan) add(name, value string) (err error) {
 	switch name {
 	case "seed":
@@ -100,8 +102,8 @@
 	}
 	r := rule{err: errnos[value]}
 	if r.err == unix.Errno(0) {
-		if r.most, err = strconv.Atoi(value); err != nil || r.most < 1 {
-			return fmt.Errorf("neither an error nor a number of bytes")
+		if r.maxBytes, err = strconv.Atoi(value); err != nil || r.maxBytes < 1 {
+			return fmt.Errorf("neither an error name nor a number of bytes")
 		}
 		r.err = nil
 	}
@@ -122,40 +124,41 @@
 	return err
 }
 
-// next tells what becomes of the next such call.
-func (p *Plan) next(call string) (most int, err error) {
+// apply counts a call and returns its effect: a bound on the bytes moved, 0 for none, or an error.
+func (p *Plan) apply(call string) (maxBytes int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls[call]++
 	n := p.calls[call]
 	for i, r := range p.rules {
-		if r.call != call || r.oneIn == 0 && (n < r.first || n > r.last) || r.oneIn > 0 && !p.drawn(i, n, r.oneIn) {
+		if r.call != call || r.oneIn == 0 && (n < r.first || n > r.last) || r.oneIn > 0 && !p.isDrawn(i, n, r.oneIn) {
 			continue
 		}
 		if r.err != nil {
 			return 0, r.err
 		}
-		most = r.most
+		maxBytes = r.maxBytes
 	}
-	return most, nil
+	return maxBytes, nil
 }
 
-func (p *Plan) drawn(rule, n, oneIn int) bool {
+// isDrawn reports whether the n-th call is drawn for a rule.
+func (p *Plan) isDrawn(rule, n, oneIn int) bool {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d %d", p.seed, rule, n)
 	return (h.Sum64()>>20)%uint64(oneIn) == 0
 }
 
-// Loop is the plan as a loop asks it.
-func (p *Plan) LoopFault(call loop.Syscall) (int, error) { return p.next(string(call)) }
+// LoopFault is the loop.FaultFunc of the plan.
+func (p *Plan) LoopFault(call loop.Syscall) (int, error) { return p.apply(string(call)) }
 
-// File is the plan as the writings of files ask it.
+// FileFault is the fault function of the plan for file writes.
 func (p *Plan) FileFault(step statefile.Step) error {
-	_, err := p.next(string(step) + fileSuffix)
+	_, err := p.apply(string(step) + fileSuffix)
 	return err
 }
 
-// Install has this process suffer what the environment says, if anything.
+// Install injects the faults given in the environment variable Env, if any, into this process.
 func Install() error {
 	text := os.Getenv(Env)
 	if text == "" {
