--- a/cmd/sandpass/clocks_test.go
+++ b/cmd/sandpass/clocks_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// discovery is an agent that tells whoever watches the list and each change of it.
+// discovery is a discovery server that streams the list of endpoints and its changes to each watch.
 type discovery struct {
 	net.Listener
 	mu      sync.Mutex
@@ -21,6 +21,7 @@
 	changed chan struct{}
 }
 
+// newDiscovery starts a discovery server with an empty list.
 func newDiscovery(t *testing.T) *discovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,8 +35,8 @@
 	return d
 }
 
-// put has an entry listed, or listed anew.
-func (d *discovery) put(name, address string, since time.Time) {
+// setEntry adds an entry to the list or replaces it.
+func (d *discovery) setEntry(name, address string, since time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	sinceMs := int64(0)
@@ -43,13 +44,15 @@
 		sinceMs = since.UnixMilli()
 	}
 	d.index++
-	d.entries[name] = map[string]any{"name": name, "address": address, "zone": "a", "group": 1, "status": "ready", "weight": 1, "since_ms": sinceMs}
+	d.entries[name] = map[string]any{"name": name, "address": address, "zone": "a", "group": 1, "status": "ready", "weight": 1,
+		"since_ms": sinceMs}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
+// ServeHTTP streams a snapshot of the list and then its changes, with an empty line every second.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	sent, whole := map[string]string{}, true
+	sent, snapshot := map[string]string{}, true
 	for {
 		d.mu.Lock()
 		index, changed, entries := d.index, d.changed, []json.RawMessage{}
@@ -61,12 +64,12 @@
 			}
 		}
 		d.mu.Unlock()
-		if whole || len(entries) > 0 {
-			json.NewEncoder(w).Encode(map[string]any{"index": index, "snapshot": whole, "endpoints": entries})
+		if snapshot || len(entries) > 0 {
+			json.NewEncoder(w).Encode(map[string]any{"index": index, "snapshot": snapshot, "endpoints": entries})
 		} else {
 			fmt.Fprintln(w)
 		}
-		whole = false
+		snapshot = false
 		if http.NewResponseController(w).Flush() != nil {
 			return
 		}
@@ -79,21 +82,22 @@
 	}
 }
 
-// counted is a backend that answers at once and counts what it gets.
-type counted struct {
-	at   string
-	runs atomic.Int64
+// countingBackend is a backend that responds at once and counts its requests.
+type countingBackend struct {
+	address  string
+	requests atomic.Int64
 }
 
-func newCounted(t *testing.T) *counted {
+// newCountingBackend starts a countingBackend.
+func newCountingBackend(t *testing.T) *countingBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &counted{at: l.Addr().String()}
+	b := &countingBackend{address: l.Addr().String()}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		b.runs.Add(1)
+		b.requests.Add(1)
 		fmt.Fprint(w, "ok")
 	})}
 	go server.Serve(l)
@@ -101,27 +105,28 @@
 	return b
 }
 
-// shares has a proxy with two warm backends, under some 200 requests a second, see a third join whose list entry has the
-// start given, and tells the part that it gets in the two seconds after it joined and in two once it is warm (5 s).
-func shares(t *testing.T, rules string, since func(now time.Time) time.Time) (cold, warm float64) {
+// measureShares runs a proxy with two warm backends at about 200 requests a second and adds a third one whose entry has the given
+// start time. It returns the share of requests that this one gets in the first two seconds, and in two seconds once it is warm
+// (after 5 s).
+func measureShares(t *testing.T, rules string, since func(now time.Time) time.Time) (cold, warm float64) {
 	t.Helper()
 	p, d := newPlatform(t), newDiscovery(t)
-	backends := []*counted{newCounted(t), newCounted(t), newCounted(t)}
+	backends := []*countingBackend{newCountingBackend(t), newCountingBackend(t), newCountingBackend(t)}
 	for i, b := range backends[:2] {
-		d.put(fmt.Sprintf("s-%d", i), b.at, time.Time{})
+		d.setEntry(fmt.Sprintf("s-%d", i), b.address, time.Time{})
 	}
-	p.change(func(c map[string]any) {
+	p.changeConfig(func(c map[string]any) {
 		c["discovery"] = d.Addr().String()
 		delete(c, "known")
 	})
-	p.startOwn(rules)
+	p.startWithOwnListener(rules)
 	stop := make(chan struct{})
-	var all sync.WaitGroup
-	defer all.Wait()
+	var clients sync.WaitGroup
+	defer clients.Wait()
 	defer close(stop)
 	for range 4 {
-		all.Go(func() {
-			conn, err := net.Dial("tcp", p.at)
+		clients.Go(func() {
+			conn, err := net.Dial("tcp", p.address)
 			if err != nil {
 				return
 			}
@@ -135,35 +140,35 @@
 				}
 				conn.SetDeadline(time.Now().Add(4 * time.Second))
 				fmt.Fprintf(conn, "GET /look/x HTTP/1.1\r\nHost: a\r\nReq-Id: c%d\r\nReq-Kind: look\r\nReq-Owner: acme\r\nReq-Deadline: 3\r\n\r\n", p.ids.Add(1))
-				answer, err := http.ReadResponse(in, nil)
+				response, err := http.ReadResponse(in, nil)
 				if err != nil {
 					return
 				}
-				answer.Body.Close()
+				response.Body.Close()
 			}
 		})
 	}
 	time.Sleep(2 * time.Second)
-	part := func(over time.Duration) float64 {
+	share := func(period time.Duration) float64 {
 		var before [3]int64
 		for i, b := range backends {
-			before[i] = b.runs.Load()
+			before[i] = b.requests.Load()
 		}
-		time.Sleep(over)
-		all := 0.0
+		time.Sleep(period)
+		total := 0.0
 		for i, b := range backends {
-			all += float64(b.runs.Load() - before[i])
+			total += float64(b.requests.Load() - before[i])
 		}
-		return float64(backends[2].runs.Load()-before[2]) / max(1, all)
+		return float64(backends[2].requests.Load()-before[2]) / max(1, total)
 	}
-	d.put("s-2", backends[2].at, since(time.Now()))
-	cold = part(2 * time.Second)
+	d.setEntry("s-2", backends[2].address, since(time.Now()))
+	cold = share(2 * time.Second)
 	time.Sleep(5 * time.Second)
-	return cold, part(2 * time.Second)
+	return cold, share(2 * time.Second)
 }
 
-// How cold a backend is goes by real time, whatever its machine's clock says, or the proxy's own.
-func TestSlowStartGoesByRealTime(t *testing.T) {
+// The slow start of a backend must depend on real time only, whatever the clocks of its machine and of the proxy say.
+func TestSlowStartIgnoresClockOffsets(t *testing.T) {
 	off := func(seconds float64) func(time.Time) time.Time {
 		return func(now time.Time) time.Time { return now.Add(time.Duration(seconds * float64(time.Second))) }
 	}
@@ -173,15 +178,16 @@
 	}{
 		{"all clocks agree", "", off(0)},
 		{"the backend's is an hour behind", "", off(-3600)}, {"the backend's is 10 s behind", "", off(-10)},
-		{"the backend's is 4 s behind", "", off(-4)}, {"the backend's is an hour ahead", "", off(3600)}, {"the backend's is 10 s ahead", "", off(10)},
+		{"the backend's is 4 s behind", "", off(-4)}, {"the backend's is an hour ahead", "", off(3600)},
+		{"the backend's is 10 s ahead", "", off(10)},
 		{"the proxy's is an hour behind", "clock=-3600", off(0)}, {"the proxy's is an hour ahead", "clock=3600", off(0)},
 		{"the proxy's is 10 s ahead", "clock=10", off(0)}, {"the proxy's is 10 s behind", "clock=-10", off(0)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			cold, warm := shares(t, c.rules, c.since)
+			cold, warm := measureShares(t, c.rules, c.since)
 			if cold > 0.29 || warm < 0.25 || warm > 0.42 {
-				t.Errorf("it gets %.2f in the first seconds and %.2f once it is warm", cold, warm)
+				t.Errorf("the third backend gets %.2f of the requests in the first seconds and %.2f once it is warm", cold, warm)
 			}
 		})
 	}
--- a/cmd/sandpass/main.go
+++ b/cmd/sandpass/main.go
@@ -1,5 +1,5 @@
-// Command sandpass is the proxy. This file owns the command line and the process's limits; it must
-// never touch a socket.
+// Command sandpass is the proxy. This file implements the command line and sets the limits of the process; it does no network
+// I/O.
 package main
 
 import (
@@ -20,16 +20,16 @@
 )
 
 const (
-	memoryPart = 0.6                    // of the memory allowed, from which the garbage collector works harder
-	lastLines  = 300 * time.Millisecond // for the log's last lines to be written at the end
+	gcMemoryFraction = 0.6                    // part of the configured memory that is set as Go's soft memory limit
+	logFlushTimeout  = 300 * time.Millisecond // time to write the last log lines at exit
 
-	readPause      = 50 * time.Millisecond // between tries to read a configuration while descriptors lack
-	startRetryFor  = 20 * time.Second      // in which it is tried at the start: a process must be ready after 30 s
-	reloadRetryFor = 3 * time.Second       // and at SIGHUP: it counts 4 s after that
+	readRetryInterval  = 50 * time.Millisecond // between attempts to read it while resources are exhausted
+	startRetryTimeout  = 20 * time.Second      // time for the attempts at startup: it must be ready after 30 s
+	reloadRetryTimeout = 3 * time.Second       // and after SIGHUP: the change must be in force after 4 s
 )
 
-// readConfiguration reads the configuration and what the operators say beside it.
-func readConfiguration(path, words string) (*proxy.Config, error) {
+// readConfiguration reads the configuration, the operator file and the settings in the environment.
+func readConfiguration(path, operatorPath string) (*proxy.Config, error) {
 	if path == "" {
 		return nil, fmt.Errorf("no configuration: set NODE_CONFIG or give --config")
 	}
@@ -37,46 +37,46 @@
 	if err != nil {
 		return nil, err
 	}
-	l, err := proxy.ParseConfig(text)
+	config, err := proxy.ParseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if at := os.Getenv("NODE_OPS"); at != "" {
-		l.Ops = at
+	if address := os.Getenv("NODE_OPS"); address != "" {
+		config.Ops = address
 	}
-	l.Socket = os.Getenv("NODE_SOCKET_FD")
-	if err := l.LoadOperatorFile(words); err != nil {
+	config.Socket = os.Getenv("NODE_SOCKET_FD")
+	if err := config.LoadOperatorFile(operatorPath); err != nil {
 		return nil, err
 	}
-	return l, nil
+	return config, nil
 }
 
-// readWithin reads the configuration, again and again for so long while the system lacks descriptors or memory.
-func readWithin(path, words string, long time.Duration) (*proxy.Config, error) {
-	for until := time.Now().Add(long); ; time.Sleep(readPause) {
-		l, err := readConfiguration(path, words)
-		if !loop.IsTransient(err) || time.Now().After(until) {
-			return l, err
+// readWithRetry reads the configuration and retries until the timeout while the system lacks descriptors or memory.
+func readWithRetry(path, operatorPath string, timeout time.Duration) (*proxy.Config, error) {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(readRetryInterval) {
+		config, err := readConfiguration(path, operatorPath)
+		if !loop.IsTransient(err) || time.Now().After(deadline) {
+			return config, err
 		}
 	}
 }
 
-// serve runs the proxy until it was asked to end and all that it took has its answer.
-func serve(path, words string) error {
-	lines := logbuffer.New(os.Stderr)
-	log.SetOutput(lines)
-	defer lines.Close(lastLines)
+// serve runs the proxy until a shutdown was requested and all accepted requests have been answered.
+func serve(path, operatorPath string) error {
+	logWriter := logbuffer.New(os.Stderr)
+	log.SetOutput(logWriter)
+	defer logWriter.Close(logFlushTimeout)
 	runtime.GOMAXPROCS(1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var asked atomic.Bool
-	var started atomic.Pointer[proxy.Proxy]
-	go followEnd(&asked, cancel, func() {
-		if p := started.Load(); p != nil {
+	var shutdownRequested atomic.Bool
+	var startedProxy atomic.Pointer[proxy.Proxy]
+	go handleShutdownSignals(&shutdownRequested, cancel, func() {
+		if p := startedProxy.Load(); p != nil {
 			p.WakeUp()
 		}
 	})
-	p, err := start(ctx, path, words)
+	p, err := start(ctx, path, operatorPath)
 	if ctx.Err() != nil && err != nil {
 		log.Printf("msg=ended_before_start")
 		return nil
@@ -84,26 +84,26 @@
 	if err != nil {
 		return err
 	}
-	started.Store(p)
-	p.OnMemoryLimit(func(bytes int64) { debug.SetMemoryLimit(int64(memoryPart * float64(bytes))) })
-	go func() { // apart from the end, which must not wait for a file
+	startedProxy.Store(p)
+	p.OnMemoryLimit(func(bytes int64) { debug.SetMemoryLimit(int64(gcMemoryFraction * float64(bytes))) })
+	go func() { // separate from the shutdown, which must not wait for a file
 		for range reloadSignals {
-			reload(path, words, p)
+			reload(path, operatorPath, p)
 		}
 	}()
-	return p.Run(asked.Load)
+	return p.Run(shutdownRequested.Load)
 }
 
-// start reads the configuration and makes the proxy; it waits for neither a file nor the kernel once the context has ended.
-func start(ctx context.Context, path, words string) (*proxy.Proxy, error) {
+// start reads the configuration and creates the proxy. Once the context is canceled it waits for neither a file nor the kernel.
+func start(ctx context.Context, path, operatorPath string) (*proxy.Proxy, error) {
 	type result struct {
-		launch *proxy.Config
+		config *proxy.Config
 		err    error
 	}
 	read := make(chan result, 1)
 	go func() {
-		l, err := readWithin(path, words, startRetryFor)
-		read <- result{l, err}
+		config, err := readWithRetry(path, operatorPath, startRetryTimeout)
+		read <- result{config, err}
 	}()
 	select {
 	case <-ctx.Done():
@@ -112,39 +112,40 @@
 		if r.err != nil {
 			return nil, r.err
 		}
-		return proxy.NewContext(ctx, r.launch)
+		return proxy.NewContext(ctx, r.config)
 	}
 }
 
-// reload hands the configuration to the proxy anew; one that a start would not take changes nothing.
-func reload(path, words string, p *proxy.Proxy) {
-	l, err := readWithin(path, words, reloadRetryFor)
+// reload reads the configuration again and passes it to the proxy. A configuration with which the proxy would not start changes
+// nothing.
+func reload(path, operatorPath string, p *proxy.Proxy) {
+	config, err := readWithRetry(path, operatorPath, reloadRetryTimeout)
 	if err == nil {
-		err = proxy.Check(l)
+		err = proxy.Check(config)
 	}
 	if err != nil {
 		log.Printf("msg=reload_not_taken error=%q", err)
 		return
 	}
-	p.Reload(l)
+	p.Reload(config)
 }
 
 func main() {
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
-	var path, words string
+	var path, operatorPath string
 	root := &cobra.Command{Use: "sandpass", Short: "A load balancer for services that call services",
 		SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().StringVar(&path, "config", os.Getenv("NODE_CONFIG"), "the configuration, JSON")
-	root.PersistentFlags().StringVar(&words, "operator", "", "what the operators say beside it, TOML; see deploy/sandpass.toml")
+	root.PersistentFlags().StringVar(&operatorPath, "operator", "", "the operator file, TOML; see deploy/sandpass.toml")
 	root.AddCommand(
 		&cobra.Command{Use: "serve", Short: "Run the proxy", Args: cobra.NoArgs,
-			RunE: func(*cobra.Command, []string) error { return serve(path, words) }},
-		&cobra.Command{Use: "check", Short: "Tell whether a configuration is good", Args: cobra.NoArgs,
+			RunE: func(*cobra.Command, []string) error { return serve(path, operatorPath) }},
+		&cobra.Command{Use: "check", Short: "Validate a configuration", Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
-				defaultSignals()
-				l, err := readConfiguration(path, words)
+				restoreDefaultSignals()
+				config, err := readConfiguration(path, operatorPath)
 				if err == nil {
-					err = proxy.Check(l)
+					err = proxy.Check(config)
 				}
 				if err == nil {
 					fmt.Fprintln(cmd.OutOrStdout(), "the configuration is good")
@@ -161,6 +162,7 @@
 	}
 }
 
+// version returns the module version, the VCS revision and the Go version of the build.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/sandpass/main_test.go
+++ b/cmd/sandpass/main_test.go
@@ -17,7 +17,7 @@
 	"sandpass/internal/snapshot"
 )
 
-// TestMain is the program itself where the environment says so.
+// TestMain runs the program itself if SANDPASS_ITSELF is 1, so that tests can start the test binary as the proxy.
 func TestMain(m *testing.M) {
 	if os.Getenv("SANDPASS_ITSELF") == "1" {
 		if err := faultinject.Install(); err != nil {
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// output is what a process has said so far.
+// output collects the output of a process.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -48,6 +48,7 @@
 	return o.text.String()
 }
 
+// sandpass returns a command that runs the program, and its output.
 func sandpass(config string, args ...string) (*exec.Cmd, *output) {
 	out := &output{}
 	cmd := exec.Command(os.Args[0], args...)
@@ -56,13 +57,14 @@
 	return cmd, out
 }
 
+// A start with a bad configuration, operator file or command must fail with status 1 and one line of output.
 func TestBadStart(t *testing.T) {
 	broken := filepath.Join(t.TempDir(), "c.json")
 	if err := os.WriteFile(broken, []byte(`{"listen": 7`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	words := filepath.Join(t.TempDir(), "o.toml")
-	if err := os.WriteFile(words, []byte("[state]\nfoldr = \"x\"\n"), 0o600); err != nil {
+	operatorFile := filepath.Join(t.TempDir(), "o.toml")
+	if err := os.WriteFile(operatorFile, []byte("[state]\nfoldr = \"x\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	foreign := t.TempDir()
@@ -82,10 +84,12 @@
 		config string
 		args   []string
 	}{
-		"no operators' file": {good, []string{"check", "--operator", words + "x"}}, "a key nobody knows": {good, []string{"check", "--operator", words}},
+		"no operator file":       {good, []string{"check", "--operator", operatorFile + "x"}},
+		"an unknown key":         {good, []string{"check", "--operator", operatorFile}},
 		"another fleet's folder": {good, []string{"serve", "--operator", ours}},
-		"no configuration":       {"", []string{"serve"}}, "none there": {broken + "x", []string{"serve"}},
-		"not JSON": {broken, []string{"serve"}}, "checked": {broken, []string{"check"}}, "unknown": {"", []string{"dance"}},
+		"no configuration":       {"", []string{"serve"}}, "missing configuration": {broken + "x", []string{"serve"}},
+		"not JSON": {broken, []string{"serve"}}, "not JSON, checked": {broken, []string{"check"}},
+		"unknown command": {"", []string{"dance"}},
 	} {
 		cmd, out := sandpass(c.config, c.args...)
 		err := cmd.Run()
@@ -95,10 +99,10 @@
 	}
 }
 
-// serving starts the program with the example's configuration, and waits until it listens.
-func serving(t *testing.T) (cmd *exec.Cmd, out *output, config, changed string) {
+// startServing starts the program with the example configuration and waits until it listens.
+func startServing(t *testing.T) (cmd *exec.Cmd, out *output, config, changed string) {
 	t.Helper()
-	config, at := configured(t)
+	config, address := writeConfig(t)
 	text, err := os.ReadFile(config)
 	if err != nil {
 		t.Fatal(err)
@@ -109,8 +113,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill() })
-	for range 500 { // it listens within five seconds
-		if c, err := net.Dial("tcp", at); err == nil {
+	for range 500 { // for at most five seconds
+		if c, err := net.Dial("tcp", address); err == nil {
 			c.Close()
 			break
 		}
@@ -119,8 +123,8 @@
 	return cmd, out, config, changed
 }
 
-// said waits until the process has said something.
-func (o *output) said(t *testing.T, want string) {
+// waitFor waits until the output contains the text.
+func (o *output) waitFor(t *testing.T, want string) {
 	t.Helper()
 	for range 500 {
 		if strings.Contains(o.String(), want) {
@@ -128,13 +132,13 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("no %s in %s", want, o)
+	t.Fatalf("%q is not in the output: %s", want, o)
 }
 
-// SIGTERM that came while a configuration was being read waited for that: here for a file that never comes to its end. A second
-// one is no other end than the first.
-func TestSIGTERMInTheMiddleOfAReload(t *testing.T) {
-	cmd, out, config, _ := serving(t)
+// A SIGTERM during a reload waited until the configuration was read, here from a FIFO that never ends. A second SIGTERM must
+// change nothing.
+func TestSIGTERMDuringReload(t *testing.T) {
+	cmd, out, config, _ := startServing(t)
 	if err := os.Remove(config); err != nil {
 		t.Fatal(err)
 	}
@@ -142,23 +146,23 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	writer, err := os.OpenFile(config, os.O_WRONLY, 0) // waits until it is read
+	writer, err := os.OpenFile(config, os.O_WRONLY, 0) // blocks until the program opens it for reading
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer writer.Close()
 	cmd.Process.Signal(syscall.SIGTERM)
-	out.said(t, "msg=ending")
+	out.waitFor(t, "msg=ending")
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil || !strings.Contains(out.String(), "msg=ended") {
-		t.Errorf("a planned end: %v, %s", err, out)
+		t.Errorf("graceful shutdown: %v, %s", err, out)
 	}
 }
 
-// SIGTERM before there is any list is a planned end as well.
+// A SIGTERM before the proxy has any list of backends must lead to a graceful shutdown as well.
 func TestServe(t *testing.T) {
-	cmd, out, config, changed := serving(t)
-	// SIGHUP has it read the file again: a good one is turned to, a bad one only named.
+	cmd, out, config, changed := startServing(t)
+	// SIGHUP makes it read the file again: a valid one is applied, an invalid one only logged.
 	for _, step := range []struct{ from, to, want string }{
 		{"127.0.0.1:1", "127.0.0.1:2", "msg=reloaded discovery=127.0.0.1:2"}, {`"seed"`, `"seed`, "msg=reload_not_taken"},
 	} {
@@ -167,10 +171,10 @@
 			t.Fatal(err)
 		}
 		cmd.Process.Signal(syscall.SIGHUP)
-		out.said(t, step.want)
+		out.waitFor(t, step.want)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("a planned end: %v, %s", err, out)
+		t.Errorf("graceful shutdown: %v, %s", err, out)
 	}
 }
--- a/cmd/sandpass/running_test.go
+++ b/cmd/sandpass/running_test.go
@@ -16,10 +16,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// piped is a process whose standard error is a pipe.
-func piped(t *testing.T) (cmd *exec.Cmd, log *os.File, at string) {
+// startWithPipedLog starts a process whose standard error is a pipe.
+func startWithPipedLog(t *testing.T) (cmd *exec.Cmd, log *os.File, address string) {
 	t.Helper()
-	config, at := configured(t)
+	config, address := writeConfig(t)
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -35,20 +35,20 @@
 	}
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
 	write.Close()
-	if err := answers(at, 10*time.Second); err != nil {
+	if err := waitReachable(address, 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	return cmd, read, at
+	return cmd, read, address
 }
 
-// Whoever reads the log may go: lines are lost then, the process and what it has taken are not.
-func TestTheReaderOfTheLogGoes(t *testing.T) {
-	cmd, log, at := piped(t)
+// The reader of the log closes its pipe: log lines are lost, but the process must go on serving.
+func TestLogReaderCloses(t *testing.T) {
+	cmd, log, address := startWithPipedLog(t)
 	log.Close()
 	for range 3 {
-		cmd.Process.Signal(syscall.SIGHUP) // has a line written
+		cmd.Process.Signal(syscall.SIGHUP) // causes a log line
 		time.Sleep(50 * time.Millisecond)
-		if err := answers(at, 2*time.Second); err != nil {
+		if err := waitReachable(address, 2*time.Second); err != nil {
 			t.Fatalf("%v; the process: %v", err, cmd.Wait())
 		}
 	}
@@ -58,9 +58,9 @@
 	}
 }
 
-// Whoever reads the log may stall: lines wait or are lost and counted, the loop goes on.
-func TestTheReaderOfTheLogStalls(t *testing.T) {
-	cmd, log, at := piped(t)
+// The reader of the log stalls: log lines wait or are dropped and counted, but the loop must not block.
+func TestLogReaderStalls(t *testing.T) {
+	cmd, log, address := startWithPipedLog(t)
 	full, err := os.OpenFile(fmt.Sprintf("/proc/%d/fd/2", cmd.Process.Pid), os.O_WRONLY|unix.O_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -69,22 +69,22 @@
 	for unix.SetNonblock(fd, true); err == nil; _, err = unix.Write(fd, []byte("x\n")) {
 	}
 	full.Close()
-	conn, err := net.Dial("tcp", at)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for range 20 {
-		cmd.Process.Signal(syscall.SIGHUP) // has a line written
+		cmd.Process.Signal(syscall.SIGHUP) // causes a log line
 		time.Sleep(10 * time.Millisecond)
 		conn.SetDeadline(time.Now().Add(time.Second))
 		fmt.Fprintf(conn, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-		answer, err := http.ReadResponse(in, nil)
+		response, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("while the log's reader stalls: %v", err)
+			t.Fatalf("while the reader of the log stalls: %v", err)
 		}
-		io.Copy(io.Discard, answer.Body)
+		io.Copy(io.Discard, response.Body)
 	}
 	read := make(chan string)
 	go func() {
@@ -96,22 +96,23 @@
 		t.Error(err)
 	}
 	if text := <-read; !strings.Contains(text, "msg=ended") {
-		t.Errorf("once it reads on, the log goes on; it ends with %q", text[max(0, len(text)-300):])
+		t.Errorf("the log does not go on once it is read again; it ends with %q", text[max(0, len(text)-300):])
 	}
 }
 
-// SIGINT after SIGTERM, or a series of either, changes nothing of a planned end: what is open still gets its answer.
-func TestASeriesOfSignalsIsOneEnd(t *testing.T) {
-	for _, series := range [][]syscall.Signal{{syscall.SIGTERM, syscall.SIGINT}, {syscall.SIGTERM, syscall.SIGINT, syscall.SIGINT, syscall.SIGTERM},
+// A SIGINT after SIGTERM, or repeated signals, must not cut the graceful shutdown short: open requests still get their response.
+func TestRepeatedSignalsCauseOneShutdown(t *testing.T) {
+	for _, series := range [][]syscall.Signal{{syscall.SIGTERM, syscall.SIGINT},
+		{syscall.SIGTERM, syscall.SIGINT, syscall.SIGINT, syscall.SIGTERM},
 		{syscall.SIGINT, syscall.SIGTERM}, {syscall.SIGINT, syscall.SIGTERM, syscall.SIGINT}} {
 		t.Run(fmt.Sprint(series), func(t *testing.T) {
 			t.Parallel()
-			config, at := configured(t)
+			config, address := writeConfig(t)
 			cmd, out := sandpass(config, "serve")
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
-			if err := answers(at, 10*time.Second); err != nil {
+			if err := waitReachable(address, 10*time.Second); err != nil {
 				t.Fatal(err)
 			}
 			for _, s := range series {
--- a/cmd/sandpass/signals.go
+++ b/cmd/sandpass/signals.go
@@ -1,4 +1,5 @@
-// This file owns the signals, which are handled from before the configuration is read; early.go has what comes sooner. It must never let a signal end the process but a second SIGINT where no SIGTERM came.
+// This file handles signals from before the configuration is read; startup_signals.go covers the time before. No signal may end
+// the process at once except a second SIGINT without a SIGTERM before it.
 package main
 
 import (
@@ -9,52 +10,53 @@
 	"syscall"
 )
 
-const signalsMost = 16 // that wait to be handled: a series comes while a process stands still
+const maxPendingSignals = 16 // signals queued: several may arrive while the process is stalled
 
-// endSignals and reloadSignals have what came since the start. Each kind has a channel of its own: one that comes while
-// others wait must not be dropped.
-var endSignals, reloadSignals = make(chan os.Signal, signalsMost), make(chan os.Signal, 1)
+// shutdownSignals and reloadSignals receive the signals since the start. Each kind has its own channel, so that signals of one
+// kind that wait to be handled cause none of the other to be dropped.
+var shutdownSignals, reloadSignals = make(chan os.Signal, maxPendingSignals), make(chan os.Signal, 1)
 
+// init handles signals from the start of main's package on, before the configuration is read.
 func init() {
-	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go
-	signal.Notify(endSignals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Ignore(syscall.SIGPIPE) // the reader of the log may close its pipe
+	signal.Notify(shutdownSignals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 }
 
-// defaultSignals has signals do what they do to any program, for commands that handle none, and for a program that this one
-// becomes.
-func defaultSignals() {
+// restoreDefaultSignals restores the default actions of all signals, for subcommands that handle none and before exec of another
+// program.
+func restoreDefaultSignals() {
 	signal.Reset()
-	endEarlySignals()
+	restoreStartupSignals()
 }
 
-// endRequest is what the signals that ask for the end have said so far.
-type endRequest struct{ interrupted, terminated bool }
+// shutdownRequest records which shutdown signals have been received.
+type shutdownRequest struct{ interrupted, terminated bool }
 
-// receive takes a signal and tells whether the process is to end at once: at a second SIGINT, which is somebody at a
-// terminal. After a SIGTERM, which announces a kill, nothing cuts the planned end short.
-func (e *endRequest) receive(s os.Signal) (atOnce bool) {
+// receive records a signal and reports whether the process must end immediately: at a second SIGINT, which a user sends from a
+// terminal. After a SIGTERM, which announces a kill, nothing cuts the graceful shutdown short.
+func (r *shutdownRequest) receive(s os.Signal) (immediately bool) {
 	switch {
 	case s == syscall.SIGTERM:
-		e.terminated = true
-	case e.interrupted && !e.terminated:
+		r.terminated = true
+	case r.interrupted && !r.terminated:
 		return true
 	default:
-		e.interrupted = true
+		r.interrupted = true
 	}
 	return false
 }
 
-// followEnd cancels the context and sets asked at the first signal that asks for the end, and rings each time.
-func followEnd(asked *atomic.Bool, cancel context.CancelFunc, ring func()) {
-	var request endRequest
-	for s := range endSignals {
+// handleShutdownSignals sets shutdownRequested, cancels the context and calls wakeUp at each shutdown signal.
+func handleShutdownSignals(shutdownRequested *atomic.Bool, cancel context.CancelFunc, wakeUp func()) {
+	var request shutdownRequest
+	for s := range shutdownSignals {
 		if request.receive(s) {
 			signal.Reset(syscall.SIGINT)
-			syscall.Kill(os.Getpid(), syscall.SIGINT) // the shell is told what ended it
+			syscall.Kill(os.Getpid(), syscall.SIGINT) // the shell sees which signal ended the process
 		}
-		asked.Store(true)
+		shutdownRequested.Store(true)
 		cancel()
-		ring()
+		wakeUp()
 	}
 }
--- a/cmd/sandpass/start_test.go
+++ b/cmd/sandpass/start_test.go
@@ -16,8 +16,8 @@
 	"sandpass/internal/faultinject"
 )
 
-// configured writes the example's configuration with an address that is free, and gives both.
-func configured(t *testing.T) (config, at string) {
+// writeConfig writes the example configuration with a free address, and returns its path and the address.
+func writeConfig(t *testing.T) (config, address string) {
 	t.Helper()
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
@@ -27,39 +27,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at = free.Addr().String()
+	address = free.Addr().String()
 	free.Close()
 	config = filepath.Join(t.TempDir(), "c.json")
-	changed := strings.NewReplacer("127.0.0.1:9000", at, "127.0.0.1:9100", "127.0.0.1:0", "127.0.0.1:8500", "127.0.0.1:1").Replace(string(text))
+	changed := strings.NewReplacer("127.0.0.1:9000", address, "127.0.0.1:9100", "127.0.0.1:0",
+		"127.0.0.1:8500", "127.0.0.1:1").Replace(string(text))
 	if err := os.WriteFile(config, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return config, at
+	return config, address
 }
 
-// answers waits until the process at the address answers whether it is ready, with either word.
-func answers(at string, within time.Duration) error {
+// waitReachable waits until the process at the address responds to the readiness check, with any status.
+func waitReachable(address string, timeout time.Duration) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for until := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
-		answer, err := client.Get("http://" + at + "/-/ready")
+	for deadline := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) {
+		response, err := client.Get("http://" + address + "/-/ready")
 		if err == nil {
-			answer.Body.Close()
+			response.Body.Close()
 			return nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return err
 		}
 	}
 }
 
-// A call of the start that fails for a moment delays it; nine in ten processes have 10 s, the others 30.
-func TestAStartOutlivesCallsThatFail(t *testing.T) {
-	for _, rules := range []string{"socket@1=ENFILE", "socket@1=ENOBUFS", "socket@1-5=EMFILE", "bind@1=EADDRNOTAVAIL", "bind@1-20=EADDRINUSE",
-		"listen@1=EADDRINUSE", "epoll_create@1=ENFILE", "epoll_create@1-3=ENOMEM", "eventfd@1=ENFILE", "epoll_ctl@1=ENOMEM",
-		"epoll_ctl@2=ENOSPC", "socket@1=ENFILE,bind@1=EADDRNOTAVAIL,listen@1=EADDRINUSE,epoll_ctl@1-2=ENOMEM"} {
+// A system call that fails temporarily during startup may only delay it. Nine in ten processes must start within 10 s, the others
+// within 30 s.
+func TestStartSurvivesFailingSystemCalls(t *testing.T) {
+	for _, rules := range []string{"socket@1=ENFILE", "socket@1=ENOBUFS", "socket@1-5=EMFILE", "bind@1=EADDRNOTAVAIL",
+		"bind@1-20=EADDRINUSE", "listen@1=EADDRINUSE", "epoll_create@1=ENFILE", "epoll_create@1-3=ENOMEM",
+		"eventfd@1=ENFILE", "epoll_ctl@1=ENOMEM", "epoll_ctl@2=ENOSPC",
+		"socket@1=ENFILE,bind@1=EADDRNOTAVAIL,listen@1=EADDRINUSE,epoll_ctl@1-2=ENOMEM"} {
 		t.Run(rules, func(t *testing.T) {
 			t.Parallel()
-			config, at := configured(t)
+			config, address := writeConfig(t)
 			cmd, out := sandpass(config, "serve")
 			cmd.Env = append(cmd.Env, faultinject.Env+"="+rules)
 			if err := cmd.Start(); err != nil {
@@ -67,20 +70,20 @@
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- cmd.Wait() }()
-			if err := answers(at, 10*time.Second); err != nil {
+			if err := waitReachable(address, 10*time.Second); err != nil {
 				cmd.Process.Kill()
 				t.Fatalf("%v; the process: %v, %s", err, <-ended, out)
 			}
 			cmd.Process.Signal(syscall.SIGTERM)
 			if err := <-ended; err != nil {
-				t.Errorf("its end: %v, %s", err, out)
+				t.Errorf("shutdown: %v, %s", err, out)
 			}
 		})
 	}
 }
 
-// runLine is the operators' own command with this test program in the place of theirs.
-func runLine(t *testing.T) string {
+// deployedCommand returns the command in the deployment file, with the test binary in place of bin/sandpass.
+func deployedCommand(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -99,11 +102,11 @@
 			return strings.Replace(command, "bin/sandpass", os.Args[0], 1)
 		}
 	}
-	t.Fatal("the deploy file has no run")
+	t.Fatal("the deployment file has no run line")
 	return ""
 }
 
-// status is a field of the process's status as the kernel tells it, nothing once it has ended.
+// status returns a field of /proc/PID/status, "" once the process has ended.
 func status(pid int, field string) string {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(text)) {
@@ -114,19 +117,19 @@
 	return ""
 }
 
-// inSet tells whether a set of signals, as status tells it, holds one.
+// inSet reports whether a signal set, in the format of /proc/PID/status, contains the signal.
 func inSet(set string, s syscall.Signal) bool {
 	bits, err := strconv.ParseUint(set, 16, 64)
 	return err == nil && bits>>(s-1)&1 == 1
 }
 
-// SIGHUP ends no process, however early it comes after exec: the configuration is read after that.
+// A SIGHUP must not end the process, however early after exec it arrives: the configuration is read later anyway.
 func TestSIGHUPRightAfterExec(t *testing.T) {
-	run := runLine(t)
+	run := deployedCommand(t)
 	for i := range 10 {
 		t.Run(strconv.Itoa(i), func(t *testing.T) {
 			t.Parallel()
-			config, at := configured(t)
+			config, address := writeConfig(t)
 			out := &output{}
 			cmd := exec.Command("/bin/sh", "-c", run)
 			cmd.Env = append(os.Environ(), "SANDPASS_ITSELF=1", "NODE_CONFIG="+config)
@@ -136,34 +139,34 @@
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- cmd.Wait() }()
-			for status(cmd.Process.Pid, "Name") == "sh" { // until it is the program: the signal is for that
+			for status(cmd.Process.Pid, "Name") == "sh" { // until the shell has executed the program
 			}
 			time.Sleep(time.Duration(i) * time.Millisecond)
 			cmd.Process.Signal(syscall.SIGHUP)
-			if err := answers(at, 10*time.Second); err != nil {
+			if err := waitReachable(address, 10*time.Second); err != nil {
 				cmd.Process.Kill()
 				t.Fatalf("%v; the process: %v, %s", err, <-ended, out)
 			}
 			cmd.Process.Signal(syscall.SIGTERM)
 			if err := <-ended; err != nil {
-				t.Errorf("its end: %v, %s", err, out)
+				t.Errorf("shutdown: %v, %s", err, out)
 			}
 		})
 	}
 }
 
-// SIGTERM before any of the program's Go code runs ends it as well, and in order.
+// A SIGTERM before any Go code of the program runs must end it with status 0.
 func TestSIGTERMRightAfterExec(t *testing.T) {
 	for i := range 5 {
-		config, _ := configured(t)
+		config, _ := writeConfig(t)
 		cmd, out := sandpass(config, "serve")
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
 		ended := make(chan error, 1)
 		go func() { ended <- cmd.Wait() }()
-		until := time.Now().Add(5 * time.Second)
-		for !inSet(status(cmd.Process.Pid, "SigCgt"), syscall.SIGTERM) && time.Now().Before(until) {
+		deadline := time.Now().Add(5 * time.Second)
+		for !inSet(status(cmd.Process.Pid, "SigCgt"), syscall.SIGTERM) && time.Now().Before(deadline) {
 		}
 		time.Sleep(time.Duration(i) * time.Millisecond)
 		cmd.Process.Signal(syscall.SIGTERM)
@@ -174,7 +177,7 @@
 			}
 		case <-time.After(10 * time.Second):
 			cmd.Process.Kill()
-			t.Errorf("%d: it did not end, %s", i, out)
+			t.Errorf("%d: the process did not end, %s", i, out)
 		}
 	}
 }
--- a/cmd/sandpass/upgrade_test.go
+++ b/cmd/sandpass/upgrade_test.go
@@ -18,29 +18,30 @@
 	"time"
 )
 
-// platform holds the clients' listener, a backend and the configuration for several versions of the program.
+// platform has the listener for clients, a backend and the configuration, shared by successive processes of the program.
 type platform struct {
-	t       *testing.T
-	socket  *os.File
-	at      string
-	dir     string
-	config  string
-	backend net.Listener
-	slow    atomic.Int64 // nanoseconds that the backend takes
-	mu      sync.Mutex
-	ran     map[string]int // commands by Req-Id
-	ids     atomic.Int64
+	t            *testing.T
+	socket       *os.File
+	address      string
+	dir          string
+	config       string
+	backend      net.Listener
+	backendDelay atomic.Int64 // nanoseconds per request of the backend
+	mu           sync.Mutex
+	ran          map[string]int // runs by Req-Id
+	ids          atomic.Int64
 }
 
+// newPlatform starts the backend and writes the configuration.
 func newPlatform(t *testing.T) *platform {
 	t.Helper()
 	p := &platform{t: t, dir: t.TempDir(), ran: map[string]int{}}
-	p.slow.Store(int64(5 * time.Millisecond))
+	p.backendDelay.Store(int64(5 * time.Millisecond))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.at = l.Addr().String()
+	p.address = l.Addr().String()
 	if p.socket, err = l.(*net.TCPListener).File(); err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +51,7 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == "/pay/large" { // gives back as many bytes as it got
+		if r.URL.Path == "/pay/large" { // responds with as many bytes as it received
 			n, _ := io.Copy(io.Discard, r.Body)
 			w.Header().Set("Content-Length", fmt.Sprint(n))
 			for part := make([]byte, 1<<16); n > 0; n -= int64(len(part)) {
@@ -62,7 +63,7 @@
 		p.mu.Lock()
 		p.ran[r.Header.Get("Req-Id")]++
 		p.mu.Unlock()
-		time.Sleep(time.Duration(p.slow.Load()))
+		time.Sleep(time.Duration(p.backendDelay.Load()))
 		w.Write(append([]byte("echo:"), body...))
 	})}
 	go server.Serve(p.backend)
@@ -75,7 +76,7 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		t.Fatal(err)
 	}
-	c["listen"], c["discovery"] = p.at, "127.0.0.1:1"
+	c["listen"], c["discovery"] = p.address, "127.0.0.1:1"
 	c["known"] = json.RawMessage(fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[{"name":"s-1","address":"%s",
 		"zone":"a","group":1,"status":"ready","weight":1,"since_ms":0}]}`, p.backend.Addr()))
 	p.config = filepath.Join(p.dir, "c.json")
@@ -88,7 +89,7 @@
 	return p
 }
 
-// process is one version of the program.
+// process is one running process of the program.
 type process struct {
 	*exec.Cmd
 	out   *output
@@ -96,6 +97,7 @@
 	ended chan error
 }
 
+// start starts a process that inherits the listener.
 func (p *platform) start() *process {
 	p.t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -115,30 +117,31 @@
 	return v
 }
 
-// call is an operators' call, 0 where nobody answers.
-func (v *process) call(method, path string) int {
+// callOperators makes an operator call and returns its status, 0 if there is no response.
+func (v *process) callOperators(method, path string) int {
 	r, _ := http.NewRequest(method, "http://"+v.ops+path, nil)
 	r.Close = true
 	c := http.Client{Timeout: 2 * time.Second}
-	rsp, err := c.Do(r)
+	response, err := c.Do(r)
 	if err != nil {
 		return 0
 	}
-	rsp.Body.Close()
-	return rsp.StatusCode
+	response.Body.Close()
+	return response.StatusCode
 }
 
-// takes waits for the yes, which is due within 6 s.
-func (v *process) takes(t *testing.T) {
+// waitHealthy waits until the health check succeeds, which must happen within 6 s.
+func (v *process) waitHealthy(t *testing.T) {
 	t.Helper()
-	for began := time.Now(); v.call("GET", "/admin/health") != 200; time.Sleep(10 * time.Millisecond) {
-		if time.Since(began) > 6*time.Second {
-			t.Fatalf("no yes within 6 s: %s", v.out)
+	for start := time.Now(); v.callOperators("GET", "/admin/health") != 200; time.Sleep(10 * time.Millisecond) {
+		if time.Since(start) > 6*time.Second {
+			t.Fatalf("not healthy within 6 s: %s", v.out)
 		}
 	}
 }
 
-func (v *process) gone(t *testing.T) {
+// waitEnded waits for the process to end cleanly, at most 3.7 s.
+func (v *process) waitEnded(t *testing.T) {
 	t.Helper()
 	select {
 	case err := <-v.ended:
@@ -146,24 +149,25 @@
 			t.Errorf("ended with %v: %s", err, v.out)
 		}
 	case <-time.After(3700 * time.Millisecond):
-		t.Errorf("still there 3.7 s after SIGTERM: %s", v.out)
+		t.Errorf("still running 3.7 s after SIGTERM: %s", v.out)
 	}
 }
 
-// crowd sends commands over kept connections until stop is called, which tells how many came to nothing.
-func (p *platform) crowd(n int) (stop func() (all, broken, declined int64)) {
-	var all, broken, declined atomic.Int64
-	var wait sync.WaitGroup
-	end := make(chan bool)
+// sendCommands sends commands over n persistent connections until stop is called, which returns how many were sent, broken off
+// and declined.
+func (p *platform) sendCommands(n int) (stop func() (sent, broken, declined int64)) {
+	var sent, broken, declined atomic.Int64
+	var clients sync.WaitGroup
+	done := make(chan bool)
 	for range n {
-		wait.Add(1)
+		clients.Add(1)
 		go func() {
-			defer wait.Done()
+			defer clients.Done()
 			var c net.Conn
 			var in *bufio.Reader
 			for {
 				select {
-				case <-end:
+				case <-done:
 					if c != nil {
 						c.Close()
 					}
@@ -172,26 +176,26 @@
 				}
 				if c == nil {
 					var err error
-					if c, err = net.Dial("tcp", p.at); err != nil {
+					if c, err = net.Dial("tcp", p.address); err != nil {
 						broken.Add(1)
 						continue
 					}
 					in = bufio.NewReader(c)
 				}
-				all.Add(1)
+				sent.Add(1)
 				fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nReq-Id: %d\r\nReq-Kind: pay\r\nContent-Length: 0\r\n\r\n",
 					p.ids.Add(1))
-				rsp, err := http.ReadResponse(in, nil)
+				response, err := http.ReadResponse(in, nil)
 				if err == nil {
-					_, err = io.Copy(io.Discard, rsp.Body)
+					_, err = io.Copy(io.Discard, response.Body)
 				}
 				switch {
 				case err != nil:
 					broken.Add(1)
-				case err == nil && rsp.StatusCode != 200:
+				case err == nil && response.StatusCode != 200:
 					declined.Add(1)
 				}
-				if err != nil || rsp.Close {
+				if err != nil || response.Close {
 					c.Close()
 					c = nil
 				}
@@ -200,58 +204,59 @@
 		}()
 	}
 	return func() (int64, int64, int64) {
-		close(end)
-		wait.Wait()
-		return all.Load(), broken.Load(), declined.Load()
+		close(done)
+		clients.Wait()
+		return sent.Load(), broken.Load(), declined.Load()
 	}
 }
 
+// Upgrades under load: no command may be broken off or declined, and none may run twice.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
 	p := newPlatform(t)
 	old := p.start()
-	old.takes(t)
-	stop := p.crowd(5)
-	time.Sleep(700 * time.Millisecond) // the list is old for 0.5 s
-	if got := old.call("POST", "/admin/cordon/s-2"); got != 404 {
+	old.waitHealthy(t)
+	stop := p.sendCommands(5)
+	time.Sleep(700 * time.Millisecond) // after 0.5 s without discovery the list in the configuration is used
+	if got := old.callOperators("POST", "/admin/cordon/s-2"); got != 404 {
 		t.Errorf("an unknown id: %d", got)
 	}
-	// Two versions in a row; what one learned of operators the next knows.
+	// Two upgrades in a row; each process learns the operator calls from its predecessor.
 	for i := range 2 {
-		if i == 1 { // commands that outlast the old one's SIGTERM
-			p.slow.Store(int64(900 * time.Millisecond))
+		if i == 1 { // commands that are still running at the old process's SIGTERM
+			p.backendDelay.Store(int64(900 * time.Millisecond))
 			time.Sleep(100 * time.Millisecond)
 		}
 		next := p.start()
-		next.takes(t)
+		next.waitHealthy(t)
 		old.Process.Signal(syscall.SIGTERM)
-		old.gone(t)
-		p.slow.Store(int64(5 * time.Millisecond))
-		for began := time.Now(); !strings.Contains(next.out.String(), "msg=predecessor_gone"); time.Sleep(5 * time.Millisecond) {
-			if time.Since(began) > time.Second {
-				t.Fatalf("version %d does not know that it is alone: %s", i+2, next.out)
+		old.waitEnded(t)
+		p.backendDelay.Store(int64(5 * time.Millisecond))
+		for start := time.Now(); !strings.Contains(next.out.String(), "msg=predecessor_gone"); time.Sleep(5 * time.Millisecond) {
+			if time.Since(start) > time.Second {
+				t.Fatalf("process %d did not notice that its predecessor has ended: %s", i+2, next.out)
 			}
 		}
 		old = next
 	}
-	// One that dies before its yes changes nothing, nor does one that connects and says nothing.
-	dead := p.start()
-	dead.Process.Kill()
-	<-dead.ended
-	mute, err := net.Dial("unix", filepath.Join(p.dir, "sandpass-"+p.at+".sock"))
+	// A process that dies before it is healthy must change nothing, nor must one that connects and then sends nothing more.
+	killed := p.start()
+	killed.Process.Kill()
+	<-killed.ended
+	silent, err := net.Dial("unix", filepath.Join(p.dir, "sandpass-"+p.address+".sock"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintln(mute, `{"v":1,"say":"hello","more":true}`)
+	fmt.Fprintln(silent, `{"v":1,"say":"hello","more":true}`)
 	time.Sleep(300 * time.Millisecond)
-	mute.Close()
+	silent.Close()
 	time.Sleep(300 * time.Millisecond)
-	// The thousand must have come, however fast the machine is.
-	for began := time.Now(); p.ids.Load() < 1000 && time.Since(began) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
+	// The test needs a thousand commands; on a fast machine the upgrades end before that many have been sent.
+	for start := time.Now(); p.ids.Load() < 1000 && time.Since(start) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
 	}
-	all, broken, declined := stop()
-	if all < 1000 || broken > 0 || declined > 0 {
-		t.Errorf("of %d commands %d broke on a fresh connection, %d were declined: %s", all, broken, declined, old.out)
+	sent, broken, declined := stop()
+	if sent < 1000 || broken > 0 || declined > 0 {
+		t.Errorf("of %d commands %d were broken off and %d declined: %s", sent, broken, declined, old.out)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,56 +267,59 @@
 	}
 }
 
-// What operators said holds over an upgrade, and a call during the overlap holds in both processes.
-func TestUpgradeLeftOut(t *testing.T) {
+// Operator calls must survive an upgrade, and a call while both processes run must apply to both.
+func TestUpgradeKeepsCordons(t *testing.T) {
 	t.Parallel()
 	p := newPlatform(t)
-	one := p.start()
-	one.takes(t)
-	if got := one.call("POST", "/admin/cordon/s-1"); got != 200 {
+	first := p.start()
+	first.waitHealthy(t)
+	if got := first.callOperators("POST", "/admin/cordon/s-1"); got != 200 {
 		t.Fatalf("cordon: %d", got)
 	}
-	two := p.start()
-	two.takes(t)
-	for _, v := range []*process{one, two} {
-		if got := v.call("POST", "/admin/cordon/s-1"); got != 200 {
-			t.Errorf("left out, and not known: %d", got)
+	second := p.start()
+	second.waitHealthy(t)
+	for _, v := range []*process{first, second} {
+		if got := v.callOperators("POST", "/admin/cordon/s-1"); got != 200 {
+			t.Errorf("repeated cordon: %d", got)
 		}
 	}
-	ask := func() int {
-		c, err := net.Dial("tcp", p.at)
+	request := func() int {
+		c, err := net.Dial("tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		fmt.Fprintf(c, "GET /look/x HTTP/1.1\r\nHost: a\r\nReq-Id: %d\r\nReq-Kind: look\r\n\r\n", p.ids.Add(1))
-		rsp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			return 0
 		}
-		return rsp.StatusCode
+		return response.StatusCode
 	}
-	if got := ask(); got != 503 {
-		t.Errorf("%d though all is left out", got)
+	if got := request(); got != 503 {
+		t.Errorf("status %d though all backends are cordoned", got)
 	}
-	if got := two.call("POST", "/admin/uncordon/s-1"); got != 200 || !strings.Contains(two.out.String(), "msg=handed_over") {
-		t.Errorf("called back: %d, %s", got, two.out)
+	if got := second.callOperators("POST", "/admin/uncordon/s-1"); got != 200 ||
+		!strings.Contains(second.out.String(), "msg=handed_over") {
+		t.Errorf("uncordon: %d, %s", got, second.out)
 	}
-	one.Process.Kill()                                                                // without a word
-	for began, got := time.Now(), 0; got != 200; time.Sleep(200 * time.Millisecond) { // it is cold: not at once
-		if got = ask(); time.Since(began) > 5*time.Second {
-			t.Fatalf("%d, 5 s after the call back", got)
+	first.Process.Kill()                                                              // without a handover message
+	for start, got := time.Now(), 0; got != 200; time.Sleep(200 * time.Millisecond) { // not at once: the backend is cold
+		if got = request(); time.Since(start) > 5*time.Second {
+			t.Fatalf("status %d, 5 s after the uncordon", got)
 		}
 	}
-	three := p.start()
-	three.takes(t)
-	if got := three.call("POST", "/admin/quiesce"); got != 200 || !strings.Contains(three.out.String(), "left_out=0") {
-		t.Errorf("%d, %s", got, three.out)
+	third := p.start()
+	third.waitHealthy(t)
+	if got := third.callOperators("POST", "/admin/quiesce"); got != 200 ||
+		!strings.Contains(third.out.String(), "left_out=0") {
+		t.Errorf("quiesce: %d, %s", got, third.out)
 	}
 }
 
-// Bodies far over the memory limit together, both ways, some read slowly: the process keeps to its limit.
-func TestLargeWithLittleMemory(t *testing.T) {
+// Request and response bodies that together far exceed the memory limit, some read slowly: the process must stay within its
+// limit.
+func TestLargeBodiesStayWithinMemoryLimit(t *testing.T) {
 	const size, clients, limitKB = 32 << 20, 6, 64 << 10
 	p := newPlatform(t)
 	text, err := os.ReadFile(p.config)
@@ -322,26 +330,26 @@
 		t.Fatalf("%v, %s", err, text)
 	}
 	v := p.start()
-	v.takes(t)
+	v.waitHealthy(t)
 	ended := make(chan error, clients)
 	for i := range clients {
 		go func() {
-			r, _ := http.NewRequest("POST", "http://"+p.at+"/pay/large", io.LimitReader(zeros{}, size))
+			r, _ := http.NewRequest("POST", "http://"+p.address+"/pay/large", io.LimitReader(zeroReader{}, size))
 			if i%2 == 0 {
 				r.ContentLength = size
 			}
 			r.Header.Set("Req-Id", fmt.Sprint("large-", i))
 			r.Header.Set("Req-Kind", "pay")
-			rsp, err := (&http.Transport{}).RoundTrip(r)
+			response, err := (&http.Transport{}).RoundTrip(r)
 			if err != nil {
 				ended <- err
 				return
 			}
-			defer rsp.Body.Close()
+			defer response.Body.Close()
 			time.Sleep(time.Duration(i) * 200 * time.Millisecond) // does not read for a while
-			n, err := io.Copy(io.Discard, rsp.Body)
-			if err == nil && (rsp.StatusCode != 200 || n != size) {
-				err = fmt.Errorf("status %d, %d bytes", rsp.StatusCode, n)
+			n, err := io.Copy(io.Discard, response.Body)
+			if err == nil && (response.StatusCode != 200 || n != size) {
+				err = fmt.Errorf("status %d, %d bytes", response.StatusCode, n)
 			}
 			ended <- err
 		}()
@@ -356,17 +364,19 @@
 		t.Fatal(err)
 	}
 	_, peak, _ := strings.Cut(string(status), "VmHWM:")
-	var kB int
-	if _, err := fmt.Sscan(peak, &kB); err != nil || kB == 0 || kB > limitKB {
-		t.Errorf("%d kB at the peak of %d, %v", kB, limitKB, err)
+	var peakKB int
+	if _, err := fmt.Sscan(peak, &peakKB); err != nil || peakKB == 0 || peakKB > limitKB {
+		t.Errorf("peak of %d kB, limit %d kB, %v", peakKB, limitKB, err)
 	}
-	t.Logf("peak %d kB for %d MB", kB, 2*clients*size>>20)
+	t.Logf("peak %d kB for %d MB", peakKB, 2*clients*size>>20)
 }
 
-type zeros struct{}
+// zeroReader is an endless stream; it leaves the buffer as it is.
+type zeroReader struct{}
 
-func (zeros) Read(b []byte) (int, error) { return len(b), nil }
+func (zeroReader) Read(b []byte) (int, error) { return len(b), nil }
 
+// A bad operator address or inherited descriptor must fail the start with one line of output that names it.
 func TestBadSocket(t *testing.T) {
 	for name, env := range map[string]string{"ops: ": "NODE_OPS=nowhere", "socket: ": "NODE_SOCKET_FD=x"} {
 		cmd, out := sandpass("../../example/config.json", "check")
