--- a/internal/jsonstream/jsonstream.go
+++ b/internal/jsonstream/jsonstream.go
@@ -1,6 +1,6 @@
-// Package jsonstream cuts a stream of bytes into the JSON objects in it, however they are laid out: each on a line of its own,
-// indented over many, or cut anywhere between two reads. It holds the beginning of one object at most and must never
-// look at what it means; whether it is valid JSON is for who decodes it.
+// Package jsonstream splits a stream of bytes into JSON objects, whatever their layout: one on each line, indented over many
+// lines, or split anywhere between two reads. It buffers at most one incomplete object and does not validate it; that is up to
+// the decoder.
 package jsonstream
 
 import (
@@ -8,65 +8,65 @@
 	"errors"
 )
 
-// What a stream can't go on after.
+// Errors after which a stream cannot continue.
 var (
-	ErrTooLong   = errors.New("an object is too long")
-	ErrNotObject = errors.New("something other than an object")
-	ErrTruncated = errors.New("an object that breaks off")
+	ErrTooLong   = errors.New("JSON object too long")
+	ErrNotObject = errors.New("data outside of a JSON object")
+	ErrTruncated = errors.New("truncated JSON object")
 )
 
-// Cutter cuts one stream. Make it with its bound, in bytes of an object; its other fields are its own.
+// Splitter splits one stream. Set MaxObjectBytes before use.
 type Splitter struct {
 	MaxObjectBytes int
-	held           []byte // an object's beginning, from earlier calls
-	depth          int    // of brackets
-	text           bool   // inside a string
-	escaped        bool   // after a backslash in it
-	empty          bool   // the line so far is empty: no object has such a line, so one that does broke off
+	partial        []byte // beginning of an object, from earlier calls
+	depth          int    // nesting of braces and brackets
+	inString       bool   // inside a JSON string
+	escaped        bool   // after a backslash in a string
+	lineEmpty      bool   // the line so far is empty; inside an object that means that the object was cut off
 }
 
-// Next gives the first whole object in data, or an empty one for the end of a line outside of any, and what follows it.
-// With nil all of the data is taken and more is needed. The object is good until the next call.
-func (c *Splitter) Next(data []byte) (object, rest []byte, err error) {
-	from := 0
+// Next returns the first whole object in data, or an empty one for the end of a line outside of any object, and the data that
+// follows it. It returns nil when all data is consumed and more is needed. The object is valid until the next call.
+func (s *Splitter) Next(data []byte) (object, rest []byte, err error) {
+	start := 0
 	for i := 0; i < len(data); i++ {
 		b := data[i]
-		if c.depth > 0 && b == '\n' && (c.text || c.empty) {
+		if s.depth > 0 && b == '\n' && (s.inString || s.lineEmpty) {
 			return nil, nil, ErrTruncated
 		}
-		c.empty = b == '\n' || c.empty && b == '\r'
+		s.lineEmpty = b == '\n' || s.lineEmpty && b == '\r'
 		switch {
-		case c.escaped:
-			c.escaped = false
-		case c.text && b == '\\':
-			c.escaped = true
-		case b == '"' && c.depth > 0:
-			c.text = !c.text
-		case c.text:
-		case b == '{' || b == '[' && c.depth > 0:
-			if c.depth++; c.depth == 1 {
-				from = i
+		case s.escaped:
+			s.escaped = false
+		case s.inString && b == '\\':
+			s.escaped = true
+		case b == '"' && s.depth > 0:
+			s.inString = !s.inString
+		case s.inString:
+		case b == '{' || b == '[' && s.depth > 0:
+			if s.depth++; s.depth == 1 {
+				start = i
 			}
-		case (b == '}' || b == ']') && c.depth > 0:
-			if c.depth--; c.depth == 0 {
-				if len(c.held)+i+1-from > c.MaxObjectBytes {
+		case (b == '}' || b == ']') && s.depth > 0:
+			if s.depth--; s.depth == 0 {
+				if len(s.partial)+i+1-start > s.MaxObjectBytes {
 					return nil, nil, ErrTooLong
 				}
-				object = data[from : i+1]
-				if len(c.held) > 0 {
-					object, c.held = append(c.held, object...), nil
+				object = data[start : i+1]
+				if len(s.partial) > 0 {
+					object, s.partial = append(s.partial, object...), nil
 				}
 				return object, data[i+1:], nil
 			}
-		case c.depth > 0:
+		case s.depth > 0:
 		case b == '\n':
 			return data[i:i], data[i+1:], nil
 		case len(bytes.TrimSpace(data[i:i+1])) > 0:
 			return nil, nil, ErrNotObject
 		}
 	}
-	if c.depth > 0 {
-		if c.held = append(c.held, data[from:]...); len(c.held) > c.MaxObjectBytes {
+	if s.depth > 0 {
+		if s.partial = append(s.partial, data[start:]...); len(s.partial) > s.MaxObjectBytes {
 			return nil, nil, ErrTooLong
 		}
 	}
--- a/internal/jsonstream/jsonstream_test.go
+++ b/internal/jsonstream/jsonstream_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// all cuts a stream that comes in pieces of a size.
-func all(c *Splitter, text string, size int) (objects []string, blanks int, err error) {
+// splitAll splits a stream that arrives in pieces of the given size.
+func splitAll(c *Splitter, text string, size int) (objects []string, blanks int, err error) {
 	for len(text) > 0 {
 		data := []byte(text[:min(size, len(text))])
 		text = text[len(data):]
@@ -33,13 +33,13 @@
 	return objects, blanks, nil
 }
 
-func TestObjectsOverManyLines(t *testing.T) {
+func TestLayouts(t *testing.T) {
 	one := `{"a":[1,{"b":"}\"{]"}],"c":"\\"}`
 	var indented bytes.Buffer
 	json.Indent(&indented, []byte(one), "", "  ")
 	stream := "\n" + one + "\n\n" + indented.String() + "\n" + one + one + "\r\n"
 	for size := 1; size <= len(stream); size++ {
-		got, blanks, err := all(&Splitter{MaxObjectBytes: 200}, stream, size)
+		got, blanks, err := splitAll(&Splitter{MaxObjectBytes: 200}, stream, size)
 		if err != nil || len(got) != 4 || blanks != 5 {
 			t.Fatalf("in pieces of %d: %d objects, %d empty lines, %v", size, len(got), blanks, err)
 		}
@@ -51,32 +51,33 @@
 	}
 }
 
-func TestWhatIsNoObject(t *testing.T) {
+func TestInvalidStreams(t *testing.T) {
 	for text, want := range map[string]error{"null\n": ErrNotObject, "{}x": ErrNotObject, "]": ErrNotObject, "[{}]": ErrNotObject,
 		"{\"a\":\n\n": ErrTruncated, "{\"a\":1,\n\r\n{}\n": ErrTruncated, "{\"a\":\"x\n": ErrTruncated, "{\"a\":\n1}\n\n": nil,
-		"{\"a\":\"" + strings.Repeat("x", 300): ErrTooLong, "{" + strings.Repeat(" ", 198) + "}": nil, "{" + strings.Repeat(" ", 199) + "}": ErrTooLong} {
+		"{\"a\":\"" + strings.Repeat("x", 300): ErrTooLong, "{" + strings.Repeat(" ", 198) + "}": nil,
+		"{" + strings.Repeat(" ", 199) + "}": ErrTooLong} {
 		for _, size := range []int{1, 7, 1000} {
-			if _, _, err := all(&Splitter{MaxObjectBytes: 200}, text, size); !errors.Is(err, want) {
+			if _, _, err := splitAll(&Splitter{MaxObjectBytes: 200}, text, size); !errors.Is(err, want) {
 				t.Errorf("%.20q in pieces of %d: %v", text, size, err)
 			}
 		}
 	}
 }
 
-// Whatever comes, in whatever pieces, the same objects are cut, and no more is held than allowed.
+// For any input, the pieces must not change which objects are found, and the buffer must stay within its limit.
 func FuzzPieces(f *testing.F) {
 	f.Add("{\"a\":1}\n{}\n", 3)
 	f.Add("{\"\\", 1)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		size = max(1, size%100)
 		c := &Splitter{MaxObjectBytes: 50}
-		got, _, err := all(c, text, size)
-		if len(c.held) > 50 && err == nil {
-			t.Fatalf("holds %d bytes", len(c.held))
+		got, _, err := splitAll(c, text, size)
+		if len(c.partial) > 50 && err == nil {
+			t.Fatalf("%d bytes buffered", len(c.partial))
 		}
-		whole, _, wholeErr := all(&Splitter{MaxObjectBytes: 50}, text, len(text)+1)
+		whole, _, wholeErr := splitAll(&Splitter{MaxObjectBytes: 50}, text, len(text)+1)
 		if fmt.Sprint(got) != fmt.Sprint(whole) && err == nil && wholeErr == nil {
-			t.Fatalf("%q and %q", got, whole)
+			t.Fatalf("%q in pieces, %q at once", got, whole)
 		}
 	})
 }
--- a/internal/watch/preferred.go
+++ b/internal/watch/preferred.go
@@ -4,50 +4,52 @@
 	"sandpass/internal/loop"
 )
 
-// planReturn has the preferred server tried after a while, as long as another one is asked.
-func (c *Client) planReturn() {
-	c.back.Stop()
-	c.endTrial()
-	if c.server != 0 {
-		c.back = c.loop.After(c.backWait*(0.5+c.config.Random()), c.tryPreferred)
+// schedulePreferred plans the next connection attempt to the preferred server, as long as another server is in use.
+func (c *Client) schedulePreferred() {
+	c.preferredTimer.Stop()
+	c.closePreferred()
+	if c.serverIndex != 0 {
+		c.preferredTimer = c.loop.After(c.preferredDelay*(0.5+c.config.Random()), c.tryPreferred)
 	}
 }
 
-// tryPreferred opens a connection to the preferred server. The present one is left only once that is up, so that a server
-// that is still away costs nothing.
+// tryPreferred opens a connection to the preferred server. The client switches only once that connection is up, so a preferred
+// server that is still unreachable costs nothing.
 func (c *Client) tryPreferred() {
-	trial, err := c.loop.Dial(c.config.Servers[0], preferred{c}, c.config.MaxObjectBytes)
+	conn, err := c.loop.Dial(c.config.Servers[0], preferredHandler{c}, c.config.MaxObjectBytes)
 	if err != nil {
-		c.stayAway()
+		c.preferredFailed()
 		return
 	}
-	c.trial = trial
-	c.back = c.loop.After(returnOpens, c.stayAway)
+	c.preferredConn = conn
+	c.preferredTimer = c.loop.After(preferredConnectTimeout, c.preferredFailed)
 }
 
-// stayAway goes on with the present server, and tries the preferred one less often.
-func (c *Client) stayAway() {
-	c.backWait = min(returnLast, 2*c.backWait)
-	c.planReturn()
+// preferredFailed stays with the current server and doubles the delay before the next attempt.
+func (c *Client) preferredFailed() {
+	c.preferredDelay = min(preferredDelayMax, 2*c.preferredDelay)
+	c.schedulePreferred()
 }
 
-func (c *Client) endTrial() {
-	if c.trial != nil {
-		c.trial.Close()
-		c.trial = nil
+// closePreferred ends a connection attempt to the preferred server.
+func (c *Client) closePreferred() {
+	if c.preferredConn != nil {
+		c.preferredConn.Close()
+		c.preferredConn = nil
 	}
 }
 
-// preferred is told how the trial goes.
-type preferred struct{ *Client }
+// preferredHandler receives the events of the connection attempt to the preferred server.
+type preferredHandler struct{ *Client }
 
-// Up leaves the present server for the preferred one, which takes connections.
-func (p preferred) OnConnect(*loop.Conn) {
+// OnConnect switches to the preferred server, which accepts connections again.
+func (p preferredHandler) OnConnect(*loop.Conn) {
 	p.Close()
-	p.server, p.backWait = 0, min(returnLast, 2*p.backWait) // one that is lost soon is not tried as soon again
+	// The delay is doubled, so that a connection that is lost soon is not followed by frequent attempts.
+	p.serverIndex, p.preferredDelay = 0, min(preferredDelayMax, 2*p.preferredDelay)
 	p.Open()
 }
 
-func (p preferred) OnDisconnect(*loop.Conn, error) { p.stayAway() }
-func (p preferred) OnData(*loop.Conn)              {}
-func (p preferred) OnFlushed(*loop.Conn)           {}
+func (p preferredHandler) OnDisconnect(*loop.Conn, error) { p.preferredFailed() }
+func (p preferredHandler) OnData(*loop.Conn)              {}
+func (p preferredHandler) OnFlushed(*loop.Conn)           {}
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,9 +1,9 @@
-// Package watch keeps one HTTP/1.1 answer open that brings JSON objects as they come, and opens it again after a loss.
+// Package watch keeps one HTTP/1.1 response open that streams JSON objects, and reopens it after a loss.
 //
-// It serves the watch on discovery's endpoints and the one on a control replica's configuration. The request may have a
-// body that stays open too, so that the client sends objects on the same connection. It runs on one internal/loop and
-// holds one connection, beside a short one that tries the preferred server and, where there is one server alone, earlier
-// ones that it may yet answer. It must never look at what an object means, and never stop asking before Close.
+// It serves the watch on discovery's endpoints and the watch on a control replica's configuration. The request may have a body
+// that stays open too, so that the client can send objects on the same connection. A client runs on one internal/loop and holds
+// one connection, plus a short one that tries the preferred server and, with a single server, earlier connections that it may
+// still answer. The package never interprets an object, and keeps reconnecting until Close.
 package watch
 
 import (
@@ -21,118 +21,121 @@
 )
 
 const (
-	unsentMost   = 256 << 10 // bytes that may wait to be sent: a server that reads nothing for so long is given up
-	reasonMost   = 200       // bytes of a refusal's text that are told
-	statusFine   = 200
-	starvedPause = 0.01  // seconds after which an opening is tried again for which the system had no descriptor
-	starvedMost  = 100   // such tries in a row, after which it counts as lost
-	lateFor      = 3.5   // seconds that a silent opening is kept beside the next: what it would tell counts as told then
-	lateMost     = 2     // such openings
-	trickle      = 1.0   // seconds without a byte after which an object that has begun stands still
-	returnFirst  = 20.0  // seconds on another server after which the preferred one is tried, with jitter
-	returnLast   = 320.0 // and at most, doubling while it can't be reached
-	returnOpens  = 2.0   // seconds in which the preferred one must take the connection
+	maxUnsentBytes          = 256 << 10 // bytes queued for sending; beyond that the server counts as not reading
+	maxReasonBytes          = 200       // bytes of a rejection's text in the error
+	statusOK                = 200
+	descriptorRetryDelay    = 0.01  // seconds before opening is retried when the process was out of descriptors
+	maxDescriptorRetries    = 100   // consecutive retries of that kind before the connection counts as lost
+	lingerTimeout           = 3.5   // seconds that a silent connection is kept; later data counts as received anyway
+	maxLingering            = 2     // silent connections kept at once
+	stallTimeout            = 1.0   // seconds without a byte after which a partially received object counts as stalled
+	preferredDelayMin       = 20.0  // seconds on another server before the preferred one is tried, with jitter
+	preferredDelayMax       = 320.0 // upper bound of that delay, which doubles while the preferred server is unreachable
+	preferredConnectTimeout = 2.0   // seconds within which the preferred server must accept the connection
 )
 
 var (
-	errSilent = errors.New("silent")
-	errEnded  = errors.New("the answer ended")
-	errUnsent = errors.New("the server does not read")
+	errSilent        = errors.New("no heartbeat")
+	errResponseEnded = errors.New("the response ended")
+	errNotReading    = errors.New("the server reads too slowly")
 )
 
-// Owner is whose watch it is. All methods are called on the loop.
+// Handler receives the events of a watch. All methods are called on the loop.
 type Handler interface {
-	// Request is the head of the request to a server, with the empty line. With Config.Body it announces a chunked body.
+	// RequestHead returns the head of the request to a server, with the empty line. With Config.StreamRequest it announces a
+	// chunked body.
 	RequestHead(to netip.AddrPort) []byte
-	// First is the first object of the request's body, nil for none; it is asked for with Config.Body alone.
+	// FirstMessage returns the first object of the request's body, nil for none. It is called with Config.StreamRequest only.
 	FirstMessage() []byte
-	// Decode reads an object, which is good until the method returns. After an error it counts for no sign of life, and the
-	// connection is given up.
+	// Decode parses an object, which is valid until the method returns. An object that Decode rejects does not count as a sign of
+	// life, and the connection is closed.
 	Decode(object []byte) error
-	// Take acts on the object decoded last. After an error the connection is given up.
+	// Apply acts on the object decoded last. After an error the connection is closed.
 	Apply() error
-	// Returned says that the first sign of life after a loss has come.
+	// Reconnected reports the first sign of life after a loss.
 	Reconnected()
-	// Lost says that the connection is lost; news is false where the same loss was told before.
+	// Disconnected reports that the connection is lost; news is false where the same loss was reported before.
 	Disconnected(err error, news bool)
 }
 
-// Config says how a watch is kept.
+// Config holds the servers and limits of a watch.
 type Config struct {
 	Servers         []netip.AddrPort // the preferred one first, the others in the order in which they are tried
-	MaxObjectBytes  int              // bytes of an object
-	StreamRequest   bool             // the request has a body that stays open, and refusals are told with their text
-	ReconnectSpread float64          // seconds over which clients that lost the same server come back, beside the usual wait
-	Random          func() float64   // draws from [0, 1), for jitter
+	MaxObjectBytes  int              // size limit of one object
+	StreamRequest   bool             // the request has a body that stays open, and rejections are reported with their text
+	ReconnectSpread float64          // seconds added to the usual delay at most, to spread the clients of a lost server
+	Random          func() float64   // returns numbers in [0, 1), for jitter
 }
 
-// Client is one watch. New makes it, Open starts it.
+// Client is one watch. New creates it, Open starts it.
 type Client struct {
 	liveness.Watch
-	*opening // the present one
-	loop     *loop.Loop
-	owner    Handler
-	config   Config
-	server   int         // the one asked now, a place in config.Servers
-	late     []*opening  // earlier ones that a slow server may yet answer, the oldest first
-	starved  int         // tries of this opening for which the system had no descriptor
-	again    *loop.Timer // opens it after a loss
-	back     *loop.Timer // tries the preferred server
-	backWait float64     // seconds after which it is tried next
-	trial    *loop.Conn  // connection that tries the preferred server
-	openedAt float64
-	lineAt   float64
+	*stream           // the current one
+	loop              *loop.Loop
+	handler           Handler
+	config            Config
+	serverIndex       int         // index of the current server in config.Servers
+	lingering         []*stream   // earlier connections that a slow server may still answer, oldest first
+	descriptorRetries int         // retries of the current attempt because the process was out of descriptors
+	reopenTimer       *loop.Timer // reopens the watch after a loss
+	preferredTimer    *loop.Timer // starts or times out the next attempt on the preferred server
+	preferredDelay    float64     // seconds before the next attempt on the preferred server
+	preferredConn     *loop.Conn  // connection attempt to the preferred server
+	openedAt          float64
+	lastReceivedAt    float64
 }
 
-// opening is one connection with what has come of its answer.
-type opening struct {
-	conn   *loop.Conn // nil before it is made and once it is given up
-	msg    http1.Message
-	chunks http1.ChunkReader
-	cutter jsonstream.Splitter
-	had    int     // bytes of the answer's body
-	gotAt  float64 // when the latest of them came
-	spoke  bool    // a whole object or an empty line has come
-	until  float64 // when a late one is given up
+// stream is one connection and the parse state of its response.
+type stream struct {
+	conn        *loop.Conn // nil before it is dialed and after it is closed
+	msg         http1.Message
+	chunks      http1.ChunkReader
+	splitter    jsonstream.Splitter
+	bodyBytes   int     // bytes of the response body
+	lastByteAt  float64 // when the latest of them arrived
+	delivered   bool    // a whole object or an empty line has arrived
+	lingerUntil float64 // when a lingering stream is closed
 }
 
-func (o *opening) close() {
-	if o.conn != nil {
-		o.conn.Close()
-		o.conn = nil
+// close closes the connection, if there is one.
+func (s *stream) close() {
+	if s.conn != nil {
+		s.conn.Close()
+		s.conn = nil
 	}
 }
 
-// New makes a watch that is not open yet.
-func New(l *loop.Loop, owner Handler, config Config) *Client {
-	c := &Client{loop: l, owner: owner, config: config, backWait: returnFirst}
+// New creates a watch that is not open yet.
+func New(l *loop.Loop, handler Handler, config Config) *Client {
+	c := &Client{loop: l, handler: handler, config: config, preferredDelay: preferredDelayMin}
 	c.Reset()
 	return c
 }
 
-// Server is the address asked now.
-func (c *Client) Server() netip.AddrPort { return c.config.Servers[c.server] }
+// Server returns the address of the current server.
+func (c *Client) Server() netip.AddrPort { return c.config.Servers[c.serverIndex] }
 
-// BodyBytes is how many bytes of the present answer's body have come.
-func (c *Client) BodyBytesReceived() int { return c.had }
+// BodyBytesReceived returns the number of bytes of the current response body.
+func (c *Client) BodyBytesReceived() int { return c.bodyBytes }
 
-// Connected tells whether an answer is open and its head has come.
+// Connected reports whether a response is open and its head has arrived.
 func (c *Client) Connected() bool { return c.conn != nil && c.msg.HeadComplete() }
 
-// LineAt is when a server's last sign of life came, 0 before the first.
-func (c *Client) LastReceivedAt() float64 { return c.lineAt }
+// LastReceivedAt returns when the last object or empty line arrived from any server, 0 before the first.
+func (c *Client) LastReceivedAt() float64 { return c.lastReceivedAt }
 
-// Open connects. Where the system has nothing for a socket it tries again soon: that says nothing of the server.
+// Open connects to the current server. If the process is out of descriptors it retries shortly, since that is no fault of the
+// server.
 func (c *Client) Open() {
-	next := c.newOpening()
-	conn, err := c.loop.Dial(c.Server(), handler{c, next}, c.config.MaxObjectBytes)
-	if loop.IsResourceExhausted(err) && c.starved < starvedMost {
-		c.starved++
-		c.again = c.loop.After(starvedPause, c.Open)
+	next := c.newStream()
+	conn, err := c.loop.Dial(c.Server(), streamHandler{c, next}, c.config.MaxObjectBytes)
+	if loop.IsResourceExhausted(err) && c.descriptorRetries < maxDescriptorRetries {
+		c.descriptorRetries++
+		c.reopenTimer = c.loop.After(descriptorRetryDelay, c.Open)
 		return
 	}
-	c.starved = 0
-	c.opening = next
+	c.descriptorRetries = 0
+	c.stream = next
 	c.openedAt = c.loop.Now()
 	c.ConnectStarted(c.openedAt)
 	if err != nil {
@@ -142,239 +145,243 @@
 	next.conn = conn
 }
 
-func (c *Client) newOpening() *opening {
-	return &opening{cutter: jsonstream.Splitter{MaxObjectBytes: c.config.MaxObjectBytes}}
+// newStream returns a stream without a connection.
+func (c *Client) newStream() *stream {
+	return &stream{splitter: jsonstream.Splitter{MaxObjectBytes: c.config.MaxObjectBytes}}
 }
 
-// Reset readies it for the start of an answer.
-func (c *Client) Reset() { c.opening = c.newOpening() }
+// Reset discards the parse state, for the start of a new response.
+func (c *Client) Reset() { c.stream = c.newStream() }
 
 // Close ends the watch; Open starts it again.
 func (c *Client) Close() {
-	c.opening.close()
-	c.dropKept(nil)
-	c.again.Stop()
-	c.back.Stop()
-	c.endTrial()
+	c.stream.close()
+	c.dropLingeringExcept(nil)
+	c.reopenTimer.Stop()
+	c.preferredTimer.Stop()
+	c.closePreferred()
 }
 
-// Turn leaves the servers where they were for others.
+// SetServers replaces the servers and reconnects.
 func (c *Client) SetServers(servers ...netip.AddrPort) {
 	c.Close()
-	c.config.Servers, c.server = servers, 0
+	c.config.Servers, c.serverIndex = servers, 0
 	c.ResetBackoff()
 	c.Open()
 }
 
-// Lose gives the connection up and opens another after a while, to the next server where there are several.
+// Reconnect closes the connection and opens another after a delay, to the next server if there are several.
 func (c *Client) Reconnect(err error) {
-	if now := c.loop.Now(); c.mayAnswerYet(err, now) {
-		c.keepLate(now)
+	if now := c.loop.Now(); c.mayStillRespond(err, now) {
+		c.keepLingering(now)
 	} else {
-		c.opening.close()
+		c.stream.close()
 	}
 	wait, news := c.ConnectionLost(c.loop.Now(), err.Error(), c.config.Random())
 	if c.config.ReconnectSpread > 0 {
 		wait += c.config.ReconnectSpread * c.config.Random()
 	}
-	c.again = c.loop.After(wait, c.Open)
-	c.owner.Disconnected(err, news)
-	if c.server == 0 && c.loop.Now()-c.openedAt > returnFirst {
-		c.backWait = returnFirst
+	c.reopenTimer = c.loop.After(wait, c.Open)
+	c.handler.Disconnected(err, news)
+	if c.serverIndex == 0 && c.loop.Now()-c.openedAt > preferredDelayMin {
+		c.preferredDelay = preferredDelayMin
 	}
-	c.server = (c.server + 1) % len(c.config.Servers)
-	c.planReturn()
+	c.serverIndex = (c.serverIndex + 1) % len(c.config.Servers)
+	c.schedulePreferred()
 }
 
-// mayAnswerYet tells whether the present opening, which is silent, is worth keeping beside the next: a crowded server answers
-// late, and would do so each time. One that has spoken and says nothing more is broken.
-func (c *Client) mayAnswerYet(err error, now float64) bool {
-	return err == errSilent && c.conn != nil && len(c.config.Servers) == 1 && (!c.spoke || now-c.gotAt < trickle)
+// mayStillRespond reports whether the current silent stream is worth keeping beside the next one: an overloaded server responds
+// late, and would do so on every connection. A stream that delivered data and then stopped is broken.
+func (c *Client) mayStillRespond(err error, now float64) bool {
+	return err == errSilent && c.conn != nil && len(c.config.Servers) == 1 && (!c.delivered || now-c.lastByteAt < stallTimeout)
 }
 
-// keepLate sets the present opening aside. What is told of it stays.
-func (c *Client) keepLate(now float64) {
-	if len(c.late) == lateMost {
-		c.late[0].close()
-		c.late = c.late[1:]
+// keepLingering sets the current stream aside. The count of received bytes carries over.
+func (c *Client) keepLingering(now float64) {
+	if len(c.lingering) == maxLingering {
+		c.lingering[0].close()
+		c.lingering = c.lingering[1:]
 	}
-	c.until = now + lateFor
-	c.late = append(c.late, c.opening)
-	c.opening = &opening{had: c.had}
+	c.lingerUntil = now + lingerTimeout
+	c.lingering = append(c.lingering, c.stream)
+	c.stream = &stream{bodyBytes: c.bodyBytes}
 }
 
-// dropLate gives up a late opening.
-func (c *Client) dropLate(o *opening) {
-	o.close()
-	c.late = slices.DeleteFunc(c.late, func(x *opening) bool { return x == o })
+// dropLingering closes one lingering stream.
+func (c *Client) dropLingering(s *stream) {
+	s.close()
+	c.lingering = slices.DeleteFunc(c.lingering, func(other *stream) bool { return other == s })
 }
 
-// promote goes on with a late opening that has spoken, in the place of the present one.
-func (c *Client) promote(o *opening) {
-	c.dropKept(o)
-	c.opening.close()
-	c.again.Stop()
-	c.opening = o
+// promote replaces the current stream with a lingering one that delivered data.
+func (c *Client) promote(s *stream) {
+	c.dropLingeringExcept(s)
+	c.stream.close()
+	c.reopenTimer.Stop()
+	c.stream = s
 }
 
-// dropKept gives up all late openings but one, which may be nil.
-func (c *Client) dropKept(but *opening) {
-	for _, o := range c.late {
-		if o != but {
-			o.close()
+// dropLingeringExcept closes all lingering streams but one, which may be nil.
+func (c *Client) dropLingeringExcept(except *stream) {
+	for _, s := range c.lingering {
+		if s != except {
+			s.close()
 		}
 	}
-	c.late = nil
+	c.lingering = nil
 }
 
-// Sweep gives up a connection that is silent past its heartbeats; it is called every 0.25 s at least.
+// CheckLiveness gives up a connection that missed its heartbeats; it must be called at least every 0.25 s.
 func (c *Client) CheckLiveness(now float64) {
 	if c.conn != nil && c.IsDead(now) {
 		c.Reconnect(errSilent)
 	}
-	for len(c.late) > 0 && now > c.late[0].until {
-		c.dropLate(c.late[0])
+	for len(c.lingering) > 0 && now > c.lingering[0].lingerUntil {
+		c.dropLingering(c.lingering[0])
 	}
 }
 
-// Look takes what has come before anything else has its turn.
+// ReadPending reads data that has already arrived, before other events are handled.
 func (c *Client) ReadPending() {
 	if c.conn != nil {
 		c.conn.ReadNow()
 	}
 }
 
-// Send sends an object on the request's open body, where the answer has begun; it may be lost with the connection.
+// Send sends an object on the request's open body, if the response has begun; the object may be lost with the connection.
 func (c *Client) Send(object []byte) {
 	if !c.Connected() {
 		return
 	}
-	write(c.conn, object)
-	if c.conn.UnsentBytes() > unsentMost {
-		c.Reconnect(errUnsent)
+	writeChunk(c.conn, object)
+	if c.conn.UnsentBytes() > maxUnsentBytes {
+		c.Reconnect(errNotReading)
 	}
 }
 
-// write sends an object with a line feed as one chunk.
-func write(conn *loop.Conn, object []byte) {
+// writeChunk sends an object and a line feed as one chunk.
+func writeChunk(conn *loop.Conn, object []byte) {
 	conn.Write(fmt.Appendf(nil, "%x\r\n", len(object)+1), object, []byte("\n\r\n"))
 }
 
-// handler is told what happens on an opening's connection.
-type handler struct {
-	c *Client
-	o *opening
+// streamHandler receives the events of one stream's connection.
+type streamHandler struct {
+	client *Client
+	stream *stream
 }
 
-func (h handler) OnConnect(conn *loop.Conn) {
-	conn.Write(h.c.owner.RequestHead(h.c.Server()))
-	if h.c.config.StreamRequest {
-		write(conn, h.c.owner.FirstMessage())
+// OnConnect sends the request.
+func (h streamHandler) OnConnect(conn *loop.Conn) {
+	conn.Write(h.client.handler.RequestHead(h.client.Server()))
+	if h.client.config.StreamRequest {
+		writeChunk(conn, h.client.handler.FirstMessage())
 	}
 }
 
-func (h handler) OnFlushed(*loop.Conn) {}
+func (h streamHandler) OnFlushed(*loop.Conn) {}
 
-func (h handler) OnDisconnect(_ *loop.Conn, err error) { h.fail(err) }
+func (h streamHandler) OnDisconnect(_ *loop.Conn, err error) { h.fail(err) }
 
-// fail gives the opening up; where it is the present one, the watch is lost.
-func (h handler) fail(err error) {
-	if h.o == h.c.opening {
-		h.c.Reconnect(err)
+// fail closes the stream; if it is the current one, the watch reconnects.
+func (h streamHandler) fail(err error) {
+	if h.stream == h.client.stream {
+		h.client.Reconnect(err)
 	} else {
-		h.c.dropLate(h.o)
+		h.client.dropLingering(h.stream)
 	}
 }
 
-func (h handler) OnData(conn *loop.Conn) {
-	o := h.o
-	o.gotAt = h.c.loop.Now()
-	if !o.msg.HeadComplete() {
-		whole, err := o.msg.ParseResponseHead(conn.Unconsumed())
-		if err == nil && whole && o.msg.Status != statusFine {
-			err = h.refusal(conn.Unconsumed())
+// OnData parses the response's head and body.
+func (h streamHandler) OnData(conn *loop.Conn) {
+	s := h.stream
+	s.lastByteAt = h.client.loop.Now()
+	if !s.msg.HeadComplete() {
+		complete, err := s.msg.ParseResponseHead(conn.Unconsumed())
+		if err == nil && complete && s.msg.Status != statusOK {
+			err = h.rejection(conn.Unconsumed())
 		}
 		if err != nil {
 			h.fail(err)
 			return
 		}
-		if !whole {
+		if !complete {
 			return
 		}
-		conn.Consume(o.msg.HeadSize())
-		if o == h.c.opening {
-			h.c.HeadReceived(o.gotAt)
+		conn.Consume(s.msg.HeadSize())
+		if s == h.client.stream {
+			h.client.HeadReceived(s.lastByteAt)
 		}
 	}
-	for len(conn.Unconsumed()) > 0 || o.msg.BodyLength() == o.had {
-		data, used, done, err := o.piece(conn.Unconsumed())
+	for len(conn.Unconsumed()) > 0 || s.msg.BodyLength() == s.bodyBytes {
+		data, used, done, err := s.nextBodyPart(conn.Unconsumed())
 		if err == nil {
-			err = h.c.feed(o, data)
+			err = h.client.feed(s, data)
 		}
 		if err == nil && done {
-			err = errEnded
+			err = errResponseEnded
 		}
 		if err != nil {
 			h.fail(err)
 			return
 		}
-		if o.conn != conn || used == 0 { // given up by its owner meanwhile, or more is needed
+		if s.conn != conn || used == 0 { // closed by its handler meanwhile, or more data is needed
 			return
 		}
 		conn.Consume(used)
 	}
 }
 
-// refusal is what an answer says that is no watch.
-func (h handler) refusal(in []byte) error {
-	msg := &h.o.msg
+// rejection returns the error for a response whose status is not 200.
+func (h streamHandler) rejection(in []byte) error {
+	msg := &h.stream.msg
 	status := "status " + strconv.Itoa(msg.Status)
 	text, _, _ := bytes.Cut(bytes.TrimSpace(in[msg.HeadSize():]), []byte("\n"))
-	if !h.c.config.StreamRequest || msg.Chunked() || len(text) == 0 {
+	if !h.client.config.StreamRequest || msg.Chunked() || len(text) == 0 {
 		return errors.New(status)
 	}
-	return fmt.Errorf("%s: %s", status, text[:min(len(text), reasonMost)])
+	return fmt.Errorf("%s: %s", status, text[:min(len(text), maxReasonBytes)])
 }
 
-// piece is the next part of the answer's body, which may be as long as it likes where its length is not said.
-func (o *opening) piece(in []byte) (data []byte, used int, done bool, err error) {
+// nextBodyPart returns the next part of the response body. Without a Content-Length the body has no limit.
+func (s *stream) nextBodyPart(in []byte) (data []byte, used int, done bool, err error) {
 	data, used = in, len(in)
-	if o.msg.Chunked() {
-		data, used, done, err = o.chunks.Next(in)
-	} else if n := o.msg.BodyLength(); n >= 0 {
-		data = in[:min(len(in), n-o.had)]
-		used, done = len(data), o.had+len(data) == n
+	if s.msg.Chunked() {
+		data, used, done, err = s.chunks.Next(in)
+	} else if n := s.msg.BodyLength(); n >= 0 {
+		data = in[:min(len(in), n-s.bodyBytes)]
+		used, done = len(data), s.bodyBytes+len(data) == n
 	}
-	o.had += len(data)
+	s.bodyBytes += len(data)
 	return data, used, done, err
 }
 
-// Feed takes each whole object in the data, however it is laid out; what is left is kept for the next. An empty line says
-// that the server lives.
-func (c *Client) Feed(data []byte) error { return c.feed(c.opening, data) }
+// Feed processes each whole object in the data, regardless of its layout, and keeps an incomplete one for the next call. An empty
+// line is a heartbeat.
+func (c *Client) Feed(data []byte) error { return c.feed(c.stream, data) }
 
-func (c *Client) feed(o *opening, data []byte) error {
+// feed processes data of one stream. A lingering stream that delivers a message becomes the current one.
+func (c *Client) feed(s *stream, data []byte) error {
 	for {
-		object, rest, err := o.cutter.Next(data)
+		object, rest, err := s.splitter.Next(data)
 		if err != nil || object == nil {
 			return err
 		}
 		data = rest
 		if len(object) > 0 {
-			if err := c.owner.Decode(object); err != nil {
+			if err := c.handler.Decode(object); err != nil {
 				return err
 			}
 		}
-		o.spoke = true
-		if o != c.opening {
-			c.promote(o)
+		s.delivered = true
+		if s != c.stream {
+			c.promote(s)
 		}
-		c.lineAt = c.loop.Now()
-		if c.LineReceived(c.lineAt) {
-			c.owner.Reconnected()
+		c.lastReceivedAt = c.loop.Now()
+		if c.LineReceived(c.lastReceivedAt) {
+			c.handler.Reconnected()
 		}
 		if len(object) > 0 {
-			if err := c.owner.Apply(); err != nil {
+			if err := c.handler.Apply(); err != nil {
 				return err
 			}
 		}
