--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -1,8 +1,9 @@
 // Package configwatch keeps a proxy's configuration up to date from the control replicas.
 //
-// An update is checked, saved to the state folder and taken over, in this order; the replica is told what became of it.
-// Follower decides, free of I/O. Client carries it out: the connection on the proxy's loop, checks and the disk on a
-// goroutine of its own, so that no request waits for them. Without any replica the proxy goes on with what it holds.
+// An update is checked, saved to the state folder and applied, in this order, and the outcome is reported to the replica.
+// StateMachine makes the decisions, without I/O. Client executes them: the connection runs on the proxy's loop, checks and disk
+// writes on a goroutine of its own, so that no request waits for them. While no replica is reachable the proxy keeps its current
+// configuration.
 package configwatch
 
 import (
@@ -23,68 +24,68 @@
 )
 
 const (
-	scopesMost  = 5                                            // kinds of scopes
-	messageMost = scopesMost*revision.MaxDocumentBytes + 1<<16 // bytes of an update
-	tasksMost   = 1024                                         // and how many of them
-	waitingMost = 2 * messageMost                              // bytes of updates that wait to be looked at
-	spread      = 0.5                                          // seconds over which the proxies of a lost replica come back
+	maxScopes        = 5                                           // number of scope kinds
+	maxUpdateBytes   = maxScopes*revision.MaxDocumentBytes + 1<<16 // bytes of one update
+	maxQueuedUpdates = 1024                                        // updates in the worker's queue
+	maxQueuedBytes   = 2 * maxUpdateBytes                          // bytes of updates in the worker's queue
+	reconnectSpread  = 0.5                                         // seconds over which the proxies of a lost replica reconnect
 )
 
 var (
-	errTooMany = errors.New("more updates than can be taken")
-	errPaused  = errors.New("another process has this proxy's place")
-	errClosed  = errors.New("the proxy has ended")
+	errQueueFull = errors.New("the update queue is full")
+	errPaused    = errors.New("another process is replacing this one")
+	errClosed    = errors.New("the proxy is shutting down")
 )
 
-// Config says whose configuration is watched and how.
+// Config holds the identity, the replicas and the callbacks of a Client.
 type Config struct {
 	Identity revision.Identity
 	Replicas []netip.AddrPort // the preferred one first
-	Folder   string           // where it is saved, empty: nowhere
-	// Local is the proxy's own configuration, over which the held one is laid. Any goroutine calls it.
+	Folder   string           // for the saved configuration; empty: it is not saved
+	// Local returns the proxy's own configuration, onto which the received one is overlaid. It is called on any goroutine.
 	Local func() ReloadableConfig
-	// Check tells what is wrong with a configuration, if anything. It is never called on the loop.
+	// Check returns an error for an invalid configuration. It is never called on the loop.
 	Check func(ReloadableConfig) error
 }
 
 // Client watches one proxy's configuration. A nil Client does nothing.
 type Client struct {
-	config   Config
-	follower *StateMachine // belongs to the worker once it runs
-	start    ReloadableConfig
-
-	// On the loop.
-	loop     *loop.Loop
-	watch    *watch.Client
-	takeOver func(ReloadableConfig) error
-	paused   bool
-	opened   bool
-	received []byte  // the update decoded last
-	since    float64 // when what is in force came into force, the start at first
-	started  float64
-	lost     string // why the last connection was lost
+	config  Config
+	machine *StateMachine // owned by the worker once it runs
+	initial ReloadableConfig
+
+	// Used on the loop only.
+	loop      *loop.Loop
+	watch     *watch.Client
+	apply     func(ReloadableConfig) error
+	paused    bool
+	opened    bool
+	received  []byte  // the update decoded last
+	appliedAt float64 // when the configuration in force was applied, at first the start
+	startedAt float64
+	lastError string // why the last connection was lost
 
 	worker worker
-	public atomic.Pointer[published]
-	calls  calls
+	shared atomic.Pointer[sharedState]
+	calls  callQueue
 }
 
-// published is what others may read of the worker's state.
-type published struct {
-	hello   revision.Hello
-	counts  Counts
-	refused *revision.Report // the last one
+// sharedState is the part of the worker's state that other goroutines may read.
+type sharedState struct {
+	hello       revision.Hello
+	counts      Counts
+	lastRefused *revision.Report // the last update that was not applied
 }
 
-// New reads what was saved. It is an error where the folder is another fleet's; whatever else is wrong is a line in the
-// log, and the proxy's own file counts.
+// New loads the saved configuration. It fails only if the folder belongs to another fleet; any other problem with the saved file
+// is logged, and the proxy starts with its own file.
 func New(config Config) (*Client, error) {
-	c := &Client{config: config, follower: NewStateMachine(config.Identity, config.Folder != ""), start: config.Local()}
+	c := &Client{config: config, machine: NewStateMachine(config.Identity, config.Folder != ""), initial: config.Local()}
 	c.worker.init()
 	if config.Folder != "" {
 		saved, err := c.file().load()
-		var foreign *statefile.FleetMismatchError
-		if errors.As(err, &foreign) {
+		var mismatch *statefile.FleetMismatchError
+		if errors.As(err, &mismatch) {
 			return nil, err
 		}
 		if err != nil {
@@ -96,66 +97,69 @@
 	return c, nil
 }
 
-func (c *Client) file() file { return file{c.config.Folder, c.config.Identity} }
+// file locates the saved configuration.
+func (c *Client) file() configFile { return configFile{c.config.Folder, c.config.Identity} }
 
-// restore has the proxy start with what was saved.
+// restore makes the saved configuration the initial one.
 func (c *Client) restore(saved Configuration) {
-	if c.follower.Loaded(saved).Step != Check {
+	if c.machine.Loaded(saved).Step != Check {
 		return
 	}
-	laid, err := c.check(saved)
-	if c.follower.Checked(err); err != nil {
+	overlaid, err := c.check(saved)
+	if c.machine.Checked(err); err != nil {
 		log.Printf("msg=config_not_taken revision=%d error=%q", saved.Revision, err)
 		return
 	}
-	c.follower.Applied(nil)
-	c.start = laid
+	c.machine.Applied(nil)
+	c.initial = overlaid
 	log.Printf("msg=config_restored revision=%d checksum=%.12s", saved.Revision, saved.Checksum)
 }
 
-// Start is the configuration with which the proxy starts.
-func (c *Client) InitialConfig() ReloadableConfig { return c.start }
+// InitialConfig returns the configuration with which the proxy starts.
+func (c *Client) InitialConfig() ReloadableConfig { return c.initial }
 
-// check lays a configuration over the proxy's own and checks that.
+// check overlays a configuration onto the proxy's own and validates the result.
 func (c *Client) check(candidate Configuration) (ReloadableConfig, error) {
-	laid, err := c.config.Local().Overlay(candidate.Effective)
+	overlaid, err := c.config.Local().Overlay(candidate.Effective)
 	if err == nil {
-		err = c.config.Check(laid)
+		err = c.config.Check(overlaid)
 	}
-	return laid, err
+	return overlaid, err
 }
 
-// Run begins the work, on the loop's goroutine or before it runs. takeOver is called on the loop with a configuration that
-// Check found good; Turn must be called in each turn from now on. The watch is opened by Open.
-func (c *Client) Start(l *loop.Loop, takeOver func(ReloadableConfig) error) {
+// Start starts the worker. It is called on the loop's goroutine or before the loop runs. apply is called on the loop with a
+// configuration that passed Check. RunPending must be called in each turn of the loop from now on. Open connects to a replica.
+func (c *Client) Start(l *loop.Loop, apply func(ReloadableConfig) error) {
 	if c == nil {
 		return
 	}
-	c.loop, c.takeOver = l, takeOver
-	c.started = l.Now()
-	c.since = c.started
-	jitter := c.jitter()
-	c.watch = watch.New(l, owner{c}, watch.Config{Servers: spreadOut(c.config.Replicas, jitter), MaxObjectBytes: messageMost, StreamRequest: true,
-		ReconnectSpread: spread, Random: jitter.Float64})
-	c.worker.done.Go(c.work)
+	c.loop, c.apply = l, apply
+	c.startedAt = l.Now()
+	c.appliedAt = c.startedAt
+	random := c.newRandom()
+	c.watch = watch.New(l, watchHandler{c}, watch.Config{Servers: shuffleFallbacks(c.config.Replicas, random),
+		MaxObjectBytes: maxUpdateBytes, StreamRequest: true, ReconnectSpread: reconnectSpread, Random: random.Float64})
+	c.worker.done.Go(c.runWorker)
 }
 
-// jitter draws numbers that differ between the proxies of a fleet, whose configurations may name the same seed.
-func (c *Client) jitter() *rand.Rand {
+// newRandom returns a generator seeded by the proxy's name and start time: the configurations of a fleet may all name the same
+// seed, but its proxies must draw different numbers.
+func (c *Client) newRandom() *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(c.config.Identity.Fleet + "/" + c.config.Identity.Proxy))
-	return rand.New(rand.NewPCG(h.Sum64(), math.Float64bits(c.started)))
+	return rand.New(rand.NewPCG(h.Sum64(), math.Float64bits(c.startedAt)))
 }
 
-// spreadOut draws the order of all but the preferred replica, so that the proxies of one that is lost don't all go to the same.
-func spreadOut(replicas []netip.AddrPort, jitter *rand.Rand) []netip.AddrPort {
+// shuffleFallbacks returns the replicas with all but the preferred one in random order, so that the proxies of a lost replica do
+// not all move to the same one.
+func shuffleFallbacks(replicas []netip.AddrPort, random *rand.Rand) []netip.AddrPort {
 	order := slices.Clone(replicas)
 	others := order[1:]
-	jitter.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	return order
 }
 
-// Open begins the watch, if it is not open.
+// Open connects to a replica, if the watch is not open.
 func (c *Client) Open() {
 	if c != nil && !c.opened {
 		c.opened, c.paused = true, false
@@ -163,7 +167,7 @@
 	}
 }
 
-// Pause ends the watch: another process takes this one's place. Nothing newer is taken over until Resume.
+// Pause closes the watch while another process replaces this one. No newer configuration is applied until Resume.
 func (c *Client) Pause() {
 	if c != nil && c.opened {
 		c.opened, c.paused = false, true
@@ -171,7 +175,7 @@
 	}
 }
 
-// Resume goes on after Pause, from what the other process has saved.
+// Resume continues after Pause, with the configuration that the other process saved.
 func (c *Client) Resume() {
 	if c != nil && c.paused {
 		c.ReloadSaved()
@@ -179,34 +183,35 @@
 	}
 }
 
-// Reread takes over what lies on the disk, where that is newer than what is in force.
+// ReloadSaved applies the saved configuration if it is newer than the one in force.
 func (c *Client) ReloadSaved() {
 	if c != nil {
-		c.worker.put(task{kind: reread})
+		c.worker.enqueue(task{kind: reloadSavedTask})
 	}
 }
 
-// Reload lays what is held over the proxy's own configuration again, which has changed. Any goroutine may call it.
-func (c *Client) ReloadLocal() { c.worker.put(task{kind: localChanged}) }
+// ReloadLocal overlays the received configuration onto the proxy's own again, after that has changed. It is safe on any
+// goroutine.
+func (c *Client) ReloadLocal() { c.worker.enqueue(task{kind: localChangedTask}) }
 
-// Settled tells that nothing waits to be looked at or taken over.
+// Idle reports whether no update is waiting or being processed.
 func (c *Client) Idle() bool { return c == nil || c.worker.idle() }
 
-// Turn does on the loop what the worker has asked for.
+// RunPending runs the calls that the worker queued for the loop.
 func (c *Client) RunPending() {
 	if c != nil {
 		c.calls.run()
 	}
 }
 
-// Sweep gives up a connection that is silent; it is called every 0.25 s at least.
+// CheckLiveness closes a connection that has gone silent; it must be called at least every 0.25 s.
 func (c *Client) CheckLiveness(now float64) {
 	if c != nil && c.opened {
 		c.watch.CheckLiveness(now)
 	}
 }
 
-// Close ends the work once what is being saved is on the disk, after the loop's run.
+// Close stops the worker after a save in progress; call it after the loop's Run has returned.
 func (c *Client) Close() {
 	if c == nil {
 		return
@@ -215,54 +220,55 @@
 	c.worker.close()
 }
 
-// publish makes the worker's state known; refused is the last refusal, nil where there is no new one.
+// publish updates the shared state; refused is the latest refusal, nil if there is no new one.
 func (c *Client) publish(refused *revision.Report) {
-	if last := c.public.Load(); last != nil && refused == nil {
-		refused = last.refused
+	if last := c.shared.Load(); last != nil && refused == nil {
+		refused = last.lastRefused
 	}
-	c.public.Store(&published{c.follower.Hello(), c.follower.Counts(), refused})
+	c.shared.Store(&sharedState{c.machine.Hello(), c.machine.Counts(), refused})
 }
 
-// owner is told what the watch brings.
-type owner struct{ *Client }
+// watchHandler receives the events of the watch.
+type watchHandler struct{ *Client }
 
-// Request is the head of the watch's request.
-func (o owner) RequestHead(to netip.AddrPort) []byte {
+// RequestHead returns the head of the watch's request.
+func (h watchHandler) RequestHead(to netip.AddrPort) []byte {
 	return []byte("POST " + revision.WatchPath + " HTTP/1.1\r\nHost: " + to.String() +
 		"\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// First says who the proxy is and what it holds.
-func (o owner) FirstMessage() []byte { return encode(o.public.Load().hello) }
+// FirstMessage returns the proxy's identity and the revisions that it holds.
+func (h watchHandler) FirstMessage() []byte { return encode(h.shared.Load().hello) }
 
-// Decode keeps a copy: what is in it is looked at by the worker.
-func (o owner) Decode(object []byte) error {
-	o.received = append([]byte(nil), object...)
+// Decode copies the object; the worker parses it.
+func (h watchHandler) Decode(object []byte) error {
+	h.received = append([]byte(nil), object...)
 	return nil
 }
 
-// Take hands an update to the worker.
-func (o owner) Apply() error {
-	text := o.received
-	o.Client.received = nil
-	if !o.worker.put(task{kind: update, text: text}) {
-		return errTooMany
+// Apply queues an update for the worker.
+func (h watchHandler) Apply() error {
+	text := h.received
+	h.Client.received = nil
+	if !h.worker.enqueue(task{kind: updateTask, text: text}) {
+		return errQueueFull
 	}
 	return nil
 }
 
-// Returned says that a replica answers again.
-func (o owner) Reconnected() { log.Printf("msg=config_watch_back replica=%s", o.watch.Server()) }
+// Reconnected logs that a replica responds again.
+func (h watchHandler) Reconnected() { log.Printf("msg=config_watch_back replica=%s", h.watch.Server()) }
 
-// Lost says that no replica is connected.
-func (o owner) Disconnected(err error, news bool) {
-	o.Client.lost = err.Error()
+// Disconnected logs that no replica is connected.
+func (h watchHandler) Disconnected(err error, news bool) {
+	h.Client.lastError = err.Error()
 	if news {
-		log.Printf("msg=config_watch_lost replica=%s error=%q byte=%d", o.watch.Server(), err, o.watch.BodyBytesReceived())
+		log.Printf("msg=config_watch_lost replica=%s error=%q byte=%d", h.watch.Server(), err, h.watch.BodyBytesReceived())
 	}
 }
 
+// encode encodes a message as JSON.
 func encode(value any) []byte {
-	text, _ := json.Marshal(value) // a message has no value that can't be encoded
+	text, _ := json.Marshal(value) // messages contain no value that JSON can't encode
 	return text
 }
--- a/internal/configwatch/client_test.go
+++ b/internal/configwatch/client_test.go
@@ -11,8 +11,8 @@
 	"sandpass/internal/revision"
 )
 
-// The proxies of a replica that is lost go to all the others, each again to the same while it is one process.
-func TestProxiesSpreadOverTheOtherReplicas(t *testing.T) {
+// The proxies of a lost replica spread over all the others. A proxy keeps its order of replicas until it restarts.
+func TestFallbackReplicasAreShuffled(t *testing.T) {
 	var replicas []netip.AddrPort
 	for i := range 5 {
 		replicas = append(replicas, netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1+i)))
@@ -21,7 +21,7 @@
 	second := map[netip.AddrPort]int{}
 	for i := range proxies {
 		c := &Client{config: Config{Identity: revision.Identity{Fleet: "shop", Proxy: fmt.Sprint("p", i)}, Replicas: replicas}}
-		order := spreadOut(replicas, c.jitter())
+		order := shuffleFallbacks(replicas, c.newRandom())
 		if order[0] != replicas[0] || len(order) != len(replicas) {
 			t.Fatalf("%v", order)
 		}
@@ -32,62 +32,64 @@
 			t.Errorf("%d of %d go to %s", n, proxies, replica)
 		}
 	}
-	if one := spreadOut(replicas[:1], (&Client{}).jitter()); len(one) != 1 {
+	if one := shuffleFallbacks(replicas[:1], (&Client{}).newRandom()); len(one) != 1 {
 		t.Errorf("%v", one)
 	}
 }
 
-func TestWhatWaitsIsBounded(t *testing.T) {
+func TestQueueLimits(t *testing.T) {
 	var w worker
 	w.init()
-	large := make([]byte, messageMost)
+	large := make([]byte, maxUpdateBytes)
 	for i := range 3 {
-		if room := w.put(task{kind: update, text: large}); room != (i < 2) {
-			t.Errorf("room for %d large updates: %t", i+1, room)
+		if queued := w.enqueue(task{kind: updateTask, text: large}); queued != (i < 2) {
+			t.Errorf("%d large updates queued: %t", i+1, queued)
 		}
 	}
-	if !w.put(task{kind: localChanged}) || w.idle() {
-		t.Error("no room for a new file of the proxy's own")
+	if !w.enqueue(task{kind: localChangedTask}) || w.idle() {
+		t.Error("a change of the local file was not queued")
 	}
 	w.dropUpdates()
-	if w.bytes != 0 || len(w.tasks) != 1 {
-		t.Errorf("%d bytes, %d tasks", w.bytes, len(w.tasks))
+	if w.queuedBytes != 0 || len(w.tasks) != 1 {
+		t.Errorf("%d bytes, %d tasks", w.queuedBytes, len(w.tasks))
 	}
-	for n := 1; w.put(task{kind: update}); n++ {
-		if n > tasksMost {
-			t.Fatalf("%d updates wait", n)
+	for n := 1; w.enqueue(task{kind: updateTask}); n++ {
+		if n > maxQueuedUpdates {
+			t.Fatalf("%d updates queued", n)
 		}
 	}
-	for range tasksMost {
-		if _, ok := w.take(); !ok {
-			t.Fatal("it has ended")
+	for range maxQueuedUpdates {
+		if _, ok := w.dequeue(); !ok {
+			t.Fatal("the queue is closed")
 		}
 	}
 	w.close()
-	if _, ok := w.take(); ok {
-		t.Error("a task after the end")
+	if _, ok := w.dequeue(); ok {
+		t.Error("a task after close")
 	}
 }
 
-// looped is a client on a loop of its own, without a replica; what it takes over and what it checks is the test's.
-type looped struct {
+// testClient is a client on a loop of its own, without a replica; the test controls its checks and receives what it applies.
+type testClient struct {
 	*Client
-	todo    chan func()
-	checks  chan chan error // each check waits for what the test sends
-	taken   chan ReloadableConfig
-	running chan bool
+	loopCalls chan func()
+	checks    chan chan error // each check blocks until the test sends its result
+	applied   chan ReloadableConfig
+	running   chan bool
 }
 
-func newLooped(t *testing.T, folder string) *looped {
+func newTestClient(t *testing.T, folder string) *testClient {
 	t.Helper()
-	r := &looped{todo: make(chan func(), 1), checks: make(chan chan error), taken: make(chan ReloadableConfig, 10), running: make(chan bool)}
+	r := &testClient{loopCalls: make(chan func(), 1),
+		checks: make(chan chan error), applied: make(chan ReloadableConfig, 10), running: make(chan bool)}
 	var err error
-	r.Client, err = New(Config{Identity: identity, Replicas: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Folder: folder,
+	r.Client, err = New(Config{Identity: identity,
+		Replicas: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Folder: folder,
 		Local: func() ReloadableConfig { return ReloadableConfig{Settings: []byte(`{"settings":0}`)} },
 		Check: func(ReloadableConfig) error {
-			answer := make(chan error)
-			r.checks <- answer
-			return <-answer
+			result := make(chan error)
+			r.checks <- result
+			return <-result
 		}})
 	if err != nil {
 		t.Fatal(err)
@@ -96,12 +98,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Start(l, func(laid ReloadableConfig) error { r.taken <- laid; return nil })
+	r.Start(l, func(overlaid ReloadableConfig) error { r.applied <- overlaid; return nil })
 	go func() {
 		defer close(r.running)
 		l.Run(func() {
 			select {
-			case f := <-r.todo:
+			case f := <-r.loopCalls:
 				f()
 			default:
 			}
@@ -117,41 +119,42 @@
 	return r
 }
 
-func (r *looped) do(f func()) {
+// do runs f on the loop and waits for it.
+func (r *testClient) do(f func()) {
 	done := make(chan bool)
-	r.todo <- func() { f(); close(done) }
+	r.loopCalls <- func() { f(); close(done) }
 	r.loop.WakeUp()
 	<-done
 }
 
-// An update that is being checked or saved when another process takes this one's place is not taken over; it counts once that
-// process is lost.
-func TestNothingNewerIsTakenOverWhilePaused(t *testing.T) {
-	r := newLooped(t, t.TempDir())
-	first := revision.Update{Revision: 1, Checksum: sum(t, `{"settings":{"a":1}}`), Scopes: []revision.Change{
+// An update that is being checked or saved when another process replaces this one must not be applied. It is applied on Resume,
+// after that process is lost.
+func TestNoUpdateIsAppliedWhilePaused(t *testing.T) {
+	r := newTestClient(t, t.TempDir())
+	first := revision.Update{Revision: 1, Checksum: checksum(t, `{"settings":{"a":1}}`), Scopes: []revision.Change{
 		{Scope: revision.FleetScope, Number: 1, Document: revision.Document(`{"settings":{"a":1}}`)}}}
 	r.do(r.Open)
-	r.worker.put(task{kind: update, text: encoded(first)})
+	r.worker.enqueue(task{kind: updateTask, text: encodeUpdate(first)})
 	check := <-r.checks
 	if r.Idle() {
-		t.Error("nothing waits, it says, with a check under way")
+		t.Error("idle while a check is running")
 	}
 	r.do(r.Pause)
 	check <- nil
-	r.do(func() {}) // and the turn in which it would be taken over
+	r.do(func() {}) // the turn in which it would have been applied
 	for !r.Idle() {
 		runtime.Gosched()
 	}
-	if len(r.taken) > 0 || r.public.Load().hello.Revision != 0 {
-		t.Fatalf("taken over: %d, in force %+v", len(r.taken), r.public.Load().hello)
+	if len(r.applied) > 0 || r.shared.Load().hello.Revision != 0 {
+		t.Fatalf("%d configurations applied, in force %+v", len(r.applied), r.shared.Load().hello)
 	}
 	if saved, err := r.file().load(); err != nil || saved.Revision != 1 {
-		t.Errorf("revision %d is saved, %v", saved.Revision, err)
+		t.Errorf("saved revision %d, %v", saved.Revision, err)
 	}
 	r.do(r.Resume)
 	check = <-r.checks
 	check <- nil
-	if laid := <-r.taken; !strings.Contains(string(laid.Settings), `"a":1`) {
-		t.Errorf("%s", laid.Settings)
+	if overlaid := <-r.applied; !strings.Contains(string(overlaid.Settings), `"a":1`) {
+		t.Errorf("%s", overlaid.Settings)
 	}
 }
--- a/internal/configwatch/file.go
+++ b/internal/configwatch/file.go
@@ -8,46 +8,47 @@
 	"sandpass/internal/statefile"
 )
 
-// form is the file in which a proxy keeps what it holds.
-var form = statefile.Format{Name: "sandpass-config", Version: 1, Suffix: ".config", Description: "a saved configuration"}
+// fileFormat is the format of a proxy's saved configuration.
+var fileFormat = statefile.Format{Name: "sandpass-config", Version: 1, Suffix: ".config", Description: "a saved configuration"}
 
-// saved is the file's body.
-type saved struct {
+// savedConfig is the body of a saved configuration's file.
+type savedConfig struct {
 	Fleet    string                   `json:"fleet"`
 	Name     string                   `json:"name"`
 	Revision revision.Number          `json:"revision"`
 	Held     []revision.ScopeDocument `json:"held"`
 }
 
-// file is where one proxy's configuration lies.
-type file struct {
+// configFile locates one proxy's saved configuration.
+type configFile struct {
 	folder   string
 	identity revision.Identity
 }
 
-func (f file) path() string { return form.Path(f.folder, f.identity.Proxy) }
+func (f configFile) path() string { return fileFormat.Path(f.folder, f.identity.Proxy) }
 
-// load reads the configuration; there may be none. A folder of another fleet is a *statefile.Foreign.
-func (f file) load() (Configuration, error) {
-	body, err := form.Read(f.path())
+// load reads the configuration, which is empty if there is no file. A file of another fleet is a *statefile.FleetMismatchError.
+func (f configFile) load() (Configuration, error) {
+	body, err := fileFormat.Read(f.path())
 	if body == nil || err != nil {
 		return Configuration{}, err
 	}
 	return f.decode(body)
 }
 
-func (f file) decode(body []byte) (Configuration, error) {
-	var s saved
+// decode parses the body of the file.
+func (f configFile) decode(body []byte) (Configuration, error) {
+	var s savedConfig
 	if err := json.Unmarshal(body, &s); err != nil {
 		return Configuration{}, fmt.Errorf("%s: its body: %w", f.path(), err)
 	}
 	if s.Fleet != f.identity.Fleet {
 		return Configuration{}, &statefile.FleetMismatchError{Folder: f.folder, Fleet: s.Fleet, WantFleet: f.identity.Fleet}
 	}
-	for i, one := range s.Held {
-		document, err := revision.Canonicalize(one.Document)
+	for i, doc := range s.Held {
+		document, err := revision.Canonicalize(doc.Document)
 		if err != nil {
-			return Configuration{}, fmt.Errorf("%s: held[%d] %s: %w", f.path(), i, one.Scope, err)
+			return Configuration{}, fmt.Errorf("%s: held[%d] %s: %w", f.path(), i, doc.Scope, err)
 		}
 		s.Held[i].Document = document
 	}
@@ -58,16 +59,18 @@
 	return c, nil
 }
 
-// save writes the configuration, unless a newer one lies there already, as another process of the same name may have
-// written it. It returns once the disk has it.
-func (f file) save(c Configuration) error {
-	body, err := json.Marshal(saved{Fleet: f.identity.Fleet, Name: f.identity.Proxy, Revision: c.Revision, Held: c.Documents})
+// save writes the configuration, unless the file already holds a newer one from another process of the same proxy. It returns
+// once the data is on disk.
+func (f configFile) save(c Configuration) error {
+	body, err := json.Marshal(savedConfig{
+		Fleet: f.identity.Fleet, Name: f.identity.Proxy, Revision: c.Revision, Held: c.Documents,
+	})
 	if err != nil {
 		return err
 	}
-	_, err = statefile.ReplaceIf(f.path(), form.Encode(body), func() bool {
+	_, err = statefile.ReplaceIf(f.path(), fileFormat.Encode(body), func() bool {
 		present, err := f.load()
-		return err != nil || present.Revision <= c.Revision // one that can't be read is of no use
+		return err != nil || present.Revision <= c.Revision // an unreadable file is replaced
 	})
 	return err
 }
--- a/internal/configwatch/status.go
+++ b/internal/configwatch/status.go
@@ -2,30 +2,31 @@
 
 import "sandpass/internal/revision"
 
-// Status is how a proxy's configuration stands, for operators.
+// Status describes a proxy's configuration for operators.
 type Status struct {
-	Revision       revision.Number  `json:"revision"`           // in force, 0: the proxy's own file alone
-	Checksum       string           `json:"checksum,omitempty"` // of what is laid over the proxy's own file
-	InForceSeconds float64          `json:"in_force_s"`         // seconds for which it has been, since the start at most
-	Replica        string           `json:"replica"`            // asked now
-	Connected      bool             `json:"connected"`          // and answers
-	SilentSeconds  float64          `json:"silent_s"`           // seconds since any replica said something, since the start at most
-	LastError      string           `json:"lost,omitempty"`     // why it answers no more, while it does not
-	LastRefused    *revision.Report `json:"refused,omitempty"`  // the last update that was not taken
+	Revision       revision.Number  `json:"revision"`           // in force; 0: the proxy's own file only
+	Checksum       string           `json:"checksum,omitempty"` // of the document overlaid onto the proxy's own file
+	InForceSeconds float64          `json:"in_force_s"`         // since the configuration was applied, or since the start
+	Replica        string           `json:"replica"`            // address of the current replica
+	Connected      bool             `json:"connected"`          // the replica responds
+	SilentSeconds  float64          `json:"silent_s"`           // since the last message from any replica, or since the start
+	LastError      string           `json:"lost,omitempty"`     // why the connection was lost, while there is none
+	LastRefused    *revision.Report `json:"refused,omitempty"`  // the last update that was not applied
 	Updates        Counts           `json:"updates"`
 }
 
-// Status tells how it stands; on the loop.
+// Status returns the current status; call it on the loop.
 func (c *Client) Status() *Status {
 	if c == nil {
 		return nil
 	}
-	now, public := c.loop.Now(), c.public.Load()
-	lost := ""
+	now, state := c.loop.Now(), c.shared.Load()
+	lastError := ""
 	if !c.watch.Connected() {
-		lost = c.lost
+		lastError = c.lastError
 	}
-	return &Status{Revision: public.hello.Revision, Checksum: public.hello.Checksum, InForceSeconds: now - c.since,
-		Replica: c.watch.Server().String(), Connected: c.opened && c.watch.Connected(), SilentSeconds: now - max(c.started, c.watch.LastReceivedAt()),
-		LastError: lost, LastRefused: public.refused, Updates: public.counts}
+	return &Status{Revision: state.hello.Revision, Checksum: state.hello.Checksum, InForceSeconds: now - c.appliedAt,
+		Replica: c.watch.Server().String(), Connected: c.opened && c.watch.Connected(),
+		SilentSeconds: now - max(c.startedAt, c.watch.LastReceivedAt()),
+		LastError:     lastError, LastRefused: state.lastRefused, Updates: state.counts}
 }
--- a/internal/configwatch/worker.go
+++ b/internal/configwatch/worker.go
@@ -8,121 +8,126 @@
 	"sandpass/internal/revision"
 )
 
+// taskKind is the kind of work that a task asks for.
 type taskKind int
 
 const (
-	update       taskKind = iota // an update's bytes
-	reread                       // look at the disk
-	localChanged                 // lay what is held over the proxy's own file again
+	updateTask       taskKind = iota // process the bytes of an update
+	reloadSavedTask                  // load the saved configuration
+	localChangedTask                 // overlay the configuration onto the proxy's own file again
 )
 
-// task is one thing for the worker.
+// task is one item of the worker's queue.
 type task struct {
 	kind taskKind
 	text []byte
 }
 
-// worker is the queue of the goroutine that checks and saves.
+// worker is the queue of the goroutine that checks and saves configurations.
 type worker struct {
-	mutex   sync.Mutex
-	more    sync.Cond // there is a task, or the end
-	tasks   []task
-	bytes   int  // of updates in tasks
-	busy    bool // with a task that is not in tasks any more
-	closed  bool
-	closing chan struct{}
-	done    sync.WaitGroup
+	mutex       sync.Mutex
+	wake        sync.Cond // signals a new task, or close
+	tasks       []task
+	queuedBytes int  // of queued updates
+	busy        bool // a dequeued task is being processed
+	closed      bool
+	closing     chan struct{}
+	done        sync.WaitGroup
 }
 
+// init prepares the zero value.
 func (w *worker) init() {
-	w.more.L = &w.mutex
+	w.wake.L = &w.mutex
 	w.closing = make(chan struct{})
 }
 
-// put adds a task and tells whether there was room; for one that is no update there always is.
-func (w *worker) put(t task) bool {
+// enqueue adds a task and reports whether the queue had space. Only updates are limited.
+func (w *worker) enqueue(t task) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if t.kind == update && (w.bytes+len(t.text) > waitingMost || len(w.tasks) >= tasksMost) {
+	if t.kind == updateTask && (w.queuedBytes+len(t.text) > maxQueuedBytes || len(w.tasks) >= maxQueuedUpdates) {
 		return false
 	}
 	w.tasks = append(w.tasks, t)
-	w.bytes += len(t.text)
-	w.more.Signal()
+	w.queuedBytes += len(t.text)
+	w.wake.Signal()
 	return true
 }
 
-// take waits for a task; there is none after close.
-func (w *worker) take() (t task, ok bool) {
+// dequeue waits for a task; ok is false after close.
+func (w *worker) dequeue() (t task, ok bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.busy = false
 	for len(w.tasks) == 0 && !w.closed {
-		w.more.Wait()
+		w.wake.Wait()
 	}
 	if w.closed {
 		return task{}, false
 	}
 	t = w.tasks[0]
-	w.tasks[0] = task{} // what waits behind it must not keep its bytes
+	w.tasks[0] = task{} // releases the bytes while later tasks wait
 	w.tasks = w.tasks[1:]
-	w.bytes -= len(t.text)
+	w.queuedBytes -= len(t.text)
 	w.busy = true
 	return t, true
 }
 
-// dropUpdates forgets the updates that wait.
+// dropUpdates removes the queued updates.
 func (w *worker) dropUpdates() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.tasks = slices.DeleteFunc(w.tasks, func(t task) bool { return t.kind == update })
-	w.bytes = 0
+	w.tasks = slices.DeleteFunc(w.tasks, func(t task) bool { return t.kind == updateTask })
+	w.queuedBytes = 0
 }
 
+// idle reports whether no task is queued or being processed.
 func (w *worker) idle() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return !w.busy && len(w.tasks) == 0
 }
 
-// close ends the worker after what it does now, and waits for it.
+// close ends the worker after its current task, and waits for it.
 func (w *worker) close() {
 	w.mutex.Lock()
 	w.closed = true
 	close(w.closing)
-	w.more.Signal()
+	w.wake.Signal()
 	w.mutex.Unlock()
 	w.done.Wait()
 }
 
-// work carries out what the follower decides, one task after another.
-func (c *Client) work() {
+// runWorker processes the tasks in order.
+func (c *Client) runWorker() {
 	for {
-		t, ok := c.worker.take()
+		t, ok := c.worker.dequeue()
 		if !ok {
 			return
 		}
 		switch t.kind {
-		case update:
-			c.finish(c.follower.Received(t.text))
-		case reread:
-			c.finish(c.reread())
-		case localChanged:
-			c.reload()
+		case updateTask:
+			c.runSteps(c.machine.Received(t.text))
+		case reloadSavedTask:
+			c.runSteps(c.loadSaved())
+		case localChangedTask:
+			c.handleLocalChange()
 		}
 	}
 }
 
-// reload goes by the proxy's own file, which has changed. What is saved and did not fit the file before may fit it now.
-func (c *Client) reload() {
-	before := c.follower.InForce().Revision
-	c.finish(c.reread())
-	if c.follower.InForce().Revision == before {
-		c.finish(c.follower.LocalChanged())
+// handleLocalChange overlays the configuration onto the proxy's own file after that has changed. A saved configuration that
+// failed its check with the old file may pass with the new one, so it is tried first.
+func (c *Client) handleLocalChange() {
+	before := c.machine.InForce().Revision
+	c.runSteps(c.loadSaved())
+	if c.machine.InForce().Revision == before {
+		c.runSteps(c.machine.LocalChanged())
 	}
 }
 
-func (c *Client) reread() Decision {
+// loadSaved loads the saved configuration, if there is a state folder.
+func (c *Client) loadSaved() Decision {
 	if c.config.Folder == "" {
 		return Decision{}
 	}
@@ -131,44 +136,44 @@
 		log.Printf("msg=config_not_read error=%q", err)
 		return Decision{}
 	}
-	return c.follower.Loaded(saved)
+	return c.machine.Loaded(saved)
 }
 
-// finish takes the steps that a task leads to, and tells how it ended.
-func (c *Client) finish(outcome Decision) {
-	var laid ReloadableConfig
-	for outcome.Step != Idle {
+// runSteps executes the steps of a task and reports the result.
+func (c *Client) runSteps(decision Decision) {
+	var overlaid ReloadableConfig
+	for decision.Step != Idle {
 		var err error
-		switch outcome.Step {
+		switch decision.Step {
 		case Check:
-			laid, err = c.check(outcome.Candidate)
-			outcome = c.follower.Checked(err)
+			overlaid, err = c.check(decision.Candidate)
+			decision = c.machine.Checked(err)
 		case Save:
-			outcome = c.follower.Saved(c.file().save(outcome.Candidate))
+			decision = c.machine.Saved(c.file().save(decision.Candidate))
 		case Apply:
-			outcome = c.follower.Applied(c.takeOverOnLoop(outcome.Candidate.Revision, laid))
+			decision = c.machine.Applied(c.applyOnLoop(decision.Candidate.Revision, overlaid))
 		}
 	}
 	var refused *revision.Report
-	if outcome.Report != nil && outcome.Report.Verdict != revision.InForce {
-		refused = outcome.Report
+	if decision.Report != nil && decision.Report.Verdict != revision.InForce {
+		refused = decision.Report
 	}
 	c.publish(refused)
-	c.tell(outcome)
+	c.reportDecision(decision)
 }
 
-// takeOverOnLoop has the loop take a configuration over and waits for it.
-func (c *Client) takeOverOnLoop(number revision.Number, laid ReloadableConfig) error {
+// applyOnLoop applies a configuration on the loop and waits for the result.
+func (c *Client) applyOnLoop(number revision.Number, overlaid ReloadableConfig) error {
 	done := make(chan error, 1)
-	inForce := c.follower.InForce().Revision
-	c.onLoop(func() {
+	inForce := c.machine.InForce().Revision
+	c.callOnLoop(func() {
 		if c.paused && number > inForce {
 			done <- errPaused
 			return
 		}
-		err := c.takeOver(laid)
+		err := c.apply(overlaid)
 		if err == nil && number > inForce {
-			c.since = c.loop.Now()
+			c.appliedAt = c.loop.Now()
 		}
 		done <- err
 	})
@@ -180,12 +185,12 @@
 	}
 }
 
-// tell reports to the replica and in the log.
-func (c *Client) tell(outcome Decision) {
-	if outcome.LocalError != nil {
-		log.Printf("msg=reload_not_taken error=%q", outcome.LocalError)
+// reportDecision reports a result to the replica and logs it.
+func (c *Client) reportDecision(decision Decision) {
+	if decision.LocalError != nil {
+		log.Printf("msg=reload_not_taken error=%q", decision.LocalError)
 	}
-	report := outcome.Report
+	report := decision.Report
 	if report == nil {
 		return
 	}
@@ -194,38 +199,39 @@
 	} else {
 		log.Printf("msg=config_not_taken revision=%d verdict=%s error=%q", report.Revision, report.Verdict, report.Reason)
 	}
-	c.onLoop(func() {
+	c.callOnLoop(func() {
 		if !c.opened {
 			return
 		}
 		c.watch.Send(encode(report))
-		if outcome.ReconnectReason != nil && c.watch.Connected() {
-			c.watch.Reconnect(outcome.ReconnectReason)
+		if decision.ReconnectReason != nil && c.watch.Connected() {
+			c.watch.Reconnect(decision.ReconnectReason)
 			c.worker.dropUpdates()
 		}
 	})
 }
 
-// calls are what the worker wants done on the loop.
-type calls struct {
-	mutex sync.Mutex
-	all   []func()
+// callQueue holds functions to run on the loop.
+type callQueue struct {
+	mutex   sync.Mutex
+	pending []func()
 }
 
-// onLoop has f called on the loop in its next turn.
-func (c *Client) onLoop(f func()) {
+// callOnLoop queues f for the loop's next turn.
+func (c *Client) callOnLoop(f func()) {
 	c.calls.mutex.Lock()
-	c.calls.all = append(c.calls.all, f)
+	c.calls.pending = append(c.calls.pending, f)
 	c.calls.mutex.Unlock()
 	c.loop.WakeUp()
 }
 
-func (c *calls) run() {
+// run calls the queued functions in order.
+func (c *callQueue) run() {
 	c.mutex.Lock()
-	all := c.all
-	c.all = nil
+	pending := c.pending
+	c.pending = nil
 	c.mutex.Unlock()
-	for _, f := range all {
+	for _, f := range pending {
 		f()
 	}
 }
--- a/internal/revision/document.go
+++ b/internal/revision/document.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// DocumentMost is the largest document of a scope, and the largest merged configuration, in bytes.
+	// MaxDocumentBytes is the limit for the document of a scope, and for the merged configuration.
 	MaxDocumentBytes = 1 << 20
-	depthMost        = 64 // levels of nesting: a merge recurses
+	maxDepth         = 64 // levels of nesting; merging recurses
 )
 
-// Document is a JSON object in canonical form: keys sorted, no white space, numbers as they were written, no null.
+// Document is a JSON object in canonical form: sorted keys, no white space, numbers as written, no null.
 type Document = json.RawMessage
 
-// Empty is the document that says nothing.
+// EmptyDocument is the document without keys.
 var EmptyDocument = Document("{}")
 
-// Canonical reads a document that somebody wrote. The error is one line; it names the line and column where the text is
-// no JSON, and the key where a value is null, which a merge patch could not carry.
+// Canonicalize parses a document that a user wrote. Its errors are one line; they name the line and column of invalid JSON, or
+// the key whose value is null, which a merge patch could not represent.
 func Canonicalize(text []byte) (Document, error) {
 	if len(text) > MaxDocumentBytes {
-		return nil, fmt.Errorf("the document has %d bytes, %d are allowed", len(text), MaxDocumentBytes)
+		return nil, fmt.Errorf("the document has %d bytes, the limit is %d", len(text), MaxDocumentBytes)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	var value map[string]any
 	if err := decoder.Decode(&value); err != nil {
-		return nil, placed(text, decoder, err)
+		return nil, withPosition(text, decoder, err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		line, column := position(text, decoder.InputOffset())
-		return nil, fmt.Errorf("line %d, column %d: something follows the document", line, column)
+		return nil, fmt.Errorf("line %d, column %d: data follows the document", line, column)
 	}
 	if value == nil {
 		return nil, errors.New("line 1, column 1: the document is not an object")
@@ -49,8 +49,8 @@
 	return Encode(value)
 }
 
-// placed gives a decoder's error with its place.
-func placed(text []byte, decoder *json.Decoder, err error) error {
+// withPosition adds the line and column to a decoder's error.
+func withPosition(text []byte, decoder *json.Decoder, err error) error {
 	offset := decoder.InputOffset()
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
@@ -62,30 +62,30 @@
 		err = errors.New("the document is not an object")
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
 		offset = int64(len(text))
-		err = errors.New("the document breaks off")
+		err = errors.New("the document is truncated")
 	}
 	line, column := position(text, offset)
 	return fmt.Errorf("line %d, column %d: %w", line, column, err)
 }
 
-// position gives the line and column of an offset, both from 1.
+// position returns the line and column of an offset, both from 1.
 func position(text []byte, offset int64) (line, column int) {
 	before := text[:min(int64(len(text)), max(0, offset))]
 	line = 1 + bytes.Count(before, []byte("\n"))
 	return line, max(1, len(before)-bytes.LastIndexByte(before, '\n')-1)
 }
 
-// checkValue finds a null, or nesting that is too deep.
+// checkValue returns an error for a null, or for nesting deeper than maxDepth.
 func checkValue(value any, path string, depth int) error {
-	if depth > depthMost {
-		return fmt.Errorf("%s: nested over %d levels", path, depthMost)
+	if depth > maxDepth {
+		return fmt.Errorf("%s: nested deeper than %d levels", path, maxDepth)
 	}
 	switch value := value.(type) {
 	case nil:
 		return fmt.Errorf("%s is null: leave the key out instead", path)
 	case map[string]any:
 		for key, inner := range value {
-			if err := checkValue(inner, join(path, key), depth+1); err != nil {
+			if err := checkValue(inner, joinPath(path, key), depth+1); err != nil {
 				return err
 			}
 		}
@@ -99,14 +99,15 @@
 	return nil
 }
 
-func join(path, key string) string {
+// joinPath returns the path of a key inside an object.
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-// Encode writes a value as canonical JSON: keys sorted, no white space, nothing escaped that need not be.
+// Encode encodes a value as canonical JSON: sorted keys, no white space, no HTML escaping.
 func Encode(value any) (Document, error) {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
@@ -117,13 +118,13 @@
 	return bytes.TrimSuffix(out.Bytes(), []byte("\n")), nil
 }
 
-// Checksum is the SHA-256 of a canonical document, in hexadecimal.
+// Checksum returns the SHA-256 of a canonical document, in hexadecimal.
 func Checksum(document Document) string {
 	sum := sha256.Sum256(document)
 	return hex.EncodeToString(sum[:])
 }
 
-// Diff gives the RFC 7396 merge patch that leads from one canonical document to another.
+// Diff returns the RFC 7396 merge patch from one canonical document to another.
 func Diff(from, to Document) (Document, error) {
 	patch, err := jsonpatch.CreateMergePatch(from, to)
 	if err != nil {
@@ -132,7 +133,7 @@
 	return patch, nil
 }
 
-// Patch applies an RFC 7396 merge patch to a document; the result is canonical.
+// ApplyPatch applies an RFC 7396 merge patch to a document; the result is canonical.
 func ApplyPatch(document, patch Document) (Document, error) {
 	merged, err := jsonpatch.MergePatch(document, patch)
 	if err != nil {
@@ -141,7 +142,7 @@
 	return Canonicalize(merged)
 }
 
-// Merge lays canonical documents over each other, the first one lowest.
+// Merge merges canonical documents in order; later ones take precedence.
 func Merge(documents ...Document) (Document, error) {
 	merged := EmptyDocument
 	for _, document := range documents {
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -7,32 +7,33 @@
 	"pgregory.net/rapid"
 )
 
-func TestScopesReadAndPrint(t *testing.T) {
+func TestParseScope(t *testing.T) {
 	for _, text := range []string{"fleet", "region:eu", "zone:eu-1", "service:cart", "proxy:cart-17.a"} {
 		scope, err := ParseScope(text)
 		if err != nil || scope.String() != text {
 			t.Errorf("%q: %v, %v", text, scope, err)
 		}
 	}
-	for _, text := range []string{"", "fleet:x", "zone", "zone:", "zone:a b", "rack:1", "zone:../x", "zone:" + strings.Repeat("a", 129)} {
+	for _, text := range []string{"", "fleet:x", "zone", "zone:", "zone:a b", "rack:1", "zone:../x",
+		"zone:" + strings.Repeat("a", 129)} {
 		if scope, err := ParseScope(text); err == nil {
-			t.Errorf("%q is taken for %v", text, scope)
+			t.Errorf("%q is parsed as %v", text, scope)
 		}
 	}
 }
 
-func TestMistakesInADocumentHaveTheirPlace(t *testing.T) {
+func TestErrorsOfInvalidDocuments(t *testing.T) {
 	for text, want := range map[string]string{
 		"{\n \"a\": }":     "line 2, column",
-		"{\"a\": 1":        "breaks off",
+		"{\"a\": 1":        "is truncated",
 		"[1]":              "not an object",
 		"null":             "not an object",
-		"{} {}":            "something follows",
+		"{} {}":            "data follows",
 		`{"a":{"b":null}}`: "a.b is null",
-		"":                 "breaks off",
+		"":                 "is truncated",
 		`{"a":[{"c":null}]}` + strings.Repeat(" ", 3):               "a[0].c is null",
 		strings.Repeat(`{"a":`, 70) + "1" + strings.Repeat("}", 70): "nested",
-		strings.Repeat(" ", MaxDocumentBytes+1):                     "are allowed",
+		strings.Repeat(" ", MaxDocumentBytes+1):                     "the limit is",
 	} {
 		_, err := Canonicalize([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
@@ -41,7 +42,7 @@
 	}
 }
 
-func TestNarrowerScopesReplaceWiderOnes(t *testing.T) {
+func TestNarrowerScopesTakePrecedence(t *testing.T) {
 	identity := Identity{Fleet: "shop", Proxy: "p1", Region: "eu", Zone: "a", Service: "cart"}
 	held := []ScopeDocument{
 		{Scope{ProxyKind, "p1"}, 4, Document(`{"x":4}`)},
@@ -55,7 +56,7 @@
 	}
 }
 
-// object draws a JSON object without nulls.
+// object generates JSON objects without nulls.
 func object() *rapid.Generator[map[string]any] {
 	var value *rapid.Generator[any]
 	key := rapid.SampledFrom([]string{"a", "b", "c", "limits"})
@@ -75,7 +76,7 @@
 	return rapid.MapOfN(key, value, 0, 4)
 }
 
-func TestAPatchLeadsToTheOtherDocument(t *testing.T) {
+func TestDiffAndApplyPatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, err := Encode(object().Draw(t, "from"))
 		if err != nil {
--- a/internal/revision/scope.go
+++ b/internal/revision/scope.go
@@ -1,8 +1,8 @@
-// Package revision has the types that configuration travels in between the control replicas and the proxies: scopes,
-// numbered revisions, documents and the messages of a watch.
+// Package revision defines the types of configuration data exchanged between control replicas and proxies: scopes, numbered
+// revisions, documents and the messages of a watch.
 //
-// It is free of I/O and of a clock. Documents are JSON objects; a proxy's configuration is the documents of all scopes
-// that it lies in, merged by RFC 7396 from the widest scope to the narrowest. Checksums are SHA-256 of the canonical form.
+// It uses no I/O and no clock. Documents are JSON objects; a proxy's configuration is the documents of all scopes that it belongs
+// to, merged by RFC 7396 from the widest scope to the narrowest. Checksums are SHA-256 of the canonical form.
 package revision
 
 import (
@@ -11,10 +11,10 @@
 	"strings"
 )
 
-// Kind is how wide a scope is.
+// Kind is the width of a scope.
 type Kind string
 
-// The kinds of scopes, widest first. This is the order of merging: what a later one says replaces what an earlier one says.
+// The kinds of scopes, widest first. This is the merge order: narrower scopes take precedence.
 const (
 	FleetKind   Kind = "fleet"
 	RegionKind  Kind = "region"
@@ -26,16 +26,16 @@
 // Scope names the proxies that a document is for. Its text is "fleet", or the kind and a name: "zone:eu-1".
 type Scope struct {
 	Kind Kind
-	Name string // empty for the fleet's
+	Name string // empty for the fleet
 }
 
-// Fleet is the scope of all proxies.
+// FleetScope is the scope of all proxies.
 var FleetScope = Scope{Kind: FleetKind}
 
-// nameForm bounds the names of scopes and proxies, so that a scope is one word on a command line and in a path.
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
+// namePattern restricts the names of scopes and proxies, so that a scope is one word on a command line and in a path.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
-// ParseScope reads a scope's text.
+// ParseScope parses a scope's text.
 func ParseScope(text string) (Scope, error) {
 	kind, name, named := strings.Cut(text, ":")
 	switch scope := (Scope{Kind(kind), name}); scope.Kind {
@@ -44,14 +44,14 @@
 			return scope, nil
 		}
 	case RegionKind, ZoneKind, ServiceKind, ProxyKind:
-		if nameForm.MatchString(name) {
+		if namePattern.MatchString(name) {
 			return scope, nil
 		}
 	}
 	return Scope{}, fmt.Errorf("scope %q is unknown: fleet, region:NAME, zone:NAME, service:NAME or proxy:NAME", text)
 }
 
-// String is the scope's text.
+// String returns the scope's text.
 func (s Scope) String() string {
 	if s.Name == "" {
 		return string(s.Kind)
@@ -59,16 +59,16 @@
 	return string(s.Kind) + ":" + s.Name
 }
 
-// MarshalText gives the scope's text.
+// MarshalText returns the scope's text.
 func (s Scope) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads the scope's text.
+// UnmarshalText parses a scope's text.
 func (s *Scope) UnmarshalText(text []byte) (err error) {
 	*s, err = ParseScope(string(text))
 	return err
 }
 
-// Identity says which proxy one is and where it stands. Region, zone and service may be empty: it lies in none then.
+// Identity identifies a proxy and the scopes it belongs to. Region, zone and service may be empty.
 type Identity struct {
 	Fleet   string `json:"fleet"`
 	Proxy   string `json:"proxy"`
@@ -77,7 +77,7 @@
 	Service string `json:"service,omitempty"`
 }
 
-// Check tells what is wrong with an identity, if anything.
+// Check returns an error for an invalid identity.
 func (i Identity) Check() error {
 	for _, field := range []struct {
 		key, value string
@@ -89,14 +89,14 @@
 		if field.value == "" && !field.needed {
 			continue
 		}
-		if !nameForm.MatchString(field.value) {
+		if !namePattern.MatchString(field.value) {
 			return fmt.Errorf("%s %q is not a name of letters, digits, dots, dashes and underscores", field.key, field.value)
 		}
 	}
 	return nil
 }
 
-// Scopes are those that the proxy lies in, in the order of merging.
+// Scopes returns the scopes that the proxy belongs to, in merge order.
 func (i Identity) Scopes() []Scope {
 	scopes := []Scope{FleetScope}
 	for _, scope := range []Scope{{RegionKind, i.Region}, {ZoneKind, i.Zone}, {ServiceKind, i.Service}, {ProxyKind, i.Proxy}} {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,9 +1,8 @@
-// Package warm keeps what a process knows on a disk that lasts, and gives it to the one that comes after.
+// Package snapshot saves what a process has learned to a persistent disk, and loads it in the process that follows.
 //
-// The snapshot is one file for each process in the form of internal/statefile, with JSON in it. It is written by a goroutine
-// of its own, never by the loop. Whatever is wrong with a
-// file is one line, and a start without it; but a folder that is another fleet's is refused. It must never decide what of
-// a snapshot is still to be believed: who takes it knows how old it is.
+// A snapshot is one JSON file for each process, in the format of internal/statefile. A goroutine of its own writes it, never the
+// loop. A damaged file is a one-line error and the process starts without it; a folder of another fleet is refused. The package
+// never decides which parts of a snapshot are still valid: the caller knows its age.
 package snapshot
 
 import (
@@ -15,49 +14,51 @@
 	"sandpass/internal/statefile"
 )
 
-var form = statefile.Format{Name: "sandpass-state", Version: 1, Suffix: ".state", Description: "a snapshot"}
+// fileFormat is the format of a snapshot file.
+var fileFormat = statefile.Format{Name: "sandpass-state", Version: 1, Suffix: ".state", Description: "a snapshot"}
 
-// State is what a process knows.
+// State is the content of a snapshot.
 type State struct {
 	Fleet              string             `json:"fleet"`
 	Name               string             `json:"name"`
 	SavedUnix          float64            `json:"saved"` // Unix time in seconds
 	SavedAt            boottime.Time      `json:"saved_at"`
 	StartAges          json.RawMessage    `json:"ages,omitempty"`
-	Incarnation        uint64             `json:"life"` // of the process, by which peers tell it from those before
+	Incarnation        uint64             `json:"life"` // number of the process, by which peers tell it from earlier ones
 	Endpoints          json.RawMessage    `json:"list,omitempty"`
-	Discovery          string             `json:"discovery,omitempty"` // whose list it is
+	Discovery          string             `json:"discovery,omitempty"` // address that Endpoints came from
 	Maintenance        json.RawMessage    `json:"maintenance,omitempty"`
 	Drained            bool               `json:"drained,omitempty"`
-	TypicalLatency     float64            `json:"usual,omitempty"`  // seconds of an answer
-	BaselineInFlight   float64            `json:"ease,omitempty"`   // commands out
-	InFlightPerBackend float64            `json:"level,omitempty"`  // commands out for each backend
-	ArrivalRate        float64            `json:"rate,omitempty"`   // commands a second
-	AnsweredFraction   float64            `json:"served,omitempty"` // part of commands that is usually answered
-	LateFraction       float64            `json:"late,omitempty"`   // and part of those that is late
-	AllLatencies       []byte             `json:"any,omitempty"`    // sketch of all answers
-	VerbLatencies      map[string][]byte  `json:"verbs,omitempty"`  // and of each verb's
+	TypicalLatency     float64            `json:"usual,omitempty"`  // seconds, median without congestion
+	BaselineInFlight   float64            `json:"ease,omitempty"`   // commands in flight without congestion
+	InFlightPerBackend float64            `json:"level,omitempty"`  // limit of commands in flight for each backend
+	ArrivalRate        float64            `json:"rate,omitempty"`   // commands per second
+	AnsweredFraction   float64            `json:"served,omitempty"` // usual fraction of commands that are answered
+	LateFraction       float64            `json:"late,omitempty"`   // usual fraction of answers that are late
+	AllLatencies       []byte             `json:"any,omitempty"`    // latency sketch of all answers
+	VerbLatencies      map[string][]byte  `json:"verbs,omitempty"`  // latency sketch of each verb's answers
 	BackendWeights     map[string]float64 `json:"weights,omitempty"`
 }
 
-// Encode gives a snapshot's bytes.
+// Encode returns the bytes of a snapshot file.
 func Encode(s *State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	return form.Encode(body), nil
+	return fileFormat.Encode(body), nil
 }
 
-// Decode reads a snapshot's bytes, or tells in one line what is wrong with them.
+// Decode parses the bytes of a snapshot file. Its errors are one line.
 func Decode(text []byte) (*State, error) {
-	body, err := form.Decode(text)
+	body, err := fileFormat.Decode(text)
 	if err != nil {
 		return nil, err
 	}
 	return decodeBody(body)
 }
 
+// decodeBody parses the body of a snapshot file.
 func decodeBody(body []byte) (*State, error) {
 	var s State
 	if err := json.Unmarshal(body, &s); err != nil {
@@ -66,13 +67,13 @@
 	return &s, nil
 }
 
-// Foreign says that a folder is another fleet's.
+// FleetMismatchError reports a folder that belongs to another fleet.
 type FleetMismatchError = statefile.FleetMismatchError
 
-// Load reads the snapshot of the process of that name. There may be none: nil without an error.
+// Load reads a process's snapshot. It returns nil without an error if there is none.
 func Load(folder, fleet, name string) (*State, error) {
-	path := form.Path(folder, name)
-	body, err := form.Read(path)
+	path := fileFormat.Path(folder, name)
+	body, err := fileFormat.Read(path)
 	if body == nil || err != nil {
 		return nil, err
 	}
@@ -86,89 +87,93 @@
 	return s, nil
 }
 
-// Keeper writes a process's snapshots, one at a time, off the loop.
+// Writer writes a process's snapshots, one at a time, off the loop.
 type Writer struct {
-	at      string
-	mu      sync.Mutex
-	next    *saving       // that was not begun yet, nil for none
-	wake    chan struct{} // has room for one; closed by Close
-	done    sync.WaitGroup
-	said    func(err error) // is told of a failure and, with nil, that writing works again
-	writing func(path string, text []byte) error
+	path      string
+	mu        sync.Mutex
+	pending   *pendingWrite // not yet being written, nil for none
+	wake      chan struct{} // capacity 1; closed by Close
+	done      sync.WaitGroup
+	onStatus  func(err error) // called with a new failure, and with nil once writing works again
+	writeFile func(path string, text []byte) error
 }
 
-// NewKeeper begins. said is called from another goroutine, only where what is wrong changes.
-func NewWriter(folder, name string, said func(error)) *Writer {
-	k := &Writer{at: form.Path(folder, name), wake: make(chan struct{}, 1), said: said, writing: statefile.Write}
-	k.done.Go(k.run)
-	return k
+// NewWriter starts a writer. onStatus is called from its goroutine, only when the error changes.
+func NewWriter(folder, name string, onStatus func(error)) *Writer {
+	w := &Writer{
+		path: fileFormat.Path(folder, name), wake: make(chan struct{}, 1), onStatus: onStatus, writeFile: statefile.Write,
+	}
+	w.done.Go(w.run)
+	return w
 }
 
-// saving is one snapshot to be written, and who waits for it.
-type saving struct {
-	made  func() (*State, error)
-	saved []func(error)
+// pendingWrite is a snapshot to be written and the callbacks waiting for it.
+type pendingWrite struct {
+	build func() (*State, error)
+	done  []func(error)
 }
 
-// Put hands a snapshot over without waiting, to be made by the keeper's own goroutine from what nobody else holds; one that
-// was not begun yet is passed over. saved, if not nil, is called from that goroutine once this snapshot or a later one is on
-// the disk, or with the error why it is not.
-func (k *Writer) Put(made func() (*State, error), saved func(error)) {
-	k.mu.Lock()
-	next := &saving{made: made}
-	if k.next != nil {
-		next.saved = k.next.saved
+// Put queues a snapshot without blocking; it replaces one that is still queued. The writer's goroutine calls build, which must
+// use only data that no other goroutine modifies. done, if not nil, is called from that goroutine once this snapshot or a later
+// one is on disk, or with the write error.
+func (w *Writer) Put(build func() (*State, error), done func(error)) {
+	w.mu.Lock()
+	next := &pendingWrite{build: build}
+	if w.pending != nil {
+		next.done = w.pending.done
 	}
-	if saved != nil {
-		next.saved = append(next.saved, saved)
+	if done != nil {
+		next.done = append(next.done, done)
 	}
-	k.next = next
-	k.mu.Unlock()
+	w.pending = next
+	w.mu.Unlock()
 	select {
-	case k.wake <- struct{}{}:
-	default: // it has been woken for the one before
+	case w.wake <- struct{}{}:
+	default: // a wakeup is already pending
 	}
 }
 
-// Close writes what was put last, and ends.
-func (k *Writer) Close() {
-	close(k.wake)
-	k.done.Wait()
+// Close writes the snapshot queued last, and ends the writer.
+func (w *Writer) Close() {
+	close(w.wake)
+	w.done.Wait()
 }
 
-// take gives the snapshot to be written, nil for none.
-func (k *Writer) take() *saving {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	next := k.next
-	k.next = nil
+// takePending returns the snapshot to write, nil for none.
+func (w *Writer) takePending() *pendingWrite {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	next := w.pending
+	w.pending = nil
 	return next
 }
 
-func (k *Writer) run() {
+// run writes snapshots until Close, and reports changes of the error.
+func (w *Writer) run() {
 	last := ""
-	for range k.wake {
-		next := k.take()
+	for range w.wake {
+		next := w.takePending()
 		if next == nil {
 			continue
 		}
-		err := k.write(next.made)
-		for _, saved := range next.saved {
-			saved(err)
+		err := w.write(next.build)
+		for _, done := range next.done {
+			done(err)
 		}
-		now := ""
+		message := ""
 		if err != nil {
-			now = err.Error()
+			message = err.Error()
 		}
-		if now != last {
-			k.said(err)
+		if message != last {
+			w.onStatus(err)
 		}
-		last = now
+		last = message
 	}
 }
 
-func (k *Writer) write(made func() (*State, error)) error {
-	s, err := made()
+// write builds and writes one snapshot.
+func (w *Writer) write(build func() (*State, error)) error {
+	s, err := build()
 	if err != nil {
 		return err
 	}
@@ -176,5 +181,5 @@
 	if err != nil {
 		return err
 	}
-	return k.writing(k.at, text)
+	return w.writeFile(w.path, text)
 }
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -1,8 +1,8 @@
-// Package statefile reads and writes the files in which a process keeps something over its end.
+// Package statefile reads and writes files that hold a process's state across restarts.
 //
-// A file is one line with the form's name, its version, a checksum and the length, then the body. It is written to a
-// temporary file, synced and renamed, so that it is there whole or not at all. Whatever is wrong with a file is an error of
-// one line. It must never look into a body.
+// A file has one header line with the format's name, its version, a checksum and the body's length, then the body. It is written
+// to a temporary file, synced and renamed, so that it is either complete or absent. Every problem with a file is a one-line
+// error. The package does not interpret the body.
 package statefile
 
 import (
@@ -18,63 +18,63 @@
 )
 
 const (
-	sizeMost = 16 << 20 // bytes of a file: tens of thousands of backends
-	headMost = 80       // bytes of its first line
+	maxFileBytes   = 16 << 20 // enough for tens of thousands of backends
+	maxHeaderBytes = 80       // bytes of the header line
 )
 
-// Form is one kind of file.
+// Format is a kind of state file.
 type Format struct {
-	Name        string // first word of the file
+	Name        string // first word of the header
 	Version     int
-	Suffix      string // of the file's name, with the dot
-	Description string // "a snapshot", for errors
+	Suffix      string // of the file name, with the dot
+	Description string // for errors, such as "a snapshot"
 }
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode gives a file's bytes.
+// Encode returns the bytes of a file with the body.
 func (f Format) Encode(body []byte) []byte {
-	return append(fmt.Appendf(nil, "%s %d %08x %d\n", f.Name, f.Version, crc32.Checksum(body, table), len(body)), body...)
+	return append(fmt.Appendf(nil, "%s %d %08x %d\n", f.Name, f.Version, crc32.Checksum(body, crcTable), len(body)), body...)
 }
 
-// Decode gives the body in a file's bytes, or tells in one line what is wrong with them.
+// Decode returns the body of a file's bytes, or a one-line error.
 func (f Format) Decode(text []byte) ([]byte, error) {
 	head, body, whole := bytes.Cut(text, []byte("\n"))
-	if !whole || len(head) > headMost {
-		return nil, fmt.Errorf("it has no first line: torn, or not %s", f.Description)
+	if !whole || len(head) > maxHeaderBytes {
+		return nil, fmt.Errorf("no header line: the file is truncated, or not %s", f.Description)
 	}
 	var name string
 	var v, length int
 	var sum uint32
 	if n, err := fmt.Sscanf(string(head), "%s %d %x %d", &name, &v, &sum, &length); err != nil && n < 2 || name != f.Name {
-		return nil, fmt.Errorf("its first line is not that of %s", f.Description)
+		return nil, fmt.Errorf("the header is not that of %s", f.Description)
 	} else if v != f.Version {
-		return nil, fmt.Errorf("it has form %d, this program knows %d", v, f.Version)
+		return nil, fmt.Errorf("format version %d, this program reads version %d", v, f.Version)
 	} else if n != 4 {
-		return nil, errors.New("its first line is cut short")
+		return nil, errors.New("the header is truncated")
 	}
 	if len(body) != length {
-		return nil, fmt.Errorf("it is torn: %d bytes of %d", len(body), length)
+		return nil, fmt.Errorf("truncated: %d bytes of %d", len(body), length)
 	}
-	if crc32.Checksum(body, table) != sum {
-		return nil, errors.New("its checksum is wrong")
+	if crc32.Checksum(body, crcTable) != sum {
+		return nil, errors.New("checksum mismatch")
 	}
 	return body, nil
 }
 
-// Path is the file of the process of that name.
+// Path returns the path of a process's file.
 func (f Format) Path(folder, name string) string {
 	return filepath.Join(folder, url.PathEscape(name)+f.Suffix)
 }
 
-// Read gives the body of a file. There may be none: nil without an error.
+// Read returns the body of a file. It returns nil without an error if the file does not exist.
 func (f Format) Read(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
-	if err == nil && (!info.Mode().IsRegular() || info.Size() > sizeMost) {
-		return nil, fmt.Errorf("%s: no regular file of at most %d bytes", path, sizeMost)
+	if err == nil && (!info.Mode().IsRegular() || info.Size() > maxFileBytes) {
+		return nil, fmt.Errorf("%s: not a regular file of at most %d bytes", path, maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -87,18 +87,18 @@
 	return body, nil
 }
 
-// Foreign says that a folder is another fleet's.
+// FleetMismatchError reports a folder that belongs to another fleet.
 type FleetMismatchError struct{ Folder, Fleet, WantFleet string }
 
 func (f *FleetMismatchError) Error() string {
-	return fmt.Sprintf("state: the folder %s is that of fleet %q, not of %q", f.Folder, f.Fleet, f.WantFleet)
+	return fmt.Sprintf("state: folder %s belongs to fleet %q, not to %q", f.Folder, f.Fleet, f.WantFleet)
 }
 
-// Write puts a file in place whole or not at all, and syncs the folder. After an error it may be in place all the same.
+// Write replaces a file atomically and syncs the folder. After an error the new file may be in place all the same.
 func Write(path string, text []byte) error {
 	name, err := writeTemporary(path, text)
 	if name != "" {
-		defer os.Remove(name) // fails once the file is in place
+		defer os.Remove(name) // fails after the rename
 	}
 	if err != nil {
 		return err
@@ -114,12 +114,13 @@
 	return folder.Sync()
 }
 
-// Replace does the same where allowed says so of what is there, and syncs the folder. While it looks and writes no other
-// process does so in this folder: it holds the folder's lock. It tells whether the file was written.
+// ReplaceIf replaces a file atomically if allowed returns true, and syncs the folder. It holds the folder's lock while allowed
+// inspects the present file and the new one is put in place, so that no other process does so at the same time. It reports
+// whether the file was written.
 func ReplaceIf(path string, text []byte, allowed func() bool) (written bool, err error) {
 	name, err := writeTemporary(path, text)
 	if name != "" {
-		defer os.Remove(name) // fails once the file is in place
+		defer os.Remove(name) // fails after the rename
 	}
 	if err != nil {
 		return false, err
@@ -128,9 +129,9 @@
 	if err != nil {
 		return false, err
 	}
-	defer folder.Close() // and gives the lock back
+	defer folder.Close() // also releases the lock
 	if err := lock(folder); err != nil {
-		return false, fmt.Errorf("lock of %s: %w", folder.Name(), err)
+		return false, fmt.Errorf("locking %s: %w", folder.Name(), err)
 	}
 	if !allowed() {
 		return false, nil
@@ -141,7 +142,7 @@
 	return true, folder.Sync()
 }
 
-// lock waits for the lock of an open folder.
+// lock waits for the exclusive lock of an open folder.
 func lock(folder *os.File) error {
 	for {
 		if err := unix.Flock(int(folder.Fd()), unix.LOCK_EX); err != unix.EINTR {
@@ -150,20 +151,20 @@
 	}
 }
 
-// writeTemporary writes and syncs a file beside the one that it is to replace. The name is empty where there is none.
+// writeTemporary writes and syncs a temporary file in the folder of path. The name is empty if no file was created.
 func writeTemporary(path string, text []byte) (name string, err error) {
-	if err := fault(StepCreate); err != nil {
+	if err := injectFault(StepCreate); err != nil {
 		return "", err
 	}
 	f, err := os.CreateTemp(filepath.Dir(path), ".state-*")
 	if err != nil {
 		return "", err
 	}
-	if err = fault(StepWrite); err == nil {
+	if err = injectFault(StepWrite); err == nil {
 		_, err = f.Write(text)
 	}
 	if err == nil {
-		err = fault(StepSync)
+		err = injectFault(StepSync)
 	}
 	if err == nil {
 		err = f.Sync()
