--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings decodes the settings object that an instance is given, on the bench and on sockets, into the
-// arguments of balance.New and the few figures that a proxy needs. The object's keys are known here alone. It must
-// never decide anything or keep a figure after it has handed it over.
+// Package settings decodes the settings object of an instance, on the bench and on sockets, into the arguments of balance.New and
+// the few values that a proxy needs. No other package knows the object's keys. It makes no decisions and keeps no values.
 package settings
 
 import (
@@ -13,75 +12,77 @@
 	"sandpass/balance"
 )
 
-// document is the part of the settings that the module needs. Every pointer must be present.
+// document is the part of the settings that the balancer needs. Every pointer must be present.
 type document struct {
-	Me        *int    `json:"me"`
-	Siblings  *int    `json:"siblings"`
+	OwnIndex  *int    `json:"me"`
+	PeerCount *int    `json:"siblings"`
 	Tier      *int    `json:"tier"`
 	Discovery *string `json:"discovery"`
 	Limits    *struct {
-		Relays       *int     `json:"max_relays"`
-		SecondCopies *bool    `json:"second_copies"`
-		Cancel       *bool    `json:"cancel"`
-		RetryAfter   *bool    `json:"retry_after"`
-		MaxAfter     *float64 `json:"max_retry_after_ms"`
-		Peers        bool     `json:"peers"`
-		Answers      int      `json:"response_room"`
+		Relays        *int     `json:"max_relays"`
+		SecondCopies  *bool    `json:"second_copies"`
+		Cancel        *bool    `json:"cancel"`
+		RetryAfter    *bool    `json:"retry_after"`
+		MaxRetryAfter *float64 `json:"max_retry_after_ms"`
+		Peers         bool     `json:"peers"`
+		ResponseRoom  int      `json:"response_room"`
 	} `json:"limits"`
 	LoadInfo *struct {
 		Fields []string `json:"fields"`
 		How    *string  `json:"how"`
 	} `json:"load_info"`
-	Overage *float64 `json:"overage_utility"`
-	Safety  *struct {
+	OverageUtility *float64 `json:"overage_utility"`
+	Safety         *struct {
 		ColdShare    *float64 `json:"cold_share"`
 		ColdMs       *float64 `json:"cold_ms"`
 		FallMultiple *float64 `json:"fall_multiple"`
-		// A rule, or a doubt, that stands only where it is stated.
-		FreeResends float64 `json:"free_resends"`
-		ResendRatio float64 `json:"resend_ratio"`
-		CountedOver float64 `json:"counted_over_ms"`
-		LimitError  float64 `json:"deadline_error_ms"`
-		StartDrift  float64 `json:"start_drift_ms"`
+		// Optional rules and tolerances; absent or 0 means off.
+		FreeResends   float64 `json:"free_resends"`
+		ResendRatio   float64 `json:"resend_ratio"`
+		BudgetWindow  float64 `json:"counted_over_ms"`
+		DeadlineError float64 `json:"deadline_error_ms"`
+		StartDrift    float64 `json:"start_drift_ms"`
 	} `json:"safety"`
 	Realms []struct {
 		Allowance *float64 `json:"allowance_per_s"`
 	} `json:"realms"`
 	TickMs *float64 `json:"tick_ms"`
-	// What may be absent, and is then as it was before these were read: one zone, no messages, no keys.
-	Zone   int                `json:"zone"`
-	Prices map[string]float64 `json:"prices"` // one is used, but a file with any below 0 is no good
-	Family struct {
-		Keys bool `json:"warm_keys"`
+	// Optional keys. Their zero values are the behavior before the keys existed: one zone, no messages, no keys.
+	Zone       int                `json:"zone"`
+	Prices     map[string]float64 `json:"prices"` // only cross_zone is used, but a negative price is an error
+	FamilyInfo struct {
+		WarmKeys bool `json:"warm_keys"`
 	} `json:"family_info"`
 	Verbs []struct {
-		Effect  *string  `json:"effect"`
-		Scope   *string  `json:"key_scope"`
-		Window  *float64 `json:"window_ms"`
-		Goal    *float64 `json:"response_goal_ms"`
-		Limit   *float64 `json:"time_limit_ms"`
-		Utility *float64 `json:"utility"`
-		Late    *float64 `json:"overdue_utility"`
-		Stream  *bool    `json:"stream"`
+		Effect         *string  `json:"effect"`
+		Scope          *string  `json:"key_scope"`
+		Window         *float64 `json:"window_ms"`
+		Goal           *float64 `json:"response_goal_ms"`
+		TimeLimit      *float64 `json:"time_limit_ms"`
+		Utility        *float64 `json:"utility"`
+		OverdueUtility *float64 `json:"overdue_utility"`
+		Stream         *bool    `json:"stream"`
 	} `json:"verbs"`
 }
 
-const longestWindow = 600_000 // milliseconds of a budget's window: what is remembered of it has to have an end
+const maxBudgetWindowMs = 600_000 // bounds the memory that a budget's window takes
 
+// effects maps the values of effect.
 var effects = map[string]balance.Effect{
 	"idempotent": balance.Pure, "deduplicated": balance.Receipted, "at_most_once": balance.Effectful,
 }
 
+// scopes maps the values of key_scope.
 var scopes = map[string]balance.Scope{
 	"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
 }
 
-// negative names the first figure that is below 0: none of these may be.
-func negative(v reflect.Value, path string) string {
+// firstNegative returns the path of the first number below 0, empty for none. No setting may be negative.
+func firstNegative(v reflect.Value, path string) string {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			return negative(v.Elem(), path)
+			return firstNegative(v.Elem(), path)
 		}
 	case reflect.Float64, reflect.Int:
 		if v.CanFloat() && v.Float() < 0 || v.CanInt() && v.Int() < 0 {
@@ -90,13 +91,13 @@
 	case reflect.Struct:
 		for i := range v.NumField() {
 			name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
-			if m := negative(v.Field(i), strings.TrimPrefix(path+"."+name, ".")); m != "" {
+			if m := firstNegative(v.Field(i), strings.TrimPrefix(path+"."+name, ".")); m != "" {
 				return m
 			}
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			if m := negative(v.Index(i), fmt.Sprintf("%s[%d]", path, i)); m != "" {
+			if m := firstNegative(v.Index(i), fmt.Sprintf("%s[%d]", path, i)); m != "" {
 				return m
 			}
 		}
@@ -104,7 +105,7 @@
 		names := v.MapKeys()
 		slices.SortFunc(names, func(x, y reflect.Value) int { return strings.Compare(x.String(), y.String()) })
 		for _, name := range names {
-			if m := negative(v.MapIndex(name), path+"."+name.String()); m != "" {
+			if m := firstNegative(v.MapIndex(name), path+"."+name.String()); m != "" {
 				return m
 			}
 		}
@@ -112,24 +113,24 @@
 	return ""
 }
 
-// missing names the first needed figure that is absent.
-func missing(v reflect.Value, path string) string {
+// firstMissing returns the path of the first required key that is absent, empty for none.
+func firstMissing(v reflect.Value, path string) string {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
 			return path
 		}
-		return missing(v.Elem(), path)
+		return firstMissing(v.Elem(), path)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
-			if m := missing(v.Field(i), strings.TrimPrefix(path+"."+name, ".")); m != "" {
+			if m := firstMissing(v.Field(i), strings.TrimPrefix(path+"."+name, ".")); m != "" {
 				return m
 			}
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			if m := missing(v.Index(i), fmt.Sprintf("%s[%d]", path, i)); m != "" {
+			if m := firstMissing(v.Index(i), fmt.Sprintf("%s[%d]", path, i)); m != "" {
 				return m
 			}
 		}
@@ -137,43 +138,43 @@
 	return ""
 }
 
-// NewBalancer starts an instance from its settings and names the fields of its load reports.
-func NewBalancer(h balance.Host, seed uint64, now float64, text []byte) (*balance.Balancer, []string, error) {
-	b := balance.New(h, seed, now)
+// NewBalancer creates an instance from its settings and returns the names of the fields in its load reports.
+func NewBalancer(host balance.Host, seed uint64, now float64, text []byte) (*balance.Balancer, []string, error) {
+	b := balance.New(host, seed, now)
 	fields, err := Apply(b, now, text, nil, nil, -1)
 	return b, fields, err
 }
 
-// Apply has an instance go by other settings from now on, or tells what is wrong with them and changes nothing. The
-// index that each verb and tenant had before, or -1, may be left out where there was nothing before; zone is the
-// proxy's number for the own one, -1 if it is the index in the settings.
-func Apply(b *balance.Balancer, now float64, text []byte, verbsWere, tenantsWere []int, zone int) ([]string, error) {
-	var l document
-	if err := json.Unmarshal(text, &l); err != nil {
+// Apply changes an instance to other settings, or returns an error and changes nothing. previousVerbs and previousCustomers give
+// the index that each verb and customer had before, -1 for a new one; both are nil if there were none. zone is the proxy's
+// number of its own zone, -1 to use the index in the settings.
+func Apply(b *balance.Balancer, now float64, text []byte, previousVerbs, previousCustomers []int, zone int) ([]string, error) {
+	var doc document
+	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if m := missing(reflect.ValueOf(l), ""); m != "" {
+	if m := firstMissing(reflect.ValueOf(doc), ""); m != "" {
 		return nil, fmt.Errorf("settings: %s is missing", m)
 	}
-	if len(l.Verbs) == 0 {
+	if len(doc.Verbs) == 0 {
 		return nil, fmt.Errorf("settings: verbs is missing")
 	}
-	if m := negative(reflect.ValueOf(l), ""); m != "" {
+	if m := firstNegative(reflect.ValueOf(doc), ""); m != "" {
 		return nil, fmt.Errorf("settings: %s is below 0", m)
 	}
-	was := func(were []int, i int) int {
-		if i < len(were) {
-			return were[i]
+	previousIndex := func(previous []int, i int) int {
+		if i < len(previous) {
+			return previous[i]
 		}
 		return -1
 	}
-	if s := l.Safety; s.CountedOver == 0 && s.FreeResends+s.ResendRatio > 0 {
-		return nil, fmt.Errorf("settings: safety.counted_over_ms is missing, a budget of further relays needs it")
-	} else if s.CountedOver > longestWindow {
-		return nil, fmt.Errorf("settings: safety.counted_over_ms is over %d", longestWindow)
+	if s := doc.Safety; s.BudgetWindow == 0 && s.FreeResends+s.ResendRatio > 0 {
+		return nil, fmt.Errorf("settings: safety.counted_over_ms is missing, free_resends and resend_ratio require it")
+	} else if s.BudgetWindow > maxBudgetWindowMs {
+		return nil, fmt.Errorf("settings: safety.counted_over_ms is over %d", maxBudgetWindowMs)
 	}
 	var verbs []balance.Verb
-	for i, v := range l.Verbs {
+	for i, v := range doc.Verbs {
 		effect, ok := effects[*v.Effect]
 		if !ok {
 			return nil, fmt.Errorf("settings: verbs[%d].effect %q is unknown", i, *v.Effect)
@@ -184,110 +185,116 @@
 		}
 		verbs = append(verbs, balance.Verb{
 			Effect: effect, Scope: scope, DedupWindow: *v.Window / 1000, Goal: *v.Goal / 1000,
-			TimeLimit: *v.Limit / 1000, Utility: *v.Utility, LateUtility: *v.Late, Stream: *v.Stream, PreviousIndex: was(verbsWere, i),
+			TimeLimit: *v.TimeLimit / 1000, Utility: *v.Utility, LateUtility: *v.OverdueUtility, Stream: *v.Stream,
+			PreviousIndex: previousIndex(previousVerbs, i),
 		})
 	}
 	var customers []balance.Customer
-	for i, r := range l.Realms {
-		customers = append(customers, balance.Customer{Allowance: *r.Allowance, PreviousIndex: was(tenantsWere, i)})
+	for i, r := range doc.Realms {
+		customers = append(customers, balance.Customer{
+			Allowance: *r.Allowance, PreviousIndex: previousIndex(previousCustomers, i),
+		})
 	}
 	limits := balance.Limits{
-		MaxRelays: *l.Limits.Relays, SecondCopies: *l.Limits.SecondCopies, CancelRelays: *l.Limits.Cancel,
-		PeerMessages: l.Limits.Peers, KeyAffinity: l.Family.Keys, CrossZonePriced: l.Prices["cross_zone"] > 0,
-		MaxUnreadAnswers: l.Limits.Answers, DeadlineError: l.Safety.LimitError / 1000,
-		ExtraRelays: balance.RelayBudget{Free: l.Safety.FreeResends, PerCommand: l.Safety.ResendRatio, Span: l.Safety.CountedOver / 1000},
+		MaxRelays: *doc.Limits.Relays, SecondCopies: *doc.Limits.SecondCopies, CancelRelays: *doc.Limits.Cancel,
+		PeerMessages: doc.Limits.Peers, KeyAffinity: doc.FamilyInfo.WarmKeys, CrossZonePriced: doc.Prices["cross_zone"] > 0,
+		MaxUnreadAnswers: doc.Limits.ResponseRoom, DeadlineError: doc.Safety.DeadlineError / 1000,
+		ExtraRelays: balance.RelayBudget{
+			Free: doc.Safety.FreeResends, PerCommand: doc.Safety.ResendRatio, Span: doc.Safety.BudgetWindow / 1000,
+		},
 	}
-	if *l.Limits.RetryAfter {
-		limits.MaxRetryAfter = *l.Limits.MaxAfter / 1000
+	if *doc.Limits.RetryAfter {
+		limits.MaxRetryAfter = *doc.Limits.MaxRetryAfter / 1000
 	}
 	cold := balance.ColdStart{
-		InitialCapacity: *l.Safety.ColdShare, WarmUp: *l.Safety.ColdMs / 1000, OverloadMultiple: *l.Safety.FallMultiple,
-		StartError: l.Safety.StartDrift / 1000,
+		InitialCapacity: *doc.Safety.ColdShare, WarmUp: *doc.Safety.ColdMs / 1000, OverloadMultiple: *doc.Safety.FallMultiple,
+		StartError: doc.Safety.StartDrift / 1000,
 	}
 	if zone < 0 {
-		zone = l.Zone
+		zone = doc.Zone
 	}
-	place := balance.Placement{Index: *l.Me, Instances: *l.Siblings, Tier: *l.Tier, Zone: zone}
-	b.Configure(now, *l.TickMs/1000, place, verbs, customers, *l.Overage, limits, cold, *l.Discovery == "on_request")
-	return l.LoadInfo.Fields, nil
+	place := balance.Placement{Index: *doc.OwnIndex, Instances: *doc.PeerCount, Tier: *doc.Tier, Zone: zone}
+	b.Configure(now, *doc.TickMs/1000, place, verbs, customers, *doc.OverageUtility, limits, cold, *doc.Discovery == "on_request")
+	return doc.LoadInfo.Fields, nil
 }
 
-// Verb is what a proxy needs to know of a request class.
+// Verb is the part of a verb's settings that a proxy needs.
 type Verb struct {
 	Name      string
 	TimeLimit float64 // seconds
-	Receipted bool    // a request carries a key by which a repeat is recognized
+	Receipted bool    // a request carries a key by which a duplicate is recognized
 	Pure      bool    // may be repeated
 }
 
-// Names are what the settings call things; the module knows these by their indexes.
+// Names are the names in the settings; the balancer uses their indexes.
 type Names struct {
 	Verbs     []Verb
 	Customers []string
 	Zones     []string
-	OwnZone   int // its own, an index of Zones
+	OwnZone   int // index in Zones
 }
 
-// Links bounds a proxy's connections, and says whether messages go to peers.
+// NetworkSettings bounds a proxy's connections and describes its place among its peers.
 type NetworkSettings struct {
-	ConnectTimeout     float64 // seconds in which a connection to a backend must be up
-	BackendIdleTimeout float64 // seconds of idleness after which a backend closes one
-	MaxOpenRequests    int     // requests that may be open at once
-	MaxRetryAfter      float64 // seconds, the longest wait that clients can be told, 0 where they are told nothing
+	ConnectTimeout     float64 // seconds within which a connection to a backend must be established
+	BackendIdleTimeout float64 // seconds of idleness after which a backend closes a connection
+	MaxOpenRequests    int     // concurrently open requests
+	MaxRetryAfter      float64 // seconds, upper bound of the Retry-After sent to clients; 0: none is sent
 	PeerMessages       bool
-	OwnIndex           int // its number among the peers
+	OwnIndex           int // index among the peers
 	PeerCount          int
-	WarmKeys           bool // backends do less for a key that their cell has handled lately
+	WarmKeys           bool // backends handle a key faster that their cell has handled recently
 }
 
-// ForProxy decodes what a proxy on sockets needs beside the Balancer.
-func ForProxy(text []byte) (names Names, links NetworkSettings, err error) {
-	var l struct {
-		Zones  *[]string `json:"azs"`
-		Zone   int       `json:"zone"`
-		Family struct {
-			Keys bool `json:"warm_keys"`
+// ForProxy decodes what a proxy on sockets needs in addition to the Balancer.
+func ForProxy(text []byte) (names Names, network NetworkSettings, err error) {
+	var doc struct {
+		Zones      *[]string `json:"azs"`
+		Zone       int       `json:"zone"`
+		FamilyInfo struct {
+			WarmKeys bool `json:"warm_keys"`
 		} `json:"family_info"`
-		Me       *int `json:"me"`
-		Siblings *int `json:"siblings"`
-		Limits   *struct {
-			Peers   bool     `json:"peers"`
-			Connect *float64 `json:"connect_timeout_ms"`
-			Idle    *float64 `json:"conn_idle_ms"`
-			Open    *int     `json:"max_open"`
-			Retry   bool     `json:"retry_after"`
-			Most    float64  `json:"max_retry_after_ms"`
+		OwnIndex  *int `json:"me"`
+		PeerCount *int `json:"siblings"`
+		Limits    *struct {
+			Peers          bool     `json:"peers"`
+			ConnectTimeout *float64 `json:"connect_timeout_ms"`
+			ConnIdle       *float64 `json:"conn_idle_ms"`
+			MaxOpen        *int     `json:"max_open"`
+			RetryAfter     bool     `json:"retry_after"`
+			MaxRetryAfter  float64  `json:"max_retry_after_ms"`
 		} `json:"limits"`
 		Realms []struct {
 			Name *string `json:"name"`
 		} `json:"realms"`
 		Verbs []struct {
-			Name   *string  `json:"name"`
-			Effect *string  `json:"effect"`
-			Limit  *float64 `json:"time_limit_ms"`
+			Name      *string  `json:"name"`
+			Effect    *string  `json:"effect"`
+			TimeLimit *float64 `json:"time_limit_ms"`
 		} `json:"verbs"`
 	}
-	if err := json.Unmarshal(text, &l); err != nil {
-		return names, links, fmt.Errorf("settings: %w", err)
+	if err := json.Unmarshal(text, &doc); err != nil {
+		return names, network, fmt.Errorf("settings: %w", err)
 	}
-	if m := missing(reflect.ValueOf(l), ""); m != "" {
-		return names, links, fmt.Errorf("settings: %s is missing", m)
+	if m := firstMissing(reflect.ValueOf(doc), ""); m != "" {
+		return names, network, fmt.Errorf("settings: %s is missing", m)
 	}
-	for _, v := range l.Verbs {
-		names.Verbs = append(names.Verbs, Verb{*v.Name, *v.Limit / 1000,
+	for _, v := range doc.Verbs {
+		names.Verbs = append(names.Verbs, Verb{*v.Name, *v.TimeLimit / 1000,
 			effects[*v.Effect] == balance.Receipted, effects[*v.Effect] == balance.Pure})
 	}
-	for _, r := range l.Realms {
+	for _, r := range doc.Realms {
 		names.Customers = append(names.Customers, *r.Name)
 	}
-	if l.Zone < 0 || l.Zone > 0 && l.Zone >= len(*l.Zones) {
-		return names, links, fmt.Errorf("settings: zone %d is not one of %d azs", l.Zone, len(*l.Zones))
+	if doc.Zone < 0 || doc.Zone > 0 && doc.Zone >= len(*doc.Zones) {
+		return names, network, fmt.Errorf("settings: zone %d is not one of %d azs", doc.Zone, len(*doc.Zones))
 	}
-	names.Zones, names.OwnZone = *l.Zones, l.Zone
-	links = NetworkSettings{ConnectTimeout: *l.Limits.Connect / 1000, BackendIdleTimeout: *l.Limits.Idle / 1000, MaxOpenRequests: *l.Limits.Open,
-		PeerMessages: l.Limits.Peers, OwnIndex: *l.Me, PeerCount: *l.Siblings, WarmKeys: l.Family.Keys}
-	if l.Limits.Retry {
-		links.MaxRetryAfter = l.Limits.Most / 1000
+	names.Zones, names.OwnZone = *doc.Zones, doc.Zone
+	network = NetworkSettings{ConnectTimeout: *doc.Limits.ConnectTimeout / 1000,
+		BackendIdleTimeout: *doc.Limits.ConnIdle / 1000, MaxOpenRequests: *doc.Limits.MaxOpen,
+		PeerMessages: doc.Limits.Peers, OwnIndex: *doc.OwnIndex, PeerCount: *doc.PeerCount, WarmKeys: doc.FamilyInfo.WarmKeys}
+	if doc.Limits.RetryAfter {
+		network.MaxRetryAfter = doc.Limits.MaxRetryAfter / 1000
 	}
-	return names, links, nil
+	return names, network, nil
 }
