--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the file in which an installation's operators say what the platform does not: what is off unless
-// it is named there. It must never hold a default that turns something on, nor take a file in part.
+// Package operator reads the file in which an installation's operators configure what the platform does not. Every feature is off
+// unless the file turns it on. A file with an error is rejected as a whole.
 package operator
 
 import (
@@ -14,32 +14,32 @@
 	"sandpass/internal/tomlconfig"
 )
 
-// File is what the operators say. Times are in seconds.
+// File is the content of the operators' file. Times are in seconds.
 type File struct {
 	State   State   `toml:"state"`
 	Control Control `toml:"control"`
 }
 
-// State says where a process keeps what it knows over its end.
+// State configures where a process saves its state for the time after a restart.
 type State struct {
-	Folder       string  `toml:"folder"` // empty: nowhere
-	Fleet        string  `toml:"fleet"`  // whose it is: what another fleet has left there is refused
-	SaveInterval float64 `toml:"every"`  // between two writings, 0: 1
+	Folder       string  `toml:"folder"` // empty: no state is saved
+	Fleet        string  `toml:"fleet"`  // owner of the folder; the state of another fleet is refused
+	SaveInterval float64 `toml:"every"`  // between two snapshots, 0: 1
 }
 
-// Control says from which control replicas a proxy has its configuration, and where it stands among the others.
+// Control configures the control replicas of a proxy, and the scopes that the proxy belongs to.
 type Control struct {
 	Replicas []string `toml:"replicas"` // addresses, the preferred one first; empty: none
-	Fleet    string   `toml:"fleet"`    // whose configuration it is
-	Region   string   `toml:"region"`   // scopes in which the proxy lies, beside its own; each may be empty
+	Fleet    string   `toml:"fleet"`    // fleet that the configuration is for
+	Region   string   `toml:"region"`   // scopes of the proxy, in addition to its own; each may be empty
 	Zone     string   `toml:"zone"`
 	Service  string   `toml:"service"`
 }
 
-// On tells whether there is control.
+// Enabled reports whether control replicas are configured.
 func (c Control) Enabled() bool { return len(c.Replicas) > 0 }
 
-// Check tells what is wrong with a proxy's place under control, if anything.
+// Check returns an error if the identity of the proxy with that name is invalid.
 func (c Control) Check(name string) error {
 	if !c.Enabled() {
 		return nil
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// Identity is who a proxy of that name is.
+// Identity returns the identity of the proxy with that name.
 func (c Control) Identity(name string) revision.Identity {
 	return revision.Identity{Fleet: c.Fleet, Proxy: name, Region: c.Region, Zone: c.Zone, Service: c.Service}
 }
 
-// Addresses are the replicas' addresses; those that are none are left out, which Parse has refused.
+// Addresses returns the replicas' addresses, without invalid ones, which Parse has rejected.
 func (c Control) Addresses() (all []netip.AddrPort) {
 	for _, text := range c.Replicas {
 		if at, err := netip.ParseAddrPort(text); err == nil {
@@ -65,17 +65,17 @@
 	return all
 }
 
-// Equal tells whether two say the same.
+// Equal reports whether both configure the same.
 func (c Control) Equal(d Control) bool {
 	return slices.Equal(c.Replicas, d.Replicas) && c.Identity("") == d.Identity("")
 }
 
 const (
-	everyLeast = 0.1    // seconds: each writing is a sync of the disk
-	everyMost  = 3600.0 // beyond, what is kept is too old to be of use
+	minSaveInterval = 0.1    // seconds: each snapshot syncs the disk
+	maxSaveInterval = 3600.0 // seconds: an older snapshot is of no use
 )
 
-// Read reads a file; the error is one line with the place.
+// Read reads and checks a file; its errors are one line with the position.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -99,8 +99,8 @@
 		s.SaveInterval = 1
 	}
 	switch {
-	case math.IsNaN(s.SaveInterval) || s.SaveInterval < everyLeast || s.SaveInterval > everyMost:
-		return nil, fmt.Errorf("state.every = %v is not between %v and %v", s.SaveInterval, everyLeast, everyMost)
+	case math.IsNaN(s.SaveInterval) || s.SaveInterval < minSaveInterval || s.SaveInterval > maxSaveInterval:
+		return nil, fmt.Errorf("state.every = %v is not between %v and %v", s.SaveInterval, minSaveInterval, maxSaveInterval)
 	case s.Folder != "" && s.Fleet == "":
 		return nil, errors.New("state.fleet is missing: a folder belongs to one fleet")
 	case s.Folder == "" && s.Fleet != "":
@@ -112,7 +112,7 @@
 	return &f, nil
 }
 
-// checkControl tells what is wrong with the part on control, if anything.
+// checkControl validates the control section.
 func (f *File) checkControl() error {
 	c := f.Control
 	switch {
@@ -123,14 +123,14 @@
 	case c.Fleet == "":
 		return errors.New("control.fleet is missing: a proxy follows one fleet's configuration")
 	case f.State.Fleet != "" && f.State.Fleet != c.Fleet:
-		return fmt.Errorf("control.fleet is %q, and state.fleet %q", c.Fleet, f.State.Fleet)
+		return fmt.Errorf("control.fleet %q differs from state.fleet %q", c.Fleet, f.State.Fleet)
 	}
 	for i, text := range c.Replicas {
 		if _, err := netip.ParseAddrPort(text); err != nil {
 			return fmt.Errorf("control.replicas[%d]: %w", i, err)
 		}
 		if slices.Index(c.Replicas, text) < i {
-			return fmt.Errorf("control.replicas[%d]: %s comes twice", i, text)
+			return fmt.Errorf("control.replicas[%d]: duplicate address %s", i, text)
 		}
 	}
 	return c.Check("any")
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestWhatIsSaid(t *testing.T) {
+func TestParse(t *testing.T) {
 	f, err := Parse([]byte("[state]\nfolder = \"/tmp/x\"\nfleet = \"shop\"\n"))
 	if err != nil || f.State.Folder != "/tmp/x" || f.State.SaveInterval != 1 {
 		t.Errorf("%+v %v", f, err)
@@ -19,13 +19,13 @@
 	}
 }
 
-func TestTheDeployedExampleIsGood(t *testing.T) {
+func TestDeployedExample(t *testing.T) {
 	if _, err := Read("../../deploy/sandpass.toml"); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestEachMistakeIsOneLineWithItsPlace(t *testing.T) {
+func TestErrorsArePositionedAndOneLine(t *testing.T) {
 	const oneReplica = "[control]\nreplicas = [\"127.0.0.1:1\"]\n"
 	for text, want := range map[string]string{
 		"[state]\nfolder = \"x\"\n":                                                 "state.fleet is missing",
@@ -38,9 +38,9 @@
 		"[control]\nreplica = []\n":                                                 "line 2, column 1: key control.replica is unknown",
 		oneReplica:                                                                  "control.fleet is missing",
 		oneReplica + "fleet = \"x\"\nzone = \"a b\"\n":                              "control: zone \"a b\" is not a name",
-		oneReplica + "fleet = \"x\"\n[state]\nfolder = \"f\"\nfleet = \"y\"\n":      "control.fleet is \"x\", and state.fleet \"y\"",
+		oneReplica + "fleet = \"x\"\n[state]\nfolder = \"f\"\nfleet = \"y\"\n":      "control.fleet \"x\" differs from state.fleet \"y\"",
 		"[control]\nreplicas = [\"here\"]\nfleet = \"x\"\n":                         "control.replicas[0]",
-		"[control]\nreplicas = [\"127.0.0.1:1\", \"127.0.0.1:1\"]\nfleet = \"x\"\n": "control.replicas[1]: 127.0.0.1:1 comes twice",
+		"[control]\nreplicas = [\"127.0.0.1:1\", \"127.0.0.1:1\"]\nfleet = \"x\"\n": "control.replicas[1]: duplicate address 127.0.0.1:1",
 		"[state\n": "line 1",
 	} {
 		_, err := Parse([]byte(text))
--- a/internal/tomlconfig/tomlconfig.go
+++ b/internal/tomlconfig/tomlconfig.go
@@ -1,5 +1,5 @@
-// Package tomlconfig decodes TOML that people write: a key that nobody knows is a mistake, and each mistake is one line with its
-// place. It must never take a text in part.
+// Package tomlconfig decodes TOML files written by people. An unknown key is an error, and each error is one line with its
+// position. A text with an error is rejected as a whole.
 package tomlconfig
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads a text into what a pointer points at.
-func Decode(text []byte, into any) error {
+// Decode decodes a text into target, a pointer.
+func Decode(text []byte, target any) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	return WithPosition(d.Decode(into))
+	return WithPosition(d.Decode(target))
 }
 
-// Placed gives a decoder's error with its place, in one line; nil stays nil.
+// WithPosition turns a decoder's error into one line with its position; nil stays nil.
 func WithPosition(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
