--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,75 +1,78 @@
-// Package recovery tells in which phase a process is after its start, and how long it took to be of full use.
+// Package recovery tracks the phase of a process after its start, and the time until it served normally.
 //
-// A process is cold until it has a list and takes clients, warming until what it serves is within a margin of what is
-// usual and stays there, then full; it is full only once. Free of I/O and of a clock of its own: it is told sums, and
-// times in seconds that never run backwards. It must never decide about a command.
+// A process is cold until it has a backend list and accepts clients. It is warming until its results are within a margin of the
+// usual ones and stay there, and full from then on, for good. The package uses no I/O and no clock: it is given counts, and times
+// in seconds that never go backwards. It makes no decisions about commands.
 package recovery
 
-// Phase is where a process is.
+// Phase is the phase of a process after its start.
 type Phase int
 
+// The phases, in order.
 const (
-	Cold    Phase = iota // has no list yet, or takes no clients
-	Warming              // serves, not yet as usual
-	Full
+	Cold    Phase = iota // has no backend list yet, or does not accept clients
+	Warming              // serves, with results below the usual ones
+	Full                 // results have been as usual
 )
 
+// String returns the phase's name in status reports.
 func (p Phase) String() string { return [...]string{"cold", "warming", "full"}[p] }
 
 const (
-	margin   = 0.99 // of the usual part that is answered, from which it is as usual
-	usual    = 0.97 // part answered that counts as usual where nothing is known: some clients always leave
-	lateMore = 0.1  // more late ones than usual that are still within it
-	late     = 0.25 // part of late answers that counts as usual where nothing is known
-	held     = 2.0  // seconds for which it has to stay so
-	least    = 10   // commands in them: fewer prove nothing
-	warmMost = 30.0 // seconds after which it counts as full whatever is served: then it is not the start that ails it
+	usualMargin       = 0.99 // share of the usual answered fraction from which results count as usual
+	defaultAnswered   = 0.97 // answered fraction assumed without a snapshot: some clients always leave
+	lateMargin        = 0.1  // by which the late fraction may exceed the usual one
+	defaultLate       = 0.25 // late fraction assumed without a snapshot
+	stableSeconds     = 2.0  // for which results must stay as usual
+	minCommands       = 10   // commands within that time: fewer are no evidence
+	maxWarmingSeconds = 30.0 // after that the process counts as full: bad results then have another cause than the start
 )
 
-// Recovery follows one process. Make it with New.
+// Tracker follows one process. Create it with New.
 type Tracker struct {
-	phase     Phase
-	served    float64 // usual part that is answered
-	late      float64 // usual part of them that is late
-	accepting float64 // when it began to take clients with a list
-	good      float64 // since when all is as usual
-	ended     int     // commands since then
-	took      float64 // seconds until it was of full use
-	outOfTime bool    // it counts as full by warmMost alone
+	phase            Phase
+	answeredFraction float64 // usual fraction of commands that are answered
+	lateFraction     float64 // usual fraction of answers that are late
+	acceptingSince   float64 // when the process began to accept clients with a list
+	usualSince       float64 // since when results are as usual
+	endedCommands    int     // commands ended since then
+	timeToFull       float64 // seconds
+	timedOut         bool    // full only because maxWarmingSeconds had passed
 }
 
-// New begins; served and late are the usual parts as an earlier life had them, 0 where they are not known.
-func New(served, lateUsually float64) *Tracker {
-	r := &Tracker{served: usual, late: late}
-	if served > 0 {
-		r.served, r.late = served, lateUsually
+// New creates a tracker. answeredFraction and lateFraction are the usual values from a snapshot; answeredFraction is 0 where they
+// are not known.
+func New(answeredFraction, lateFraction float64) *Tracker {
+	r := &Tracker{answeredFraction: defaultAnswered, lateFraction: defaultLate}
+	if answeredFraction > 0 {
+		r.answeredFraction, r.lateFraction = answeredFraction, lateFraction
 	}
 	return r
 }
 
-// Look is told how things stand: whether it takes clients with a list, how many commands have been answered and have ended
-// since the last look, and the part of answers that is late. It tells whether it has become of full use just now.
-func (r *Tracker) Observe(now float64, serving bool, answered, ended int, latePart float64) bool {
+// Observe records the current state: whether the process accepts clients with a list, the numbers of commands answered and ended
+// since the last call, and the late fraction of answers. It reports whether the process has just become full.
+func (r *Tracker) Observe(now float64, serving bool, answered, ended int, lateFraction float64) bool {
 	switch r.phase {
 	case Cold:
 		if serving {
-			r.phase, r.accepting, r.good, r.ended = Warming, now, now, 0
+			r.phase, r.acceptingSince, r.usualSince, r.endedCommands = Warming, now, now, 0
 		}
 		return false
 	case Full:
 		return false
 	}
-	asUsual := float64(answered) >= margin*r.served*float64(ended) && latePart <= r.late+lateMore
+	asUsual := float64(answered) >= usualMargin*r.answeredFraction*float64(ended) && lateFraction <= r.lateFraction+lateMargin
 	if !asUsual || !serving {
-		r.good, r.ended = now, 0
+		r.usualSince, r.endedCommands = now, 0
 	} else {
-		r.ended += ended
+		r.endedCommands += ended
 	}
 	switch {
-	case now >= r.good+held && r.ended >= least:
-		r.took = r.good - r.accepting
-	case now >= r.accepting+warmMost:
-		r.took, r.outOfTime = now-r.accepting, true
+	case now >= r.usualSince+stableSeconds && r.endedCommands >= minCommands:
+		r.timeToFull = r.usualSince - r.acceptingSince
+	case now >= r.acceptingSince+maxWarmingSeconds:
+		r.timeToFull, r.timedOut = now-r.acceptingSince, true
 	default:
 		return false
 	}
@@ -77,8 +80,9 @@
 	return true
 }
 
-// Phase is where it is.
+// Phase returns the current phase.
 func (r *Tracker) Phase() Phase { return r.phase }
 
-// Took is how many seconds passed from taking clients until all was as usual, and whether it was given up waiting for that.
-func (r *Tracker) TimeToFull() (seconds float64, outOfTime bool) { return r.took, r.outOfTime }
+// TimeToFull returns the seconds from accepting clients until results were as usual, and whether the process counts as full only
+// because the time for warming had passed.
+func (r *Tracker) TimeToFull() (seconds float64, timedOut bool) { return r.timeToFull, r.timedOut }
