--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink lets the bench drive instances of the balancer over standard input and output. This file owns the
-// process alone; it must never write anything but replies to standard output.
+// Command benchlink lets the bench drive instances of the balancer over standard input and output. It writes nothing but replies
+// to standard output.
 package main
 
 import (
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-const launchText = `{"me": 0, "siblings": 2, "tier": 0, "tiers": ["a"], "discovery": "pushed", "news": {"to": "come"},
+const testSettings = `{"me": 0, "siblings": 2, "tier": 0, "tiers": ["a"], "discovery": "pushed", "news": {"to": "come"},
  "limits": {"max_relays": 3, "second_copies": true, "cancel": true, "probes": true, "retry_after": false,
   "max_retry_after_ms": 2000, "conn_idle_ms": 30000, "streams_per_conn": 1},
  "load_info": {"fields": ["cpu", "avg_ms"], "how": "answers"}, "overage_utility": 0, "tick_ms": 5,
@@ -18,11 +18,11 @@
  "verbs": [{"effect": "idempotent", "key_scope": "all", "window_ms": 5000, "response_goal_ms": 2500,
   "time_limit_ms": 6000, "utility": 0, "overdue_utility": 0, "stream": false}]}`
 
-const list = "0a01 37000000 00 02000000" +
+const listRecord = "0a01 37000000 00 02000000" +
 	"0a124a07 c32b 0000 0000 0000 00 0000803f 0000000000000000" +
 	"0a9011f2 ec2b 0000 0000 0000 00 0000c03f 0000000000d4b740"
 
-func raw(t *testing.T, text string) []byte {
+func parseHex(t *testing.T, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.NewReplacer(" ", "", "\n", "").Replace(text))
 	if err != nil {
@@ -41,16 +41,16 @@
 	return append(b, body.Bytes()...)
 }
 
-func launchOf(who uint32, text string) []byte {
-	return record(inLaunch, who, uint64(7), uint32(len(text)), []byte(text))
+func createRecord(id uint32, text string) []byte {
+	return record(inCreate, id, uint64(7), uint32(len(text)), []byte(text))
 }
 
-func topology(who uint32, kind, ref uint8) []byte {
-	return record(inTopology, who, uint32(1), kind, ref)
+func updateBackendsRecord(id uint32, kind, ref uint8) []byte {
+	return record(inUpdateBackends, id, uint32(1), kind, ref)
 }
 
-func accept(who uint32, cmd uint64, now float64) []byte {
-	return record(inAccept, who, cmd, now+6000, uint16(0), uint64(0), 0.0, uint16(0), uint16(0))
+func commandReceivedRecord(id uint32, cmd uint64, now float64) []byte {
+	return record(inCommandReceived, id, cmd, now+6000, uint16(0), uint64(0), 0.0, uint16(0), uint16(0))
 }
 
 func batch(now float64, records ...[]byte) []byte {
@@ -61,7 +61,7 @@
 	return append(b, body...)
 }
 
-// serve runs batches through and gives each reply's records as code and fields.
+// serve processes batches and returns the replies.
 func serve(in ...[]byte) (replies [][]byte, err error) {
 	var out bytes.Buffer
 	err = Serve(bufio.NewReader(bytes.NewReader(bytes.Join(in, nil))), &out)
@@ -72,7 +72,7 @@
 	return replies, err
 }
 
-// find gives the fields of the records with the code.
+// find returns the fields of the records with the code.
 func find(reply []byte, code uint16) (found [][]byte) {
 	for len(reply) > 0 {
 		n := binary.LittleEndian.Uint32(reply[2:]) + 6
@@ -87,31 +87,32 @@
 func TestRoundTrip(t *testing.T) {
 	replies, err := serve(
 		batch(1000),
-		batch(1005, launchOf(3, launchText), launchOf(5, launchText), raw(t, list), topology(3, 2, 0), topology(5, 2, 0)),
-		batch(1010, accept(3, 0x4289b5d3a91c4, 1010), accept(5, 77, 1010)),
+		batch(1005, createRecord(3, testSettings), createRecord(5, testSettings), parseHex(t, listRecord),
+			updateBackendsRecord(3, 2, 0), updateBackendsRecord(5, 2, 0)),
+		batch(1010, commandReceivedRecord(3, 0x4289b5d3a91c4, 1010), commandReceivedRecord(5, 77, 1010)),
 	)
 	if err != nil || len(replies) != 3 || len(replies[0]) != 0 {
 		t.Fatalf("%d replies, error %v", len(replies), err)
 	}
-	sent := find(replies[2], outDeliver)
+	sent := find(replies[2], outRelay)
 	if len(sent) != 2 || len(sent[0]) != 26 {
-		t.Fatalf("delivered %x", sent)
+		t.Fatalf("relays %x", sent)
 	}
-	if who := binary.LittleEndian.Uint32(sent[1]); who != 5 || binary.LittleEndian.Uint64(sent[0][4:]) != 0x4289b5d3a91c4 {
-		t.Errorf("the second went out for %d, the first as %x", who, sent[0][4:12])
+	if id := binary.LittleEndian.Uint32(sent[1]); id != 5 || binary.LittleEndian.Uint64(sent[0][4:]) != 0x4289b5d3a91c4 {
+		t.Errorf("second relay from instance %d, first for command %x", id, sent[0][4:12])
 	}
-	t.Run("an answer ends it, a later one is absorbed", func(t *testing.T) {
+	t.Run("the first reply ends the command, a later one is ignored", func(t *testing.T) {
 		to := sent[0][12:18]
 		load := []any{uint8(2), float32(0.25), float32(120)}
 		reply := func(final uint8, l ...any) []byte {
 			fields := []any{uint32(3), uint64(0x4289b5d3a91c4), uint16(0), to, uint16(100), 18.5, final}
-			return record(inReply, append(fields, l...)...)
+			return record(inRelayEnded, append(fields, l...)...)
 		}
 		_, err := serve(
-			batch(1005, launchOf(3, launchText), raw(t, list), topology(3, 2, 0)),
-			batch(1010, accept(3, 0x4289b5d3a91c4, 1010)),
-			batch(1030, reply(1, load...), reply(1, uint8(0)), record(inGone, uint32(3), uint64(0x4289b5d3a91c4)),
-				record(inBell, uint32(3), uint64(1<<50)), record(inShutdown, uint32(3)), reply(1, uint8(0))),
+			batch(1005, createRecord(3, testSettings), parseHex(t, listRecord), updateBackendsRecord(3, 2, 0)),
+			batch(1010, commandReceivedRecord(3, 0x4289b5d3a91c4, 1010)),
+			batch(1030, reply(1, load...), reply(1, uint8(0)), record(inClientDisconnected, uint32(3), uint64(0x4289b5d3a91c4)),
+				record(inTimerFired, uint32(3), uint64(1<<50)), record(inDelete, uint32(3)), reply(1, uint8(0))),
 		)
 		if err != nil {
 			t.Error(err)
@@ -119,33 +120,34 @@
 	})
 }
 
-func TestListNumbersReused(t *testing.T) {
+func TestListNumbersAreReused(t *testing.T) {
 	one := func(b string) []byte {
-		return raw(t, "0a01 1e000000 00 01000000"+b+"c32b 0000 0000 0000 00 0000803f 0000000000000000")
+		return parseHex(t, "0a01 1e000000 00 01000000"+b+"c32b 0000 0000 0000 00 0000803f 0000000000000000")
 	}
 	replies, err := serve(
-		batch(1005, launchOf(3, launchText), launchOf(5, launchText),
-			one("0a000001"), topology(3, 2, 0), one("0a000002"), topology(5, 2, 0)),
-		batch(1010, accept(3, 1, 1010), accept(5, 2, 1010)),
+		batch(1005, createRecord(3, testSettings), createRecord(5, testSettings),
+			one("0a000001"), updateBackendsRecord(3, 2, 0), one("0a000002"), updateBackendsRecord(5, 2, 0)),
+		batch(1010, commandReceivedRecord(3, 1, 1010), commandReceivedRecord(5, 2, 1010)),
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent := find(replies[1], outDeliver)
+	sent := find(replies[1], outRelay)
 	if len(sent) != 2 || sent[0][15] != 1 || sent[1][15] != 2 {
-		t.Errorf("delivered %x", sent)
+		t.Errorf("relays %x", sent)
 	}
 }
 
-func TestProcessesAlike(t *testing.T) {
-	first := func(who ...uint32) (records [][]byte) {
-		for _, w := range who {
-			records = append(records, launchOf(w, launchText), raw(t, list), topology(w, 2, 0))
+func TestInstancesAreIndependent(t *testing.T) {
+	first := func(id ...uint32) (records [][]byte) {
+		for _, w := range id {
+			records = append(records, createRecord(w, testSettings), parseHex(t, listRecord), updateBackendsRecord(w, 2, 0))
 		}
 		return records
 	}
-	both, err1 := serve(batch(1005, first(3, 5)...), batch(1010, accept(3, 1, 1010), accept(5, 1, 1010)))
-	alone, err2 := serve(batch(1005, first(5)...), batch(1010, accept(5, 1, 1010)))
+	both, err1 := serve(batch(1005, first(3, 5)...),
+		batch(1010, commandReceivedRecord(3, 1, 1010), commandReceivedRecord(5, 1, 1010)))
+	alone, err2 := serve(batch(1005, first(5)...), batch(1010, commandReceivedRecord(5, 1, 1010)))
 	if err1 != nil || err2 != nil {
 		t.Fatal(err1, err2)
 	}
@@ -154,31 +156,32 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
-	verb4 := record(inAccept, uint32(3), uint64(1), 9.0, uint16(4), uint64(0), 0.0, uint32(0))
-	good := batch(1010, launchOf(3, launchText))
-	without := func(name string) string { return strings.Replace(launchText, `"`+name+`"`, `"x_`+name+`"`, 1) }
+func TestInvalidInput(t *testing.T) {
+	verb4 := record(inCommandReceived, uint32(3), uint64(1), 9.0, uint16(4), uint64(0), 0.0, uint32(0))
+	good := batch(1010, createRecord(3, testSettings))
+	without := func(name string) string { return strings.Replace(testSettings, `"`+name+`"`, `"x_`+name+`"`, 1) }
 	for name, c := range map[string]struct {
 		in   []byte
-		says string
+		want string
 	}{
-		"inside a header":          {good[:5], "ends inside a batch header"},
-		"inside a batch":           {good[:40], "ends inside a batch of"},
-		"a length too short":       {raw(t, "00000000 07000000"), "length 7"},
-		"a record past the batch":  {batch(1, raw(t, "0201 ff000000 00")), "length 255 does not fit"},
-		"a short record":           {batch(1, raw(t, "0201 02000000 0000")), "fields do not fit"},
-		"bytes left in a record":   {batch(1, raw(t, "0901 05000000 0300000000")), "left over"},
-		"bytes left in a batch":    {append(raw(t, "00000000 0a000000 0000000000000000"), 1, 2), "left over after 0 records"},
-		"an unknown event":         {batch(1, raw(t, "9901 04000000 03000000")), "code is unknown"},
-		"settings that aren't any": {batch(1, launchOf(3, "tier 0")), "settings:"},
-		"a figure missing":         {batch(1, launchOf(3, without("max_relays"))), "limits.max_relays is missing"},
-		"a verb's figure missing":  {batch(1, launchOf(3, without("utility"))), "verbs[0].utility is missing"},
-		"a list never given":       {batch(1, launchOf(3, launchText), topology(3, 2, 4)), "list number 4"},
-		"an unknown verb":          {batch(1, launchOf(3, launchText), verb4), "verb 4"},
+		"inside a header":         {good[:5], "ends inside a batch header"},
+		"inside a batch":          {good[:40], "ends inside a batch of"},
+		"a length too short":      {parseHex(t, "00000000 07000000"), "length 7"},
+		"a record past the batch": {batch(1, parseHex(t, "0201 ff000000 00")), "length 255 does not fit"},
+		"a short record":          {batch(1, parseHex(t, "0201 02000000 0000")), "fields do not fit"},
+		"bytes left in a record":  {batch(1, parseHex(t, "0901 05000000 0300000000")), "left over"},
+		"bytes left in a batch":   {append(parseHex(t, "00000000 0a000000 0000000000000000"), 1, 2), "left over after 0 records"},
+		"an unknown event":        {batch(1, parseHex(t, "9901 04000000 03000000")), "unknown record code"},
+		"invalid settings":        {batch(1, createRecord(3, "tier 0")), "settings:"},
+		"a missing setting":       {batch(1, createRecord(3, without("max_relays"))), "limits.max_relays is missing"},
+		"a missing verb setting":  {batch(1, createRecord(3, without("utility"))), "verbs[0].utility is missing"},
+		"an undefined list": {batch(1, createRecord(3, testSettings), updateBackendsRecord(3, 2, 4)),
+			"list number 4 is not defined"},
+		"an unknown verb": {batch(1, createRecord(3, testSettings), verb4), "verb 4"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			replies, err := serve(c.in)
-			if err == nil || !strings.Contains(err.Error(), c.says) || len(replies) > 0 {
+			if err == nil || !strings.Contains(err.Error(), c.want) || len(replies) > 0 {
 				t.Errorf("error %v, %d replies", err, len(replies))
 			}
 		})
