--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -125,16 +125,16 @@
 // Serve processes batches until the input ends between two batches.
 func Serve(in *bufio.Reader, out io.Writer) error {
 	s := &session{instances: map[uint32]instance{}}
-	var head [8]byte
+	var header [8]byte
 	var body []byte
 	for {
-		if n, err := io.ReadFull(in, head[:]); n == 0 && errors.Is(err, io.EOF) {
+		if n, err := io.ReadFull(in, header[:]); n == 0 && errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("input ends inside a batch header: %w", err)
 		}
-		count := binary.LittleEndian.Uint32(head[0:])
-		size := binary.LittleEndian.Uint32(head[4:])
+		count := binary.LittleEndian.Uint32(header[0:])
+		size := binary.LittleEndian.Uint32(header[4:])
 		if size < 8 || size > maxBatchBytes {
 			return fmt.Errorf("batch length %d is out of range", size)
 		}
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -22,6 +22,7 @@
 	"0a124a07 c32b 0000 0000 0000 00 0000803f 0000000000000000" +
 	"0a9011f2 ec2b 0000 0000 0000 00 0000c03f 0000000000d4b740"
 
+// parseHex decodes hexadecimal digits, without white space.
 func parseHex(t *testing.T, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.NewReplacer(" ", "", "\n", "").Replace(text))
@@ -31,6 +32,7 @@
 	return b
 }
 
+// record encodes a record from its fields.
 func record(code uint16, fields ...any) []byte {
 	var body bytes.Buffer
 	for _, f := range fields {
@@ -53,6 +55,7 @@
 	return record(inCommandReceived, id, cmd, now+6000, uint16(0), uint64(0), 0.0, uint16(0), uint16(0))
 }
 
+// batch encodes a batch of records received at now, in milliseconds.
 func batch(now float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(records)))
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -260,9 +260,9 @@
 func (h watchHandler) Reconnected() { log.Printf("msg=config_watch_back replica=%s", h.watch.Server()) }
 
 // Disconnected logs that no replica is connected.
-func (h watchHandler) Disconnected(err error, news bool) {
+func (h watchHandler) Disconnected(err error, isNew bool) {
 	h.Client.lastError = err.Error()
-	if news {
+	if isNew {
 		log.Printf("msg=config_watch_lost replica=%s error=%q byte=%d", h.watch.Server(), err, h.watch.BodyBytesReceived())
 	}
 }
--- a/internal/configwatch/file_test.go
+++ b/internal/configwatch/file_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	for name, text := range map[string][]byte{
-		"truncated":             good[:len(good)-3],
+		"truncated: ":           good[:len(good)-3],
 		"not that of a saved":   []byte("sandpass-state 1 0 0\n"),
 		"version 2":             []byte(strings.Replace(string(good), "config 1", "config 2", 1)),
 		"checksum mismatch":     []byte(strings.Replace(string(good), `"a":1`, `"a":7`, 1)),
--- a/internal/jsonstream/jsonstream_test.go
+++ b/internal/jsonstream/jsonstream_test.go
@@ -10,12 +10,12 @@
 )
 
 // splitAll splits a stream that arrives in pieces of the given size.
-func splitAll(c *Splitter, text string, size int) (objects []string, blanks int, err error) {
+func splitAll(s *Splitter, text string, size int) (objects []string, blanks int, err error) {
 	for len(text) > 0 {
 		data := []byte(text[:min(size, len(text))])
 		text = text[len(data):]
 		for {
-			o, rest, err := c.Next(data)
+			o, rest, err := s.Next(data)
 			if err != nil {
 				return objects, blanks, err
 			}
@@ -70,10 +70,10 @@
 	f.Add("{\"\\", 1)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		size = max(1, size%100)
-		c := &Splitter{MaxObjectBytes: 50}
-		got, _, err := splitAll(c, text, size)
-		if len(c.partial) > 50 && err == nil {
-			t.Fatalf("%d bytes buffered", len(c.partial))
+		s := &Splitter{MaxObjectBytes: 50}
+		got, _, err := splitAll(s, text, size)
+		if len(s.partial) > 50 && err == nil {
+			t.Fatalf("%d bytes buffered", len(s.partial))
 		}
 		whole, _, wholeErr := splitAll(&Splitter{MaxObjectBytes: 50}, text, len(text)+1)
 		if fmt.Sprint(got) != fmt.Sprint(whole) && err == nil && wholeErr == nil {
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -28,12 +28,12 @@
 
 // EffectiveDocument merges the documents that a proxy holds into its configuration, in the order of its scopes, without scopes
 // that it does not belong to.
-func EffectiveDocument(identity Identity, held []ScopeDocument) (Document, error) {
+func EffectiveDocument(identity Identity, scopeDocuments []ScopeDocument) (Document, error) {
 	var documents []Document
 	for _, scope := range identity.Scopes() {
-		for _, one := range held {
-			if one.Scope == scope {
-				documents = append(documents, one.Document)
+		for _, doc := range scopeDocuments {
+			if doc.Scope == scope {
+				documents = append(documents, doc.Document)
 			}
 		}
 	}
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -44,13 +44,13 @@
 
 func TestNarrowerScopesTakePrecedence(t *testing.T) {
 	identity := Identity{Fleet: "shop", Proxy: "p1", Region: "eu", Zone: "a", Service: "cart"}
-	held := []ScopeDocument{
+	documents := []ScopeDocument{
 		{Scope{ProxyKind, "p1"}, 4, Document(`{"x":4}`)},
 		{FleetScope, 1, Document(`{"s":{"a":1,"b":1},"x":1}`)},
 		{Scope{ServiceKind, "cart"}, 3, Document(`{"s":{"b":3}}`)},
 		{Scope{ServiceKind, "other"}, 9, Document(`{"s":{"b":9}}`)},
 	}
-	effective, err := EffectiveDocument(identity, held)
+	effective, err := EffectiveDocument(identity, documents)
 	if want := `{"s":{"a":1,"b":3},"x":4}`; err != nil || string(effective) != want {
 		t.Errorf("%s, %v; wanted %s", effective, err, want)
 	}
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -39,14 +39,14 @@
 
 // Decode returns the body of a file's bytes, or a one-line error.
 func (f Format) Decode(text []byte) ([]byte, error) {
-	head, body, whole := bytes.Cut(text, []byte("\n"))
-	if !whole || len(head) > maxHeaderBytes {
+	header, body, complete := bytes.Cut(text, []byte("\n"))
+	if !complete || len(header) > maxHeaderBytes {
 		return nil, fmt.Errorf("no header line: the file is truncated, or not %s", f.Description)
 	}
 	var name string
 	var v, length int
 	var sum uint32
-	if n, err := fmt.Sscanf(string(head), "%s %d %x %d", &name, &v, &sum, &length); err != nil && n < 2 || name != f.Name {
+	if n, err := fmt.Sscanf(string(header), "%s %d %x %d", &name, &v, &sum, &length); err != nil && n < 2 || name != f.Name {
 		return nil, fmt.Errorf("the header is not that of %s", f.Description)
 	} else if v != f.Version {
 		return nil, fmt.Errorf("format version %d, this program reads version %d", v, f.Version)
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -54,8 +54,8 @@
 	Apply() error
 	// Reconnected reports the first sign of life after a loss.
 	Reconnected()
-	// Disconnected reports that the connection is lost; news is false where the same loss was reported before.
-	Disconnected(err error, news bool)
+	// Disconnected reports that the connection is lost; isNew is false if the same loss has been reported before.
+	Disconnected(err error, isNew bool)
 }
 
 // Config holds the servers and limits of a watch.
@@ -177,12 +177,12 @@
 	} else {
 		c.stream.close()
 	}
-	wait, news := c.ConnectionLost(c.loop.Now(), err.Error(), c.config.Random())
+	wait, isNew := c.ConnectionLost(c.loop.Now(), err.Error(), c.config.Random())
 	if c.config.ReconnectSpread > 0 {
 		wait += c.config.ReconnectSpread * c.config.Random()
 	}
 	c.reopenTimer = c.loop.After(wait, c.Open)
-	c.handler.Disconnected(err, news)
+	c.handler.Disconnected(err, isNew)
 	if c.serverIndex == 0 && c.loop.Now()-c.openedAt > preferredDelayMin {
 		c.preferredDelay = preferredDelayMin
 	}
@@ -231,7 +231,7 @@
 	c.lingering = nil
 }
 
-// CheckLiveness gives up a connection that missed its heartbeats; it must be called at least every 0.25 s.
+// CheckLiveness closes a connection that missed its heartbeats; it must be called at least every 0.25 s.
 func (c *Client) CheckLiveness(now float64) {
 	if c.conn != nil && c.IsDead(now) {
 		c.Reconnect(errSilent)
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -97,9 +97,9 @@
 	w.decoded = string(object)
 	return nil
 }
-func (w *recorder) Apply() error                      { w.objects <- w.decoded; return nil }
-func (w *recorder) Reconnected()                      { w.reconnected <- true }
-func (w *recorder) Disconnected(err error, news bool) { w.disconnected <- err.Error() }
+func (w *recorder) Apply() error                       { w.objects <- w.decoded; return nil }
+func (w *recorder) Reconnected()                       { w.reconnected <- true }
+func (w *recorder) Disconnected(err error, isNew bool) { w.disconnected <- err.Error() }
 
 // testClient is a client on a loop of its own.
 type testClient struct {
