--- a/internal/configwatch/configuration.go
+++ b/internal/configwatch/configuration.go
@@ -167,7 +167,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		if !slices.Contains(reloadableKeys, key) {
-			return r, fmt.Errorf("%s: requires a restart, a revision can't set it", key)
+			return r, fmt.Errorf("%s: it needs a start, a revision can't set it", key)
 		}
 	}
 	local, err := json.Marshal(r)
--- a/internal/configwatch/statemachine_test.go
+++ b/internal/configwatch/statemachine_test.go
@@ -309,7 +309,7 @@
 		t.Errorf("%+v, %v", overlaid, err)
 	}
 	for text, reason := range map[string]string{
-		`{"known":{},"listen":"x"}`: "known: requires a restart",
+		`{"known":{},"listen":"x"}`: "known: it needs a start",
 		`{"discovery":3}`:           "cannot unmarshal", `{"peers":"x"}`: "cannot unmarshal",
 	} {
 		if _, err := local.Overlay(revision.Document(text)); err == nil || !strings.Contains(err.Error(), reason) {
