--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", Env, err)
 	}
-	loop.Faults, statefile.FaultHook = p.LoopFault, p.FileFault
+	loop.FaultHook, statefile.FaultHook = p.LoopFault, p.FileFault
 	loop.WallClock = func() time.Time { return time.Now().Add(p.ClockOffset) }
 	return nil
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -69,7 +69,7 @@
 // other machines' times and never runs backwards.
 func New() (*Loop, error) {
 	l := &Loop{startedAt: time.Now(), startUnix: float64(WallClock().UnixNano()) / 1e9, MaxBufferBytes: math.MaxInt,
-		discardBuffer: make([]byte, discardBufferBytes), faultFunc: Faults}
+		discardBuffer: make([]byte, discardBufferBytes), faultFunc: FaultHook}
 	l.iterationStart = l.startUnix
 	if err := l.openDescriptors(); err != nil {
 		return nil, err
--- a/internal/loop/syscalls.go
+++ b/internal/loop/syscalls.go
@@ -26,8 +26,8 @@
 // above 0, limits how many bytes a read or write may move.
 type FaultFunc func(call Syscall) (maxBytes int, err error)
 
-// Faults is the FaultFunc of loops created from now on. It is nil except in tests, which set it before they create a loop.
-var Faults FaultFunc
+// FaultHook is the FaultFunc of loops created from now on. It is nil except in tests, which set it before they create a loop.
+var FaultHook FaultFunc
 
 // injectFault asks the loop's FaultFunc, if any, what to do with a call.
 func (l *Loop) injectFault(call Syscall) (maxBytes int, err error) {
--- a/internal/proxy/backends.go
+++ b/internal/proxy/backends.go
@@ -94,7 +94,7 @@
 	requestID  string      // value of Req-Id
 	client     *clientConn // nil once the command is answered or the client is gone
 	timeLimit  float64     // seconds
-	expires    float64     // the deadline, by the loop's clock
+	deadline   float64     // the deadline, by the loop's clock
 	timer      *loop.Timer
 	relays     []*relay
 	openRelays int
@@ -268,7 +268,7 @@
 	head = append(append(append(head, ' '), c.msg.Target(request)...), " HTTP/1.1\r\n"...)
 	head = c.msg.AppendFields(head, request, "Req-Deadline")
 	head = append(head, "Req-Deadline: "...)
-	head = strconv.AppendFloat(head, max(0.001, bc.relay.cmd.expires-p.loop.Now()), 'f', 3, 64)
+	head = strconv.AppendFloat(head, max(0.001, bc.relay.cmd.deadline-p.loop.Now()), 'f', 3, 64)
 	switch {
 	case c.bodyStreaming && c.msg.Chunked():
 		head = append(head, "\r\nTransfer-Encoding: chunked"...)
@@ -317,7 +317,7 @@
 
 // OnFlushed continues the streaming of a request body.
 func (bc *backendConn) OnFlushed(*loop.Conn) {
-	if r := bc.relay; r != nil && r.cmd.client != nil && r.cmd.client.bodyLink == bc {
+	if r := bc.relay; r != nil && r.cmd.client != nil && r.cmd.client.bodyConn == bc {
 		r.cmd.client.resumeBody()
 	}
 }
@@ -353,7 +353,7 @@
 // stallCheckDelay returns the seconds until the next check of an incomplete answer, at most limit. An answer of
 // unknown length is checked in time to be streamed before the command's deadline.
 func (bc *backendConn) stallCheckDelay(limit float64) float64 {
-	if untilStream := bc.relay.cmd.expires - streamBeforeLimitSeconds - bc.p.loop.Now(); untilStream >= 0 {
+	if untilStream := bc.relay.cmd.deadline - streamBeforeLimitSeconds - bc.p.loop.Now(); untilStream >= 0 {
 		return min(limit, untilStream+0.001)
 	}
 	return limit
@@ -368,7 +368,7 @@
 	case remaining <= 0:
 		bc.p.invalidCount++
 		bc.closeAndReport(bc.disconnectResult())
-	case now > bc.relay.cmd.expires-streamBeforeLimitSeconds && bc.shouldStream(now):
+	case now > bc.relay.cmd.deadline-streamBeforeLimitSeconds && bc.shouldStream(now):
 		bc.startStreaming()
 	default:
 		bc.timer = bc.p.loop.After(bc.stallCheckDelay(remaining), bc.checkStall)
@@ -400,7 +400,7 @@
 // disconnectResult returns the relay's result after the connection broke. Before its last byte was written the
 // command can't have run.
 func (bc *backendConn) disconnectResult() balance.Result {
-	if c := bc.relay.cmd.client; bc.conn.HasUnsent() || c != nil && c.bodyLink == bc {
+	if c := bc.relay.cmd.client; bc.conn.HasUnsent() || c != nil && c.bodyConn == bc {
 		return balance.ConnectFailed
 	}
 	return balance.Reset
@@ -431,7 +431,7 @@
 	r := bc.relay
 	response := bc.conn.Unconsumed()
 	result := balance.Errored
-	if c := r.cmd.client; c != nil && c.bodyLink == bc {
+	if c := r.cmd.client; c != nil && c.bodyConn == bc {
 		reuse = false // the command is not fully written
 	}
 	otherStreaming := r.cmd.answerConn != nil // another relay's answer is being streamed to the client
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -66,13 +66,13 @@
 	cmd            *command // the unanswered command, or nil
 	state          connState
 	element        *list.Element // in the list of its state
-	since          float64       // when the state was entered; until the first command is complete, when it connected
+	stateSince     float64       // when the state was entered; until the first command is complete, when it connected
 	sentContinue   bool          // 100 Continue was sent
 	hadCommand     bool          // at least one command was accepted
 	headCompleteAt float64       // when the head was complete; 0 before
 	receivedAt     float64       // when the latest bytes had arrived at the latest
 	bodyStreaming  bool          // the body is streamed to the backend and not complete
-	bodyLink       *backendConn  // backend connection that the body is streamed to, or nil
+	bodyConn       *backendConn  // backend connection that the body is streamed to, or nil
 	consumed       bool          // the command's bytes were consumed from the read buffer
 	readPaused     bool          // until the backend has taken the pending data
 	lastProgress   float64       // when body data last arrived
@@ -88,7 +88,7 @@
 		all.byState[c.state].Remove(c.element)
 	}
 	if c.state = s; s != stateSending || c.hadCommand {
-		c.since = c.p.loop.Now() // data before the first complete command does not extend its time limit
+		c.stateSince = c.p.loop.Now() // data before the first complete command does not extend its time limit
 	}
 	c.element = all.byState[s].PushBack(c)
 }
@@ -125,7 +125,7 @@
 		e := p.clients.byState[s].Front()
 		for i := 0; e != nil && i < maxEvictionChecks; i, e = i+1, e.Next() {
 			c := e.Value.(*clientConn)
-			if now-c.since > minAge && !c.conn.HasUnsent() && (c.conn.IsIdle() || s == stateClosing && c.conn.PeerClosed()) {
+			if now-c.stateSince > minAge && !c.conn.HasUnsent() && (c.conn.IsIdle() || s == stateClosing && c.conn.PeerClosed()) {
 				c.close()
 				return true
 			}
@@ -148,7 +148,7 @@
 
 // isIdle reports whether the connection has no open command, no unsent data and no unread data. A command in unread data
 // counts as accepted, and closing the connection would lose it.
-func (c *clientConn) idle() bool { return c.cmd == nil && !c.conn.HasUnsent() && c.conn.IsIdle() }
+func (c *clientConn) isIdle() bool { return c.cmd == nil && !c.conn.HasUnsent() && c.conn.IsIdle() }
 
 // close is the only function that closes a client connection and removes it from the lists.
 func (c *clientConn) close() {
@@ -186,9 +186,9 @@
 	if c.closed {
 		return
 	}
-	cmd, bodyConn := c.cmd, c.bodyLink
+	cmd, bodyConn := c.cmd, c.bodyConn
 	if cmd != nil {
-		c.cmd, c.bodyLink = nil, nil
+		c.cmd, c.bodyConn = nil, nil
 		c.p.clients.awaitingAnswer--
 		cmd.client, cmd.done = nil, true
 		c.p.departedCount++
@@ -209,7 +209,7 @@
 	c.receivedAt = min(c.conn.ReceivedAt(), c.p.loop.IterationStart()-c.queuedSeconds())
 	switch {
 	case c.state == stateClosing:
-	case c.bodyLink != nil:
+	case c.bodyConn != nil:
 		c.forwardBody()
 	default:
 		c.readCommand()
@@ -348,14 +348,14 @@
 	c.conn.Pause() // the command stays in the read buffer until it is answered
 	p.lastCommandID++
 	cmd := &command{id: p.lastCommandID, requestID: string(c.msg.Get(in, "Req-Id")), client: c,
-		timeLimit: timeLimit, expires: expires}
+		timeLimit: timeLimit, deadline: expires}
 	c.cmd, c.hadCommand = cmd, true
 	c.setState(stateBusy)
 	p.commandsByReqID[cmd.requestID] = cmd
 	p.clients.awaitingAnswer++
 	p.commands[cmd.id] = cmd
-	cmd.timer = p.loop.After(cmd.expires-p.loop.Now(), func() { p.timeOutCommand(cmd) })
-	p.balancer.CommandReceived(p.loop.Now(), cmd.id, verb, customer, cmd.expires, resourceKey(c.msg.Get(in, "Req-Extra")))
+	cmd.timer = p.loop.After(cmd.deadline-p.loop.Now(), func() { p.timeOutCommand(cmd) })
+	p.balancer.CommandReceived(p.loop.Now(), cmd.id, verb, customer, cmd.deadline, resourceKey(c.msg.Get(in, "Req-Extra")))
 }
 
 // resourceKey returns a hash of the resource that a command names, the same at every proxy, or 0 if it names none.
@@ -435,7 +435,7 @@
 	if c.cmd != nil {
 		c.p.clients.awaitingAnswer--
 	}
-	c.cmd, c.bodyLink = nil, nil
+	c.cmd, c.bodyConn = nil, nil
 	if keep {
 		c.setState(stateBusy)
 		if !c.consumed {
@@ -480,7 +480,7 @@
 // data would reset the connection before the client has read the answer.
 func (c *clientConn) closeAfterLinger() {
 	c.p.loop.After(lingerSeconds, func() {
-		if !c.closed && c.conn.HasUnsent() && c.p.loop.Now()-max(c.since, c.conn.LastSentAt()) < writeStallSeconds {
+		if !c.closed && c.conn.HasUnsent() && c.p.loop.Now()-max(c.stateSince, c.conn.LastSentAt()) < writeStallSeconds {
 			c.closeAfterLinger()
 			return
 		}
@@ -549,13 +549,13 @@
 func (c *clientConn) stateDeadline(maxSeconds float64) float64 {
 	switch {
 	case c.state == stateBusy:
-		return max(c.since, c.conn.LastSentAt()) + maxSeconds
+		return max(c.stateSince, c.conn.LastSentAt()) + maxSeconds
 	case c.state == stateSending && c.headCompleteAt > 0:
-		byRate := max(c.since+maxSeconds, c.headCompleteAt+bodyGraceSeconds+
+		byRate := max(c.stateSince+maxSeconds, c.headCompleteAt+bodyGraceSeconds+
 			float64(len(c.conn.Unconsumed()))/minBodyBytesPerSecond)
-		return min(byRate, max(c.since, c.receivedAt)+maxSeconds)
+		return min(byRate, max(c.stateSince, c.receivedAt)+maxSeconds)
 	}
-	return c.since + maxSeconds
+	return c.stateSince + maxSeconds
 }
 
 // forEach calls f for every connection. f may close that connection.
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -73,7 +73,7 @@
 	}
 	now, idle := p.loop.Now(), []*clientConn(nil)
 	p.clients.forEach(func(c *clientConn) {
-		if (c.state == stateIdle || c.state == stateSilent && now-c.since > drainSilentSeconds) && c.idle() {
+		if (c.state == stateIdle || c.state == stateSilent && now-c.stateSince > drainSilentSeconds) && c.isIdle() {
 			idle = append(idle, c)
 		}
 	})
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -57,7 +57,7 @@
 
 // handover is this process's state between its predecessor and its successor.
 type handover struct {
-	path              string              // of the Unix socket; empty without an inherited listener
+	socketPath        string              // of the Unix socket; empty without an inherited listener
 	listener          *loop.Listener      // accepts the next version's connection
 	predecessor       *otherProcess       // the running process that this one replaces, nil once it is gone
 	successor         *otherProcess       // the process that replaces this one, nil once it is gone
@@ -109,7 +109,7 @@
 // beginHandover connects to a running predecessor. Without an inherited listener this process serves at once.
 func (p *Proxy) beginHandover() {
 	h := &p.handover
-	if h.path == "" {
+	if h.socketPath == "" {
 		h.done, h.serving = true, true
 		p.control.Open()
 		return
@@ -122,7 +122,7 @@
 func (p *Proxy) dialPredecessor(until float64) {
 	h := &p.handover
 	o := &otherProcess{p: p}
-	conn, err := p.loop.DialUnix(h.path, o, maxHandoverMessageBytes)
+	conn, err := p.loop.DialUnix(h.socketPath, o, maxHandoverMessageBytes)
 	if loop.IsTransient(err) && p.loop.Now() < until {
 		p.loop.After(pollIntervalSeconds, func() { p.dialPredecessor(until) })
 		return
@@ -198,7 +198,7 @@
 		return
 	}
 	var err error
-	h.listener, err = p.loop.ListenUnix(h.path, maxHandoverMessageBytes, func(conn *loop.Conn) loop.Handler {
+	h.listener, err = p.loop.ListenUnix(h.socketPath, maxHandoverMessageBytes, func(conn *loop.Conn) loop.Handler {
 		return &otherProcess{p: p, conn: conn, connected: true}
 	})
 	if err != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -67,13 +67,13 @@
 }
 
 // LoadOperatorFile adds the settings of the operator file at path. An empty path changes nothing.
-func (c *Config) LoadOperatorFile(path string) error {
+func (cfg *Config) LoadOperatorFile(path string) error {
 	if path == "" {
 		return nil
 	}
 	f, err := operator.Read(path)
 	if err == nil {
-		c.State, c.Control = f.State, f.Control
+		cfg.State, cfg.Control = f.State, f.Control
 	}
 	return err
 }
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -524,7 +524,7 @@
 	io.WriteString(c, strings.Replace(requestText("pay", "Content-Length: 0\r\n"), "2.5", "1.0", 1))
 	p.await(t, "the time limit is near", func() bool {
 		for _, cmd := range p.commands {
-			return cmd.expires-p.loop.Now() < 0.2 // such an answer is streamed after 0.25 s
+			return cmd.deadline-p.loop.Now() < 0.2 // such an answer is streamed after 0.25 s
 		}
 		return false
 	})
@@ -619,7 +619,7 @@
 	p.await(t, "the answer is written", func() bool { return p.clients.byState[stateClosing].Len() == 1 })
 	p.onLoop(func() {
 		x := p.clients.byState[stateClosing].Front().Value.(*clientConn)
-		x.since -= 1
+		x.stateSince -= 1
 		io.WriteString(c, "more of it")
 		waitUntil(t, "the bytes are received", func() bool { return !x.conn.IsIdle() })
 		if p.evictClient() {
@@ -814,7 +814,7 @@
 	p.await(t, "the connection is idle", func() bool { return p.clients.byState[stateIdle].Len() == 1 })
 	p.onLoop(func() {
 		x := p.clients.byState[stateIdle].Front().Value.(*clientConn)
-		if !x.idle() {
+		if !x.isIdle() {
 			t.Error("the connection is not idle")
 		}
 		io.WriteString(c, requestText("pay", "Content-Length: 0\r\n"))
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -176,8 +176,8 @@
 // SIGHUP.
 func TestCheckWithoutDescriptors(t *testing.T) {
 	cfg := testConfig("", nil, settingsText)
-	loop.Faults = func(loop.Syscall) (int, error) { return 0, unix.ENFILE }
-	defer func() { loop.Faults = nil }()
+	loop.FaultHook = func(loop.Syscall) (int, error) { return 0, unix.ENFILE }
+	defer func() { loop.FaultHook = nil }()
 	if err := Check(cfg); err != nil {
 		t.Error(err)
 	}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -91,7 +91,7 @@
 	now := p.loop.Now()
 	p.clients.forEach(func(c *clientConn) {
 		silent := c.state == stateSilent
-		if (silent || c.state == stateIdle) && p.shutdown.plan.MayClose(elapsed, silent, now-c.since) && c.idle() {
+		if (silent || c.state == stateIdle) && p.shutdown.plan.MayClose(elapsed, silent, now-c.stateSince) && c.isIdle() {
 			c.close()
 			p.shutdown.closedIdle++
 		}
--- a/internal/proxy/startup.go
+++ b/internal/proxy/startup.go
@@ -61,7 +61,7 @@
 		p.onDescriptorShortage); err != nil {
 		return fmt.Errorf("socket: %w", err)
 	}
-	p.handover.path = handoverSocketPath(p.listener.Address.String())
+	p.handover.socketPath = handoverSocketPath(p.listener.Address.String())
 	return nil
 }
 
@@ -70,7 +70,7 @@
 func (p *Proxy) openPeers(ctx context.Context) error {
 	return retryTransient(ctx, func() error {
 		err := p.applyPeers(p.peers)
-		if p.handover.path != "" && errors.Is(err, unix.EADDRINUSE) {
+		if p.handover.socketPath != "" && errors.Is(err, unix.EADDRINUSE) {
 			return nil
 		}
 		return err
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -19,7 +19,7 @@
 	streamAfterSeconds       = 0.25     // from the first byte of an answer of unknown length, if it makes progress
 	streamBeforeLimitSeconds = 0.05     // before the time limit, in any case: the first bytes of an answer must be in time
 	endlessCutoffSeconds     = 0.4      // after the time limit, if the answer is not long by then: at 0.5 s it counts as lost
-	answerStallSeconds       = 10.0     // without data from the backend in a streamed answer
+	streamStallSeconds       = 10.0     // without data from the backend in a streamed answer
 	bodyStallSeconds         = 2.5      // without data from the client in a streamed body: an answer is due within 3 s
 	minBodyBytesPerSecond    = 32e3     // half the rate of slow clients
 	bodyGraceSeconds         = 1.0      // in addition to the time at the minimum rate
@@ -46,116 +46,116 @@
 // Answers.
 
 // shouldStream reports whether an incomplete answer is to be streamed to the client.
-func (l *backendConn) shouldStream(now float64) bool {
-	m := &l.msg
+func (bc *backendConn) shouldStream(now float64) bool {
+	m := &bc.msg
 	if !m.HeadComplete() {
 		return false
 	}
 	return m.BodyLength() > http1.MaxBufferedResponseBody || m.DecodedBytes() > http1.MaxBufferedResponseBody ||
-		l.conn.ReadBufferFull() || m.BodyLength() < 0 && m.DecodedBytes() > 0 && l.answerBegan > 0 &&
-		now > min(l.answerBegan+streamAfterSeconds, l.relay.cmd.expires-streamBeforeLimitSeconds)
+		bc.conn.ReadBufferFull() || m.BodyLength() < 0 && m.DecodedBytes() > 0 && bc.answerBegan > 0 &&
+		now > min(bc.answerBegan+streamAfterSeconds, bc.relay.cmd.deadline-streamBeforeLimitSeconds)
 }
 
 // startStreaming begins to stream the answer. From here on no other relay can answer the command.
-func (l *backendConn) startStreaming() {
-	p, r, now := l.p, l.relay, l.p.loop.Now()
+func (bc *backendConn) startStreaming() {
+	p, r, now := bc.p, bc.relay, bc.p.loop.Now()
 	cmd, c := r.cmd, r.cmd.client
-	if l.msg.Status != 200 {
-		l.handleAnswer(false) // the status alone decides the outcome
+	if bc.msg.Status != 200 {
+		bc.handleAnswer(false) // the status alone decides the outcome
 		return
 	}
 	if cmd.done || c == nil || cmd.answerConn != nil { // another relay has answered, and this one may not be cancelled
-		l.closeAndReport(balance.NotSent)
+		bc.closeAndReport(balance.NotSent)
 		return
 	}
-	in := l.conn.Unconsumed()
-	cmd.answerConn, cmd.streamed, r.answerStartDelay = l, true, now-r.sentAt
+	in := bc.conn.Unconsumed()
+	cmd.answerConn, cmd.streamed, r.answerStartDelay = bc, true, now-r.sentAt
 	cmd.timer.Stop()
-	if l.msg.BodyLength() < 0 {
-		cmd.timer = p.loop.After(cmd.expires+endlessCutoffSeconds-now, func() { l.abortEndless(cmd) })
+	if bc.msg.BodyLength() < 0 {
+		cmd.timer = p.loop.After(cmd.deadline+endlessCutoffSeconds-now, func() { bc.abortEndless(cmd) })
 	}
-	l.timer.Stop()
-	c.keepAlive = c.msg.KeepAlive && !p.closesAfterAnswer() && !c.bodyStreaming && (l.msg.BodyLength() >= 0 || !c.msg.IsHTTP10())
-	c.answerChunked = l.msg.BodyLength() < 0 && !c.msg.IsHTTP10()
-	h := p.responseHeadFramed(200, l.msg.BodyLength(), c.answerChunked, c.keepAlive)
-	h = append(l.msg.AppendFields(h, in), "\r\n"...)
-	if body := l.msg.Body(in); len(body) > 0 {
+	bc.timer.Stop()
+	c.keepAlive = c.msg.KeepAlive && !p.closesAfterAnswer() && !c.bodyStreaming && (bc.msg.BodyLength() >= 0 || !c.msg.IsHTTP10())
+	c.answerChunked = bc.msg.BodyLength() < 0 && !c.msg.IsHTTP10()
+	h := p.responseHeadFramed(200, bc.msg.BodyLength(), c.answerChunked, c.keepAlive)
+	h = append(bc.msg.AppendFields(h, in), "\r\n"...)
+	if body := bc.msg.Body(in); len(body) > 0 {
 		h = appendBodyPart(h, c.answerChunked, body)
 	}
 	p.scratch = h
 	c.conn.Write(h)
-	l.conn.Consume(l.msg.Size())
-	l.conn.UseLargeBuffer()
-	l.lastProgress = now
-	l.timer = p.loop.After(answerStallSeconds, l.checkStall)
+	bc.conn.Consume(bc.msg.Size())
+	bc.conn.UseLargeBuffer()
+	bc.lastProgress = now
+	bc.timer = p.loop.After(streamStallSeconds, bc.checkStreamStall)
 	p.balancer.StreamStarted(now, cmd.id, r.index)
-	l.streamAnswer()
+	bc.streamAnswer()
 }
 
 // streamAnswer writes the data that has arrived from the backend to the client.
-func (l *backendConn) streamAnswer() {
-	c := l.relay.cmd.client
+func (bc *backendConn) streamAnswer() {
+	c := bc.relay.cmd.client
 	if c == nil { // the client has disconnected, and the relay may not be cancelled
-		l.closeAndReport(balance.NotSent)
+		bc.closeAndReport(balance.NotSent)
 		return
 	}
-	l.lastProgress = l.p.loop.Now()
+	bc.lastProgress = bc.p.loop.Now()
 	for {
-		in := l.conn.Unconsumed()
-		data, used, done, err := l.msg.ReadBodyPart(in)
+		in := bc.conn.Unconsumed()
+		data, used, done, err := bc.msg.ReadBodyPart(in)
 		if err != nil {
-			l.p.invalidCount++
-			l.abortStream(balance.Reset)
+			bc.p.invalidCount++
+			bc.abortStream(balance.Reset)
 			return
 		}
 		if len(data) > 0 && c.answerChunked {
-			l.p.scratch = appendBodyPart(l.p.scratch[:0], true, data)
-			c.conn.Write(l.p.scratch)
+			bc.p.scratch = appendBodyPart(bc.p.scratch[:0], true, data)
+			c.conn.Write(bc.p.scratch)
 		} else if len(data) > 0 {
 			c.conn.Write(data)
 		}
-		if l.conn.Consume(used); done {
-			l.finishStream(l.msg.KeepAlive)
+		if bc.conn.Consume(used); done {
+			bc.finishStream(bc.msg.KeepAlive)
 			return
 		}
 		if used == 0 || used == len(in) {
 			break
 		}
 	}
-	if c.conn.UnsentBytes() > l.p.highWatermark() {
-		l.conn.PauseWithEOF()
-		l.readPaused = true
+	if c.conn.UnsentBytes() > bc.p.highWatermark() {
+		bc.conn.PauseWithEOF()
+		bc.readPaused = true
 	}
 }
 
 // resumeAnswer resumes reading from the backend once the client has taken the pending data.
-func (l *backendConn) resumeAnswer() {
-	if l.readPaused {
-		l.readPaused, l.lastProgress = false, l.p.loop.Now()
-		l.conn.Resume()
+func (bc *backendConn) resumeAnswer() {
+	if bc.readPaused {
+		bc.readPaused, bc.lastProgress = false, bc.p.loop.Now()
+		bc.conn.Resume()
 	}
 }
 
-// checkStall aborts a streamed answer when the backend sends nothing or the client reads nothing for too long.
-func (l *backendConn) checkStall() {
-	now, r := l.p.loop.Now(), l.relay
-	since, maxSeconds := l.lastProgress, answerStallSeconds
-	if c := r.cmd.client; l.readPaused && c != nil {
-		since, maxSeconds = max(l.lastProgress, c.conn.LastSentAt()), writeStallSeconds
+// checkStreamStall aborts a streamed answer when the backend sends nothing or the client reads nothing for too long.
+func (bc *backendConn) checkStreamStall() {
+	now, r := bc.p.loop.Now(), bc.relay
+	since, maxSeconds := bc.lastProgress, streamStallSeconds
+	if c := r.cmd.client; bc.readPaused && c != nil {
+		since, maxSeconds = max(bc.lastProgress, c.conn.LastSentAt()), writeStallSeconds
 	}
 	if left := since + maxSeconds - now; left > 0 {
-		l.timer = l.p.loop.After(left, l.checkStall)
+		bc.timer = bc.p.loop.After(left, bc.checkStreamStall)
 		return
 	}
-	log.Printf("msg=answer_stands command=%d untaken=%t", r.cmd.id, l.readPaused)
-	l.abortStream(balance.Reset)
+	log.Printf("msg=answer_stands command=%d untaken=%t", r.cmd.id, bc.readPaused)
+	bc.abortStream(balance.Reset)
 }
 
 // finishStream completes a streamed answer.
-func (l *backendConn) finishStream(keep bool) {
-	p, r := l.p, l.relay
+func (bc *backendConn) finishStream(keep bool) {
+	p, r := bc.p, bc.relay
 	cmd, c := r.cmd, r.cmd.client
-	l.timer.Stop()
+	bc.timer.Stop()
 	if c.answerChunked {
 		c.conn.Write([]byte("0\r\n\r\n"))
 	}
@@ -164,27 +164,27 @@
 	cmd.done, cmd.client, cmd.answerConn = true, nil, nil
 	c.finishAnswer(c.keepAlive)
 	r.conn = nil
-	l.msg.Reset()
-	l.answerBegan = 0
-	l.conn.ReleaseLargeBuffer()
-	l.release(keep)
+	bc.msg.Reset()
+	bc.answerBegan = 0
+	bc.conn.ReleaseLargeBuffer()
+	bc.release(keep)
 	p.reportOutcome(r, balance.Answered)
 }
 
 // abortEndless aborts a streamed answer soon after its command's time limit if it is not long by then. A trickle would never
 // end, while for a long answer only the first bytes must be in time.
-func (l *backendConn) abortEndless(cmd *command) {
-	if cmd.answerConn == l && l.msg.DecodedBytes() <= http1.MaxBufferedResponseBody {
-		log.Printf("msg=answer_endless command=%d bytes=%d", cmd.id, l.msg.DecodedBytes())
-		l.p.invalidCount++
-		l.abortStream(balance.TimedOut)
+func (bc *backendConn) abortEndless(cmd *command) {
+	if cmd.answerConn == bc && bc.msg.DecodedBytes() <= http1.MaxBufferedResponseBody {
+		log.Printf("msg=answer_endless command=%d bytes=%d", cmd.id, bc.msg.DecodedBytes())
+		bc.p.invalidCount++
+		bc.abortStream(balance.TimedOut)
 	}
 }
 
 // abortStream ends a streamed answer that can't be completed, in a way that the client can detect.
-func (l *backendConn) abortStream(result balance.Result) {
-	l.p.abortAnswer(l.relay.cmd)
-	l.closeAndReport(result)
+func (bc *backendConn) abortStream(result balance.Result) {
+	bc.p.abortAnswer(bc.relay.cmd)
+	bc.closeAndReport(result)
 }
 
 // abortAnswer closes the connection of a client whose answer has begun and can't be completed.
@@ -226,11 +226,11 @@
 	}
 	c.conn.Consume(c.msg.Size())
 	c.conn.UseLargeBuffer()
-	c.bodyLink, c.consumed, c.lastProgress, cmd.streamed = l, true, p.loop.Now(), true
+	c.bodyConn, c.consumed, c.lastProgress, cmd.streamed = l, true, p.loop.Now(), true
 	cmd.timer.Stop()
 	relayIndex := l.relay.index
 	p.loop.Post(func() { // the Balancer must not be called from within its own calls
-		if c.cmd == cmd && c.bodyLink == l {
+		if c.cmd == cmd && c.bodyConn == l {
 			p.balancer.StreamStarted(p.loop.Now(), cmd.id, relayIndex)
 			c.conn.Resume()
 			c.forwardBody()
@@ -240,7 +240,7 @@
 
 // forwardBody writes the body data that has arrived from the client to the backend.
 func (c *clientConn) forwardBody() {
-	l := c.bodyLink
+	l := c.bodyConn
 	c.lastProgress = c.p.loop.Now()
 	for in := c.conn.Unconsumed(); len(in) > 0; in = c.conn.Unconsumed() {
 		data, used, done, err := c.msg.ReadBodyPart(in)
@@ -279,15 +279,15 @@
 
 // finishBody completes a streamed body. The command's time limit starts here.
 func (c *clientConn) finishBody() {
-	p, cmd, l := c.p, c.cmd, c.bodyLink
+	p, cmd, l := c.p, c.cmd, c.bodyConn
 	if c.msg.Chunked() {
 		l.conn.Write([]byte("0\r\n\r\n"))
 	}
 	c.conn.Pause()
 	c.conn.ReleaseLargeBuffer()
-	c.bodyLink, c.bodyStreaming = nil, false
+	c.bodyConn, c.bodyStreaming = nil, false
 	now := p.loop.Now()
-	cmd.expires, l.relay.sentAt = now+cmd.timeLimit, now
+	cmd.deadline, l.relay.sentAt = now+cmd.timeLimit, now
 	if cmd.answerConn == nil {
 		cmd.timer = p.loop.After(cmd.timeLimit, func() { p.timeOutCommand(cmd) })
 	}
@@ -295,7 +295,7 @@
 
 // failBody ends a command whose body can't be read to its end, so that it has not run.
 func (c *clientConn) failBody(status int, text string) {
-	p, cmd, bodyConn := c.p, c.cmd, c.bodyLink
+	p, cmd, bodyConn := c.p, c.cmd, c.bodyConn
 	if cmd.answerConn != nil {
 		p.abortAnswer(cmd)
 	} else {
@@ -312,9 +312,9 @@
 	for e := p.clients.byState[stateBusy].Front(); e != nil; {
 		c := e.Value.(*clientConn)
 		switch e = e.Next(); {
-		case c.bodyLink == nil:
-		case c.readPaused && now-max(c.lastProgress, c.bodyLink.conn.LastSentAt()) > answerStallSeconds:
-			c.bodyLink.closeAndReport(balance.ConnectFailed)
+		case c.bodyConn == nil:
+		case c.readPaused && now-max(c.lastProgress, c.bodyConn.conn.LastSentAt()) > streamStallSeconds:
+			c.bodyConn.closeAndReport(balance.ConnectFailed)
 		case !c.readPaused && now-c.lastProgress > bodyStallSeconds:
 			c.failBody(408, "the body did not come in time")
 		}
