--- a/cmd/sandlab/main.go
+++ b/cmd/sandlab/main.go
@@ -28,7 +28,7 @@
 )
 
 func main() {
-	if was, err := testbed.Here(); was { // a child of ours, to be the proxy
+	if was, err := testbed.RunProxyIfRequested(); was { // a child of ours, to be the proxy
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "sandlab:", err)
 			os.Exit(1)
@@ -67,14 +67,14 @@
 }
 
 // play fills a folder and writes its table.
-func play(c *cobra.Command, s *lab.Sheet, dir string, cores int) error {
-	f, err := lab.Open(dir, s)
+func play(c *cobra.Command, s *lab.ExpandedExperiment, dir string, cores int) error {
+	f, err := lab.OpenResultFolder(dir, s)
 	if err != nil {
 		return err
 	}
-	missing := len(f.Missing())
+	missing := len(f.MissingRuns())
 	b := bar(os.Stderr, missing, s.Name)
-	err = f.Fill(c.Context(), cores, func(lab.Day) { b.Add(1) })
+	err = f.RunMissing(c.Context(), cores, func(lab.RunResult) { b.Add(1) })
 	if e := f.Close(); err == nil {
 		err = e
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := lab.Summary(dir)
+	text, err := lab.WriteSummary(dir)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	var cores int
 	c := &cobra.Command{Use: "run EXPERIMENT.toml", Short: "play an experiment and keep its table, days and charts",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Read(args[0], nil)
+			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
 				return err
 			}
@@ -129,7 +129,7 @@
 			if len(over) == 0 {
 				return errors.New("--over PATH=VALUE,VALUE names what to sweep")
 			}
-			s, err := lab.Read(args[0], over)
+			s, err := lab.ReadExperiment(args[0], over)
 			if err != nil {
 				return err
 			}
@@ -150,13 +150,13 @@
 	c := &cobra.Command{Use: "compare FOLDER [OTHER]", Short: "paired differences by seed, with their confidence interval",
 		Long: "Compares policy A with policy B of one folder, or one policy between two folders of the same days,\nsuch as those of two versions of the program.",
 		Args: cobra.RangeArgs(1, 2), RunE: func(c *cobra.Command, args []string) error {
-			s, rows, err := lab.Load(args[0])
+			s, rows, err := lab.LoadResults(args[0])
 			if err != nil {
 				return err
 			}
-			x, y := lab.Side{Rows: rows, Policy: a}, lab.Side{Rows: rows, Policy: b}
+			x, y := lab.PolicyRows{Rows: rows, Policy: a}, lab.PolicyRows{Rows: rows, Policy: b}
 			if len(args) == 2 {
-				if _, y.Rows, err = lab.Load(args[1]); err != nil {
+				if _, y.Rows, err = lab.LoadResults(args[1]); err != nil {
 					return err
 				}
 				if !c.Flags().Changed("b") {
@@ -180,7 +180,7 @@
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&figure, "figure", "g", "one of "+strings.Join(lab.Figures(), ", "))
+	c.Flags().StringVar(&figure, "figure", "g", "one of "+strings.Join(lab.Metrics(), ", "))
 	c.Flags().StringVar(&a, "a", "module", "policy A")
 	c.Flags().StringVar(&b, "b", "two", "policy B")
 	return c
@@ -196,12 +196,12 @@
 	var seed uint64
 	c := &cobra.Command{Use: "search EXPERIMENT.toml", Short: "look for the days on which a policy does worst against the oracle",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Read(args[0], nil)
+			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
 				return err
 			}
 			b := bar(os.Stderr, budget, "search")
-			best, err := s.Search(c.Context(), policy, seed, budget, cores, func(done int, _ lab.Found) { b.Set(done) })
+			best, err := s.Search(c.Context(), policy, seed, budget, cores, func(done int, _ lab.SearchResult) { b.Set(done) })
 			b.Finish()
 			if err != nil && !errors.Is(err, context.Canceled) {
 				return err
@@ -210,7 +210,7 @@
 				return err
 			}
 			for i, f := range best[:min(keep, len(best))] {
-				text, err := f.Sheet(fmt.Sprintf("%s-%d", s.Name, i+1))
+				text, err := f.ExperimentTOML(fmt.Sprintf("%s-%d", s.Name, i+1))
 				if err != nil {
 					return err
 				}
@@ -231,11 +231,11 @@
 	return c
 }
 
-func described(f lab.Found) string {
+func described(f lab.SearchResult) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "  %s G %.3f, oracle %.3f, seed %d, %d instances, %.0f s\n", f.Policy, f.G, f.Oracle, f.Seed, f.World.Instances, f.World.Length)
-	if f.Broken != "" {
-		fmt.Fprintf(&b, "  BROKEN %s\n", f.Broken)
+	fmt.Fprintf(&b, "  %s G %.3f, oracle %.3f, seed %d, %d instances, %.0f s\n", f.Policy, f.G, f.Oracle, f.Seed, f.World.Instances, f.World.Duration)
+	if f.Violation != "" {
+		fmt.Fprintf(&b, "  BROKEN %s\n", f.Violation)
 	}
 	for _, x := range f.Plan {
 		fmt.Fprintf(&b, "  %s\n", x)
@@ -249,18 +249,18 @@
 	var cores int
 	c := &cobra.Command{Use: "shrink FOUND.toml", Short: "cut a day down to the fewest faults and the smallest fleet that still show it",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Read(args[0], nil)
+			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
 				return err
 			}
 			cell := s.Cells[0]
-			f := lab.Found{World: cell.World, Plan: cell.PlanFor(s.Seeds[0]), Seed: s.Seeds[0], Policy: s.Policies[0]}
+			f := lab.SearchResult{World: cell.World, Plan: cell.PlanFor(s.Seeds[0]), Seed: s.Seeds[0], Policy: s.Policies[0]}
 			steps := 0
-			f, err = lab.Shrink(c.Context(), f, keep, cores, func(lab.Found) { steps++ })
+			f, err = lab.Shrink(c.Context(), f, keep, cores, func(lab.SearchResult) { steps++ })
 			if err != nil {
 				return err
 			}
-			text, err := f.Sheet(s.Name + "-small")
+			text, err := f.ExperimentTOML(s.Name + "-small")
 			if err != nil {
 				return err
 			}
@@ -284,7 +284,7 @@
 	var seed uint64
 	c := &cobra.Command{Use: "replay DAY.toml", Short: "play one day and tell its course, its losses and what broke",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Read(args[0], nil)
+			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
 				return err
 			}
@@ -295,11 +295,11 @@
 			if c.Flags().Changed("seed") {
 				r.Seed = seed
 			}
-			d, err := s.Play(r)
+			d, err := s.Run(r)
 			if err != nil {
 				return err
 			}
-			return lab.Tell(c.OutOrStdout(), d, "simulated")
+			return lab.WriteReport(c.OutOrStdout(), d, "simulated")
 		}}
 	c.Flags().StringVar(&policy, "policy", "", "another than the file's first")
 	c.Flags().Uint64Var(&seed, "seed", 0, "another than the file's first")
@@ -307,7 +307,7 @@
 }
 
 func charts(c *cobra.Command, dir string, cell int, figure string) error {
-	made, err := lab.Charts(dir, cell, figure)
+	made, err := lab.DrawCharts(dir, cell, figure)
 	for _, m := range made {
 		fmt.Fprintln(c.OutOrStdout(), m)
 	}
@@ -327,7 +327,7 @@
 func policies() *cobra.Command {
 	return &cobra.Command{Use: "policies", Short: "name the policies", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
 		for _, n := range baseline.Names() {
-			fmt.Fprintf(c.OutOrStdout(), "%-9s %s\n", n, baseline.About(n))
+			fmt.Fprintf(c.OutOrStdout(), "%-9s %s\n", n, baseline.Describe(n))
 		}
 	}}
 }
@@ -345,7 +345,7 @@
 			for i := range seeds {
 				all = append(all, uint64(i+1))
 			}
-			fmt.Fprintln(c.OutOrStdout(), lab.ReturnHead(seconds))
+			fmt.Fprintln(c.OutOrStdout(), lab.RecoveryTableHeader(seconds))
 			for _, share := range shares {
 				for _, load := range loads {
 					for _, m := range messages {
@@ -353,7 +353,7 @@
 							return fmt.Errorf("--messages %q is neither on nor off", m)
 						}
 						if live {
-							d := lab.Live(proxies, load, share, m == "on", faults.Kind(kind))
+							d := lab.LiveRecovery(proxies, load, share, m == "on", faults.Kind(kind))
 							if err := liveBack(c, d, all, state, program, fmt.Sprintf("%s %.2g of %d live, load %.2f, messages %s, state %s",
 								kind, share, proxies, load, m, cmp.Or(state, "not kept")), seconds); err != nil {
 								return err
@@ -361,12 +361,12 @@
 							continue
 						}
 						for _, name := range names {
-							d := lab.Mass(proxies, load, share, m == "on", faults.Kind(kind))
-							got, err := d.Play(c.Context(), name, all, cores)
+							d := lab.EmulatedRecovery(proxies, load, share, m == "on", faults.Kind(kind))
+							got, err := d.Run(c.Context(), name, all, cores)
 							if err != nil {
 								return err
 							}
-							lab.ReturnRow(c.OutOrStdout(), fmt.Sprintf("%s %.2g of %d, load %.2f, messages %s, %s", kind, share, proxies, load, m, name), got, seconds)
+							lab.WriteRecoveryRow(c.OutOrStdout(), fmt.Sprintf("%s %.2g of %d, load %.2f, messages %s, %s", kind, share, proxies, load, m, name), got, seconds)
 						}
 					}
 				}
@@ -383,34 +383,34 @@
 	c.Flags().BoolVar(&live, "live", false, "real processes on loopback in real time, one day after another")
 	c.Flags().StringVar(&state, "state", "", "live: what becomes of what a proxy keeps: kept, lost, torn, old (nothing is kept)")
 	c.Flags().StringVar(&program, "program", "", "live: the proxy's program, called as PROGRAM serve (this one)")
-	c.Flags().StringVar(&kind, "kind", string(faults.Kill), "of the failure")
+	c.Flags().StringVar(&kind, "kind", string(faults.KillInstances), "of the failure")
 	onCores(c, &cores)
 	return c
 }
 
 // liveBack plays a comeback with real processes for each seed.
-func liveBack(c *cobra.Command, d lab.Comeback, seeds []uint64, state, program, what string, seconds int) error {
-	if !slices.Contains(testbed.States, state) {
-		return fmt.Errorf("--state %q is none of %q", state, testbed.States)
+func liveBack(c *cobra.Command, d lab.RecoveryTest, seeds []uint64, state, program, what string, seconds int) error {
+	if !slices.Contains(testbed.SnapshotStates, state) {
+		return fmt.Errorf("--state %q is none of %q", state, testbed.SnapshotStates)
 	}
 	command, env, _, err := proxy(program)
 	if err != nil {
 		return err
 	}
-	var all []lab.Return
+	var all []lab.RecoveryResult
 	var full []float64
 	late := 0.0
 	for _, seed := range seeds {
-		got, out, err := d.PlayLive(c.Context(), seed, state, command, env)
+		got, out, err := d.RunLive(c.Context(), seed, state, command, env)
 		if err != nil {
 			return err
 		}
-		for _, b := range out.Account.Broken {
+		for _, b := range out.Account.Violations {
 			fmt.Fprintf(c.OutOrStdout(), "seed %d: BROKEN %s\n", seed, b)
 		}
-		all, full, late = append(all, got), append(full, out.Full...), max(late, out.Lateness)
+		all, full, late = append(all, got), append(full, out.RecoverySeconds...), max(late, out.MaxSendDelay)
 	}
-	lab.ReturnRow(c.OutOrStdout(), what, all, seconds)
+	lab.WriteRecoveryRow(c.OutOrStdout(), what, all, seconds)
 	slices.Sort(full)
 	if n := len(full); n > 0 {
 		fmt.Fprintf(c.OutOrStdout(), "%d proxies that came back say they were of full use after %.2f s in the median, %.2f s at worst; ", n, full[n/2], full[n-1])
@@ -425,7 +425,7 @@
 		return []string{program, "serve"}, nil, false, nil
 	}
 	me, err := os.Executable()
-	return []string{me}, []string{testbed.HereEnv + "=1"}, true, err
+	return []string{me}, []string{testbed.RunProxyEnv + "=1"}, true, err
 }
 
 func live() *cobra.Command {
@@ -434,7 +434,7 @@
 	c := &cobra.Command{Use: "live DAY.toml", Short: "play one day on real sockets, in real time, with real proxies",
 		Long: "Starts backends, discovery and clients as stand-ins on loopback and a proxy process for each instance, plays the day\nin real time and tells what the judge found. A world of a few processes fits on one machine.",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Read(args[0], nil)
+			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
 				return err
 			}
@@ -452,14 +452,14 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			out, err := r.Play(c.Context())
+			out, err := r.Run(c.Context())
 			if err != nil {
 				return err
 			}
 			w := c.OutOrStdout()
-			fmt.Fprintf(w, "the rig itself was late by %.1f ms at most\n", 1000*out.Lateness)
-			d := lab.Day{Run: lab.Run{Policy: "sandpass", Seed: at}, Plan: plan, Account: out.Account}
-			if err := lab.Tell(w, d, "on real sockets"); err != nil {
+			fmt.Fprintf(w, "the rig itself was late by %.1f ms at most\n", 1000*out.MaxSendDelay)
+			d := lab.RunResult{Run: lab.Run{Policy: "sandpass", Seed: at}, Plan: plan, Account: out.Account}
+			if err := lab.WriteReport(w, d, "on real sockets"); err != nil {
 				return err
 			}
 			for i, cpu := range out.CPU {
@@ -483,15 +483,15 @@
 			if len(programs) == 0 {
 				programs = []string{""}
 			}
-			var loads []testbed.Load
+			var loads []testbed.LoadTest
 			for _, p := range programs {
 				command, env, own, err := proxy(p)
 				if err != nil {
 					return err
 				}
-				loads = append(loads, testbed.Load{Seconds: seconds, Rate: rate, Program: command, Env: env, Profile: own})
+				loads = append(loads, testbed.LoadTest{Seconds: seconds, OpenLoopRate: rate, Program: command, Env: env, Profile: own})
 			}
-			return testbed.Table(c.Context(), c.OutOrStdout(), loads, programs, connections, bodies, times)
+			return testbed.WriteTable(c.Context(), c.OutOrStdout(), loads, programs, connections, bodies, times)
 		}}
 	c.Flags().StringArrayVar(&programs, "program", nil, "the proxy's program, called as PROGRAM serve (this one); several are measured in turn")
 	c.Flags().IntSliceVar(&connections, "connections", []int{1, 16, 64, 512}, "of the clients")
--- a/cmd/sandlab/scale.go
+++ b/cmd/sandlab/scale.go
@@ -111,9 +111,9 @@
 			continue
 		}
 		b := bar(os.Stderr, -1, part)
-		measure := scale.Measure{Sizes: sizes, Counts: o.counts, Real: o.real, Programs: programs, Only: o.only,
+		measure := scale.Runner{Sizes: sizes, ProxyCounts: o.counts, RealProxies: o.real, Programs: programs, EventNames: o.only,
 			Progress: func(what string) { b.Describe(part + ": " + what); b.Add(1) }}
-		err := measure.Part(ctx, part, data)
+		err := measure.MeasurePart(ctx, part, data)
 		b.Finish()
 		if e := data.Write(o.data); err == nil { // what was measured before a failure is kept
 			err = e
--- a/cmd/sandpass-control/client.go
+++ b/cmd/sandpass-control/client.go
@@ -198,11 +198,11 @@
 		status, err := client.Status(ctx, number, false)
 		if err == nil {
 			last = status
-			line.show("revision %d in force at %d of %d proxies", number, status.Summary.InForce, status.Summary.Concerned)
-			if asked := status.Asked; asked != nil && asked.HeldBy != "" {
+			line.show("revision %d in force at %d of %d proxies", number, status.Summary.InForce, status.Summary.Targeted)
+			if asked := status.Requested; asked != nil && asked.HeldBy != "" {
 				return &codedError{exitRefused, heldError(number, asked)}
 			}
-			if status.Asked != nil && len(status.Summary.Behind) == 0 {
+			if status.Requested != nil && len(status.Summary.Lagging) == 0 {
 				return nil
 			}
 		}
@@ -223,12 +223,12 @@
 func waitedInVain(number revision.Number, status controlapi.StatusResponse) error {
 	const named = 5
 	text := fmt.Sprintf("revision %d is accepted, but not in force everywhere:", number)
-	if status.Asked == nil {
+	if status.Requested == nil {
 		text += " its state could not be read"
 	}
-	for i, lag := range status.Summary.Behind {
+	for i, lag := range status.Summary.Lagging {
 		if i == named {
-			text += fmt.Sprintf(" and %d more", len(status.Summary.Behind)-named)
+			text += fmt.Sprintf(" and %d more", len(status.Summary.Lagging)-named)
 			break
 		}
 		text += fmt.Sprintf(" %s (at %d)", lag.Proxy, lag.InForce)
--- a/cmd/sandpass-control/main.go
+++ b/cmd/sandpass-control/main.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, &codedError{exitUsage, err}
 	}
-	client.Stale = o.stale
+	client.AllowStale = o.stale
 	return client, nil
 }
 
--- a/cmd/sandpass-control/tables.go
+++ b/cmd/sandpass-control/tables.go
@@ -125,8 +125,8 @@
 	if err := printDocument(out, diff.Patch); err != nil {
 		return err
 	}
-	if diff.Check != "" {
-		fmt.Fprintf(out, "it would be refused: %s\n", diff.Check)
+	if diff.Refusal != "" {
+		fmt.Fprintf(out, "it would be refused: %s\n", diff.Refusal)
 	}
 	return printFreshness(out, diff.Freshness)
 }
@@ -152,14 +152,14 @@
 
 func printStatus(out io.Writer, status controlapi.StatusResponse) error {
 	fmt.Fprintf(out, "fleet %s, newest revision %d, up to date: %d of %d connected proxies, %d gone\n",
-		status.Fleet, status.Newest, status.Summary.InForce, status.Summary.Concerned, status.Summary.Gone)
-	if len(status.Summary.Behind) > 0 {
-		slowest := status.Summary.Behind[0]
+		status.Fleet, status.Newest, status.Summary.InForce, status.Summary.Targeted, status.Summary.Disconnected)
+	if len(status.Summary.Lagging) > 0 {
+		slowest := status.Summary.Lagging[0]
 		fmt.Fprintf(out, "slowest: %s at revision %d, %d is for it; since %s\n", slowest.Proxy, slowest.InForce,
-			slowest.Wanted, moment(slowest.Since))
+			slowest.Target, moment(slowest.InForceSince))
 	}
 	for _, proxy := range status.Refusing {
-		fmt.Fprintf(out, "%s refuses revision %d: %s\n", proxy.Identity.Proxy, proxy.Refused, proxy.Reason)
+		fmt.Fprintf(out, "%s refuses revision %d: %s\n", proxy.Identity.Proxy, proxy.RefusedNumber, proxy.RefusalReason)
 	}
 	if err := printFreshness(out, status.Freshness); err != nil {
 		return err
@@ -192,7 +192,7 @@
 		for _, proxy := range proxies {
 			where := strings.Join([]string{proxy.Identity.Region, proxy.Identity.Zone, proxy.Identity.Service}, "/")
 			fmt.Fprintf(out, "%s\t%s\t%s\t%t\t%d\t%s\t%s\n", proxy.Identity.Proxy, where, proxy.Replica, proxy.Connected,
-				proxy.InForce, moment(proxy.Since), proxy.Reason)
+				proxy.InForce, moment(proxy.InForceSince), proxy.RefusalReason)
 		}
 	})
 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -29,15 +29,15 @@
 var makers = []struct {
 	name  string
 	about string
-	make  emulator.Maker
+	make  emulator.PolicyFactory
 }{
-	{"module", "the decision module as it is", func(h balance.Host, _ emulator.Sight, seed uint64, now float64) emulator.Policy {
+	{"module", "the decision module as it is", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
 		return balance.New(h, seed, now)
 	}},
-	{"nocopies", "the module without second copies", func(h balance.Host, _ emulator.Sight, seed uint64, now float64) emulator.Policy {
+	{"nocopies", "the module without second copies", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
 		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.SecondCopies = false }}
 	}},
-	{"fixed", "the module with shares by all siblings there should be, whoever is there", func(h balance.Host, _ emulator.Sight, seed uint64, now float64) emulator.Policy {
+	{"fixed", "the module with shares by all siblings there should be, whoever is there", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
 		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.FixedInstances = true }}
 	}},
 	{"random", "any backend", plainly(random)},
@@ -57,7 +57,7 @@
 }
 
 // About is a line on a policy.
-func About(name string) string {
+func Describe(name string) string {
 	for _, m := range makers {
 		if m.name == name {
 			return m.about
@@ -67,7 +67,7 @@
 }
 
 // Maker by its name.
-func Maker(name string) (emulator.Maker, error) {
+func Factory(name string) (emulator.PolicyFactory, error) {
 	for _, m := range makers {
 		if m.name == name {
 			return m.make, nil
@@ -113,7 +113,7 @@
 // plain relays at once to whom its pick names, tries again by the rules after a failure, and gives up then.
 type plain struct {
 	host   balance.Host
-	sight  emulator.Sight
+	sight  emulator.TrueState
 	chance *rand.Rand
 	now    float64
 	tick   float64
@@ -132,8 +132,8 @@
 	usable []*server
 }
 
-func plainly(pick func(*plain, *request, []*server) *server) emulator.Maker {
-	return func(h balance.Host, s emulator.Sight, seed uint64, now float64) emulator.Policy {
+func plainly(pick func(*plain, *request, []*server) *server) emulator.PolicyFactory {
+	return func(h balance.Host, s emulator.TrueState, seed uint64, now float64) emulator.Policy {
 		return &plain{host: h, sight: s, chance: rand.New(rand.NewPCG(seed, 1)), now: now, pick: pick,
 			open: map[uint64]*request{}, wakes: map[uint64]uint64{}}
 	}
@@ -174,7 +174,7 @@
 	var best *server
 	least := math.Inf(1)
 	for _, s := range from {
-		open, wait, speed, crowd := p.sight.Look(s.ID)
+		open, wait, speed, crowd := p.sight.BackendState(s.ID)
 		if !open || crowd >= spare+(1-spare)*r.verb.Utility/p.most { // what is worth little makes room for the rest
 			continue
 		}
@@ -200,7 +200,7 @@
 		if !x.out || r.done {
 			continue
 		}
-		if _, _, speed, _ := p.sight.Look(x.to.ID); speed <= 0 {
+		if _, _, speed, _ := p.sight.BackendState(x.to.ID); speed <= 0 {
 			if r.verb.Effect != balance.Effectful && p.limits.CancelRelays {
 				p.host.Cancel(r.id, i)
 			}
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -31,7 +31,7 @@
 }
 
 type openRequest struct {
-	Request
+	Command
 	attempts []attempt
 	ended    bool
 	outs     int // attempts whose end was not told yet
@@ -57,7 +57,7 @@
 
 // Checker is told the facts of one day. Make it with New; not safe for concurrent calls.
 type Checker struct {
-	terms   Terms
+	terms   Config
 	taken   map[uint64]*openRequest
 	spare   []*openRequest
 	effect  map[uint64]execution
@@ -68,41 +68,41 @@
 	further map[int][]float64 // and when retries and hedges were sent
 	work    float64           // mean work of a request that reached a cold backend, for the slack
 	works   float64
-	a       Account
+	a       Report
 }
 
 // New starts a day.
-func New(t Terms) *Checker {
+func New(t Config) *Checker {
 	s, _ := ddsketch.NewDefaultDDSketch(accuracy) // fails only for an accuracy out of range
 	return &Checker{
 		terms: t, taken: map[uint64]*openRequest{}, effect: map[uint64]execution{}, out: map[instanceBackend]float64{},
 		starts: map[instanceBackend]float64{}, cold: map[int]*warmUpLoad{}, came: map[int][]float64{}, further: map[int][]float64{},
-		a: Account{Latency: s, AskedBy: make([]float64, int(math.Ceil(t.Length))+1),
-			ServedBy: make([]float64, int(math.Ceil(t.Length))+1), AskedIn: make([]float64, int(math.Ceil(tenth*t.Length))+1),
-			ServedIn: make([]float64, int(math.Ceil(tenth*t.Length))+1),
-			Sent:     map[int][]int{}, Opened: map[int][]int{}, Lists: map[int][]int{}, customers: make([][2]float64, t.Tenants)},
+		a: Report{Latency: s, OfferedBySecond: make([]float64, int(math.Ceil(t.Duration))+1),
+			ServedBySecond: make([]float64, int(math.Ceil(t.Duration))+1), OfferedByTenth: make([]float64, int(math.Ceil(tenth*t.Duration))+1),
+			ServedByTenth:   make([]float64, int(math.Ceil(tenth*t.Duration))+1),
+			RelaysByBackend: map[int][]int{}, ConnectionsByBackend: map[int][]int{}, ListsByInstance: map[int][]int{}, customers: make([][2]float64, t.Customers)},
 	}
 }
 
 func (c *Checker) broken(r Rule, at float64, format string, args ...any) {
-	c.a.Rules[r]++
-	if len(c.a.Broken) < mostTexts {
-		c.a.Broken = append(c.a.Broken, Broken{r, at, fmt.Sprintf(format, args...)})
+	c.a.RuleCounts[r]++
+	if len(c.a.Violations) < mostTexts {
+		c.a.Violations = append(c.a.Violations, Violation{r, at, fmt.Sprintf(format, args...)})
 	}
 }
 
 // OpenUntil is the latest time at which a request that is open is due, 0 where none is open.
-func (c *Checker) OpenUntil() (due float64) {
+func (c *Checker) LatestDeadline() (due float64) {
 	for _, t := range c.taken {
 		if !t.ended {
-			due = max(due, t.Expires+c.terms.Slack)
+			due = max(due, t.Expires+c.terms.AnswerSlack)
 		}
 	}
 	return due
 }
 
 // Close ends the day and gives the account.
-func (c *Checker) Close(at float64) *Account {
+func (c *Checker) Close(at float64) *Report {
 	var open []*openRequest
 	for _, t := range c.taken {
 		if !t.ended {
@@ -111,21 +111,21 @@
 	}
 	slices.SortFunc(open, func(x, y *openRequest) int { return cmp.Or(cmp.Compare(x.Expires, y.Expires), cmp.Compare(x.ID, y.ID)) })
 	for _, t := range open {
-		c.broken(Answer, t.Expires+c.terms.Slack, "request %x at instance %d never had a final answer", t.ID, t.Instance)
+		c.broken(OneAnswer, t.Expires+c.terms.AnswerSlack, "request %x at instance %d never had a final answer", t.ID, t.Instance)
 	}
 	a := &c.a
-	slices.SortStableFunc(a.Broken, func(x, y Broken) int { return cmp.Compare(x.At, y.At) })
-	mean := a.Asked / max(1, float64(a.Ops))
-	a.Prices += mean * (c.terms.AttemptPrice*float64(a.Copies) + c.terms.MessagePrice*float64(a.Messages) + c.terms.CrossingPrice*float64(a.Cross))
+	slices.SortStableFunc(a.Violations, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
+	mean := a.OfferedUtility / max(1, float64(a.Operations))
+	a.Costs += mean * (c.terms.RelayPrice*float64(a.FurtherRelays) + c.terms.MessagePrice*float64(a.Messages) + c.terms.CrossingPrice*float64(a.ZoneCrossings))
 	for h := range hows {
 		for w := range wheres {
 			for tier, s := range a.loss[h][w] {
 				if s.count > 0 {
-					a.Losses = append(a.Losses, Lost{Loss{h, w, tier}, s.count, s.worth})
+					a.Losses = append(a.Losses, LossTotal{Loss{h, w, tier}, s.count, s.worth})
 				}
 			}
 		}
 	}
-	slices.SortStableFunc(a.Losses, func(x, y Lost) int { return cmp.Compare(y.Worth, x.Worth) })
+	slices.SortStableFunc(a.Losses, func(x, y LossTotal) int { return cmp.Compare(y.Utility, x.Utility) })
 	return a
 }
--- a/internal/checker/counters.go
+++ b/internal/checker/counters.go
@@ -1,24 +1,24 @@
 package checker
 
 // Asked is told of what a client wants done, and what that is worth.
-func (c *Checker) Asked(at float64, customer int, worth float64) {
-	c.a.Ops++
-	c.a.Asked += worth
-	c.a.AskedBy[c.second(at)] += worth
-	c.a.AskedIn[min(int(tenth*at), len(c.a.AskedIn)-1)] += worth
+func (c *Checker) OperationRequested(at float64, customer int, worth float64) {
+	c.a.Operations++
+	c.a.OfferedUtility += worth
+	c.a.OfferedBySecond[c.second(at)] += worth
+	c.a.OfferedByTenth[min(int(tenth*at), len(c.a.OfferedByTenth)-1)] += worth
 	if customer < len(c.a.customers) {
 		c.a.customers[customer][0] += worth
 	}
 }
 
-func (c *Checker) second(at float64) int { return min(int(at), len(c.a.AskedBy)-1) }
+func (c *Checker) second(at float64) int { return min(int(at), len(c.a.OfferedBySecond)-1) }
 
 // Answered is told that a client has its answer, for what was due at a time, and of its worth now.
-func (c *Checker) Answered(due, at float64, customer int, worth float64) {
+func (c *Checker) OperationAnswered(due, at float64, customer int, worth float64) {
 	c.a.Answered++
-	c.a.Served += worth
-	c.a.ServedBy[c.second(due)] += worth
-	c.a.ServedIn[min(int(tenth*due), len(c.a.ServedIn)-1)] += worth
+	c.a.ServedUtility += worth
+	c.a.ServedBySecond[c.second(due)] += worth
+	c.a.ServedByTenth[min(int(tenth*due), len(c.a.ServedByTenth)-1)] += worth
 	if customer < len(c.a.customers) {
 		c.a.customers[customer][1] += worth
 	}
@@ -26,17 +26,19 @@
 }
 
 // Lost is told that worth was lost, and how.
-func (c *Checker) Lost(l Loss, worth float64) {
-	s := &c.a.loss[l.How][l.Where][min(max(l.Tier, 0), 7)]
+func (c *Checker) OperationLost(l Loss, worth float64) {
+	s := &c.a.loss[l.Cause][l.Place][min(max(l.Tier, 0), 7)]
 	s.count++
 	s.worth += worth
 }
 
 // ConnectionOpened is told that an instance opens a connection to a backend.
-func (c *Checker) ConnectionOpened(at float64, backend int) { c.tick(c.a.Opened, backend, at) }
+func (c *Checker) ConnectionOpened(at float64, backend int) {
+	c.tick(c.a.ConnectionsByBackend, backend, at)
+}
 
 // ListRequested is told that an instance asks discovery for the whole list.
-func (c *Checker) ListRequested(at float64, instance int) { c.tick(c.a.Lists, instance, at) }
+func (c *Checker) ListRequested(at float64, instance int) { c.tick(c.a.ListsByInstance, instance, at) }
 
 // tick counts one more for who it is of, in the second.
 func (c *Checker) tick(all map[int][]int, who int, at float64) {
@@ -49,9 +51,9 @@
 }
 
 // RejectedLate is told of a refusal after more than half of the time, with nothing ever sent.
-func (c *Checker) RejectedLate(worth float64) {
-	c.a.LateNos++
-	c.a.Prices += c.terms.LateRejectionPrice * worth
+func (c *Checker) DeclinedLate(worth float64) {
+	c.a.LateDeclines++
+	c.a.Costs += c.terms.LateDeclinePrice * worth
 }
 
 // MessageSent is told of a message to a peer.
--- a/internal/checker/facts.go
+++ b/internal/checker/facts.go
@@ -5,9 +5,9 @@
 )
 
 // Accepted is told that a live instance has a request, and owes it one final answer.
-func (c *Checker) Accepted(at float64, request Request) {
+func (c *Checker) CommandAccepted(at float64, request Command) {
 	if _, ok := c.taken[request.ID]; ok {
-		c.broken(Answer, at, "id %x is given twice: the world that reports is wrong", request.ID)
+		c.broken(OneAnswer, at, "id %x is given twice: the world that reports is wrong", request.ID)
 		return
 	}
 	c.a.Commands++
@@ -18,7 +18,7 @@
 	} else {
 		t = &openRequest{}
 	}
-	t.Request = request
+	t.Command = request
 	if c.terms.BudgetWindow > 0 {
 		c.came[request.Instance] = append(c.came[request.Instance], at)
 	}
@@ -26,26 +26,26 @@
 }
 
 // AttemptSent is told of a attempt to a backend as the instance named it.
-func (c *Checker) AttemptSent(at float64, id uint64, backend, zone, cell int, crosses bool) {
+func (c *Checker) RelaySent(at float64, id uint64, backend, zone, cell int, crosses bool) {
 	c.a.Relays++
-	c.tick(c.a.Sent, backend, at)
+	c.tick(c.a.RelaysByBackend, backend, at)
 	if crosses {
-		c.a.Cross++
+		c.a.ZoneCrossings++
 	}
 	t := c.taken[id]
 	if t == nil {
-		c.broken(Answer, at, "an attempt for request %x, which is not open", id)
+		c.broken(OneAnswer, at, "an attempt for request %x, which is not open", id)
 		return
 	}
 	if t.ended {
-		c.broken(Answer, at, "instance %d sends request %x after its final answer", t.Instance, id)
+		c.broken(OneAnswer, at, "instance %d sends request %x after its final answer", t.Instance, id)
 	}
-	if since, ok := c.out[instanceBackend{t.Instance, backend}]; ok && at > since+c.terms.Grace {
-		c.broken(Drain, at, "instance %d sends request %x to backend %d, %.0f ms after word that it drains or is gone",
+	if since, ok := c.out[instanceBackend{t.Instance, backend}]; ok && at > since+c.terms.DrainGrace {
+		c.broken(DrainKept, at, "instance %d sends request %x to backend %d, %.0f ms after word that it drains or is gone",
 			t.Instance, id, backend, 1000*(at-since))
 	}
 	if len(t.attempts) > 0 {
-		c.a.Copies++
+		c.a.FurtherRelays++
 		c.budget(at, t)
 	}
 	c.again(at, t, backend, zone, cell)
@@ -64,8 +64,8 @@
 	}
 	i := t.Instance
 	c.came[i], c.further[i] = recent(c.came[i]), append(recent(c.further[i]), at)
-	if sent, may := float64(len(c.further[i])), c.terms.FreeRetries+c.terms.RetryRatio*float64(len(c.came[i])); sent > may {
-		c.broken(Budget, at, "instance %d makes %.0f retries and hedges in %.3g s, where %.1f are allowed", i, sent, c.terms.BudgetWindow, may)
+	if sent, may := float64(len(c.further[i])), c.terms.FreeRelays+c.terms.FreeRelayRatio*float64(len(c.came[i])); sent > may {
+		c.broken(RelayBudget, at, "instance %d makes %.0f retries and hedges in %.3g s, where %.1f are allowed", i, sent, c.terms.BudgetWindow, may)
 	}
 }
 
@@ -75,25 +75,25 @@
 	if first < 0 {
 		return
 	}
-	if !c.terms.Hedges && slices.ContainsFunc(t.attempts, func(s attempt) bool { return s.out }) {
-		c.broken(Twice, at, "instance %d has two attempts of request %x out where that is not allowed", t.Instance, t.ID)
+	if !c.terms.SecondCopies && slices.ContainsFunc(t.attempts, func(s attempt) bool { return s.out }) {
+		c.broken(NoDoubleEffect, at, "instance %d has two attempts of request %x out where that is not allowed", t.Instance, t.ID)
 	}
 	f := t.attempts[first]
 	switch {
-	case t.Effect == NonIdempotent:
-		c.broken(Twice, at, "instance %d sends non-idempotent request %x to backend %d while attempt %d to backend %d may have run",
+	case t.Effect == Effectful:
+		c.broken(NoDoubleEffect, at, "instance %d sends non-idempotent request %x to backend %d while attempt %d to backend %d may have run",
 			t.Instance, t.ID, backend, first, f.backend)
-	case t.Effect == Deduplicated && at > f.at+t.Window:
-		c.broken(Twice, at, "instance %d sends deduplicated request %x %.3f s after attempt %d, its window is %.3f s",
-			t.Instance, t.ID, at-f.at, first, t.Window)
-	case t.Effect == Deduplicated && (t.Scope == SameZone && zone != f.zone || t.Scope == SameCell && cell != f.cell):
-		c.broken(Twice, at, "instance %d sends deduplicated request %x to backend %d, outside of the group of attempt %d",
+	case t.Effect == Receipted && at > f.at+t.DedupWindow:
+		c.broken(NoDoubleEffect, at, "instance %d sends deduplicated request %x %.3f s after attempt %d, its window is %.3f s",
+			t.Instance, t.ID, at-f.at, first, t.DedupWindow)
+	case t.Effect == Receipted && (t.Scope == ScopeZone && zone != f.zone || t.Scope == ScopeCell && cell != f.cell):
+		c.broken(NoDoubleEffect, at, "instance %d sends deduplicated request %x to backend %d, outside of the group of attempt %d",
 			t.Instance, t.ID, backend, first)
 	}
 }
 
 // AttemptEnded is told that an instance has heard how a attempt ended, and whether that proves it never ran.
-func (c *Checker) AttemptEnded(id uint64, relay int, never bool) {
+func (c *Checker) RelayEnded(id uint64, relay int, never bool) {
 	if t := c.taken[id]; t != nil && relay < len(t.attempts) && t.attempts[relay].out {
 		t.attempts[relay].out, t.attempts[relay].proven = false, never
 		t.outs--
@@ -103,26 +103,26 @@
 
 // RequestEnded is told of a request's final answer: rejected says whether it promised that trying again is harmless, and
 // made whether a backend made an answer for it.
-func (c *Checker) RequestEnded(at float64, id uint64, declined, answered, made bool) {
+func (c *Checker) CommandEnded(at float64, id uint64, declined, answered, made bool) {
 	t := c.taken[id]
 	if t == nil {
-		c.broken(Answer, at, "a final answer for request %x, which is not open", id)
+		c.broken(OneAnswer, at, "a final answer for request %x, which is not open", id)
 		return
 	}
 	if t.ended {
-		c.broken(Answer, at, "request %x at instance %d gets a second final answer", id, t.Instance)
+		c.broken(OneAnswer, at, "request %x at instance %d gets a second final answer", id, t.Instance)
 		return
 	}
-	if at > t.Expires+c.terms.Slack+c.terms.DeadlineError {
-		c.broken(Answer, at, "request %x at instance %d has its final answer %.0f ms after its limit",
+	if at > t.Expires+c.terms.AnswerSlack+c.terms.DeadlineError {
+		c.broken(OneAnswer, at, "request %x at instance %d has its final answer %.0f ms after its limit",
 			id, t.Instance, 1000*(at-t.Expires))
 	}
 	if answered && !made {
-		c.broken(Answer, at, "request %x at instance %d is answered with what no backend made", id, t.Instance)
+		c.broken(OneAnswer, at, "request %x at instance %d is answered with what no backend made", id, t.Instance)
 	}
-	if declined && t.Effect != Idempotent && !(t.Effect == Deduplicated && t.Scope == All) {
+	if declined && t.Effect != Pure && !(t.Effect == Receipted && t.Scope == ScopeAll) {
 		if i := slices.IndexFunc(t.attempts, func(s attempt) bool { return !s.proven }); i >= 0 {
-			c.broken(Twice, at, "instance %d rejects request %x while attempt %d to backend %d may have run",
+			c.broken(NoDoubleEffect, at, "instance %d rejects request %x while attempt %d to backend %d may have run",
 				t.Instance, id, i, t.attempts[i].backend)
 		}
 	}
@@ -131,7 +131,7 @@
 }
 
 // ClientLeft is told that nothing is owed for a request any more.
-func (c *Checker) ClientLeft(id uint64) {
+func (c *Checker) ClientDisconnected(id uint64) {
 	if t := c.taken[id]; t != nil {
 		t.ended = true
 		c.forget(t)
@@ -147,9 +147,9 @@
 
 // Stalled is told that an instance stalled from one time to another, by no doing of its own: what it owes by then is
 // due when it goes on.
-func (c *Checker) Stalled(instance int, from, to float64) {
+func (c *Checker) InstanceStalled(instance int, from, to float64) {
 	for _, t := range c.taken { // each by itself, so no order is needed
-		if t.Instance == instance && t.Expires > from-c.terms.Slack {
+		if t.Instance == instance && t.Expires > from-c.terms.AnswerSlack {
 			t.Expires = max(t.Expires, to)
 		}
 	}
@@ -175,7 +175,7 @@
 }
 
 // EndpointReceived is told that an instance was told of a backend: whether it is ready, and when it started.
-func (c *Checker) EndpointReceived(at float64, instance, backend int, ready bool, started float64) {
+func (c *Checker) BackendUpdateReceived(at float64, instance, backend int, ready bool, started float64) {
 	p := instanceBackend{instance, backend}
 	if ready {
 		delete(c.out, p)
@@ -189,13 +189,13 @@
 
 // Executed is told that a request's effect took place at a backend, whatever becomes of the answer. The window in which
 // repeats are dropped is one of sends.
-func (c *Checker) Executed(at, sent float64, op uint64, e Effect, s Scope, span float64, zone, cell int) {
-	if e == Idempotent {
+func (c *Checker) EffectExecuted(at, sent float64, op uint64, e Effect, s Scope, span float64, zone, cell int) {
+	if e == Pure {
 		return
 	}
 	r, before := c.effect[op]
-	if before && (e == NonIdempotent || sent > r.sent+span || s == SameZone && zone != r.zone || s == SameCell && cell != r.cell) {
-		c.broken(Twice, at, "the effect of operation %x took place twice, first at %.4f s", op, r.at)
+	if before && (e == Effectful || sent > r.sent+span || s == ScopeZone && zone != r.zone || s == ScopeCell && cell != r.cell) {
+		c.broken(NoDoubleEffect, at, "the effect of operation %x took place twice, first at %.4f s", op, r.at)
 	}
 	if !before {
 		c.effect[op] = execution{at: at, sent: sent, zone: zone, cell: cell}
@@ -203,7 +203,7 @@
 }
 
 // ReachedWarmingUp is told of work that reached a backend that is cold: capacity is what it can do just now.
-func (c *Checker) ReachedWarmingUp(at float64, backend, instance int, work, capacity, started float64) {
+func (c *Checker) ColdBackendReached(at float64, backend, instance int, work, capacity, started float64) {
 	load := c.cold[backend]
 	if load == nil {
 		load = &warmUpLoad{}
@@ -216,17 +216,17 @@
 	if told {
 		load.informed += work
 	}
-	for load.recent[0].at < at-c.terms.Window {
+	for load.recent[0].at < at-c.terms.ColdWindow {
 		load.work -= load.recent[0].work
 		if load.recent[0].told {
 			load.informed -= load.recent[0].work
 		}
 		load.recent = load.recent[1:]
 	}
-	over := load.work > c.terms.Multiple*capacity*c.terms.Window+coldSlack*c.work/c.works
+	over := load.work > c.terms.ColdMultiple*capacity*c.terms.ColdWindow+coldSlack*c.work/c.works
 	if over && !load.over && load.informed >= toldPart*load.work {
-		c.broken(Cold, at, "backend %d, %.2f s after its start, got %.3f s of work within %.2f s; it bears %.3f s",
-			backend, at-started, load.work, c.terms.Window, c.terms.Multiple*capacity*c.terms.Window)
+		c.broken(ColdProtected, at, "backend %d, %.2f s after its start, got %.3f s of work within %.2f s; it bears %.3f s",
+			backend, at-started, load.work, c.terms.ColdWindow, c.terms.ColdMultiple*capacity*c.terms.ColdWindow)
 	}
 	load.over = over
 }
--- a/internal/checker/loss.go
+++ b/internal/checker/loss.go
@@ -1,45 +1,45 @@
 package checker
 
 // How says in which way a request was lost.
-type How int
+type LossCause int
 
 const (
-	Rejected   How = iota // told to come back, and did not get it in the end
-	Terminated            // ended without a promise, before its limit
-	Limit                 // nothing ended it before its limit
-	Late                  // answered past its goal
-	Left                  // its client left early
-	Unreached             // no instance could be reached
-	Died                  // its instance was killed
+	Declined     LossCause = iota // told to come back, and did not get it in the end
+	Terminated                    // ended without a promise, before its limit
+	TimedOut                      // nothing ended it before its limit
+	Late                          // answered past its goal
+	ClientLeft                    // its client left early
+	Unreached                     // no instance could be reached
+	InstanceDied                  // its instance was killed
 	hows
 )
 
-func (h How) String() string {
+func (h LossCause) String() string {
 	return [...]string{"declined", "terminated", "limit", "late", "left", "unreached", "died"}[h]
 }
 
 // Where says at which place the last of it was, or the most of its time was spent.
-type Where int
+type LossPlace int
 
 const (
-	Instance   Where = iota // held, or never sent on
-	Connecting              // no connection came up
-	Refused                 // backends turned it away unseen
-	Queue                   // in a backend's queue
-	Work                    // in a backend's work
-	Stuck                   // at a backend that finishes nothing
-	Failed                  // a backend failed it
-	Network                 // lost or broken on the way
+	Instance      LossPlace = iota // held, or never sent on
+	Connecting                     // no connection came up
+	Refused                        // backends turned it away unseen
+	Queue                          // in a backend's queue
+	Work                           // in a backend's work
+	Hung                           // at a backend that finishes nothing
+	BackendFailed                  // a backend failed it
+	Network                        // lost or broken on the way
 	wheres
 )
 
-func (w Where) String() string {
+func (w LossPlace) String() string {
 	return [...]string{"instance", "connecting", "refused", "queue", "work", "stuck", "failed", "network"}[w]
 }
 
 // Loss is where and how worth was lost; Tier is the one whose backends or instances had it last.
 type Loss struct {
-	How   How
-	Where Where
+	Cause LossCause
+	Place LossPlace
 	Tier  int
 }
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -8,12 +8,12 @@
 type Rule int
 
 const (
-	Answer Rule = 1 + iota // one final answer in time, only what a backend made for it
-	Twice                  // no effect twice
-	Drain                  // nothing new past the grace
-	Cold                   // no cold backend pushed over
-	Budget                 // retries and hedges within their budget
-	rules  = 5
+	OneAnswer      Rule = 1 + iota // one final answer in time, only what a backend made for it
+	NoDoubleEffect                 // no effect twice
+	DrainKept                      // nothing new past the grace
+	ColdProtected                  // no cold backend pushed over
+	RelayBudget                    // retries and hedges within their budget
+	rules          = 5
 )
 
 func (r Rule) String() string {
@@ -21,12 +21,12 @@
 }
 
 // Broken is one broken rule.
-type Broken struct {
+type Violation struct {
 	Rule Rule
 	At   float64
 	Text string
 }
 
-func (b Broken) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%.4f s: rule %d (%s): %s", b.At, b.Rule, b.Rule, b.Text)
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -21,7 +21,7 @@
 	s := NewState(simFleet)
 	add := func(scope revision.Scope, keys int) {
 		latest, _ := s.Latest(scope)
-		command := apply(fmt.Sprint(s.Newest(), scope), scope, latest.Number, benchDocument(keys, int(s.Newest())))
+		command := apply(fmt.Sprint(s.NewestNumber(), scope), scope, latest.Number, benchDocument(keys, int(s.NewestNumber())))
 		if outcome := s.Apply(command); outcome.Err != nil {
 			b.Fatal(outcome.Err)
 		}
@@ -54,7 +54,7 @@
 	sessions := benchSessions(b, s, identities)
 	for b.Loop() {
 		latest, _ := s.Latest(revision.FleetScope)
-		command := apply(fmt.Sprint(s.Newest()), revision.FleetScope, latest.Number, benchDocument(100, int(s.Newest())))
+		command := apply(fmt.Sprint(s.NewestNumber()), revision.FleetScope, latest.Number, benchDocument(100, int(s.NewestNumber())))
 		if outcome := s.Apply(command); outcome.Err != nil {
 			b.Fatal(outcome.Err)
 		}
@@ -78,11 +78,11 @@
 
 func tell(b *testing.B, s *State, sessions []*Session) {
 	for _, session := range sessions {
-		update, err := session.Next(s)
+		update, err := session.NextUpdate(s)
 		if err != nil || update == nil {
 			b.Fatal(update, err)
 		}
-		session.Reported(revision.Report{Revision: update.Revision, Verdict: revision.InForce, Checksum: update.Checksum})
+		session.HandleReport(revision.Report{Revision: update.Revision, Verdict: revision.InForce, Checksum: update.Checksum})
 	}
 }
 
@@ -92,7 +92,7 @@
 	sessions := benchSessions(b, s, identities)
 	for b.Loop() {
 		for _, session := range sessions {
-			if update, err := session.Next(s); update != nil || err != nil {
+			if update, err := session.NextUpdate(s); update != nil || err != nil {
 				b.Fatal(update, err)
 			}
 		}
@@ -105,7 +105,7 @@
 	b.SetBytes(int64(len(document)))
 	for b.Loop() {
 		latest, _ := s.Latest(revision.FleetScope)
-		if outcome := s.Apply(apply(fmt.Sprint(s.Newest()), revision.FleetScope, latest.Number, document)); outcome.Err != nil {
+		if outcome := s.Apply(apply(fmt.Sprint(s.NewestNumber()), revision.FleetScope, latest.Number, document)); outcome.Err != nil {
 			b.Fatal(outcome.Err)
 		}
 	}
@@ -114,7 +114,7 @@
 // BenchmarkMarshal is a snapshot of a full history of documents of 5 KB.
 func BenchmarkMarshal(b *testing.B) {
 	s, _ := benchFleet(b)
-	for i := range HistoryMost {
+	for i := range MaxHistoryRevisions {
 		latest, _ := s.Latest(revision.FleetScope)
 		if outcome := s.Apply(apply(fmt.Sprint("h", i), revision.FleetScope, latest.Number, benchDocument(100, i))); outcome.Err != nil {
 			b.Fatal(outcome.Err)
--- a/internal/control/chain.go
+++ b/internal/control/chain.go
@@ -29,7 +29,7 @@
 }
 
 // offered says whether all proxies were offered a revision and none refused it in time.
-func offered(entry *Entry) bool { return entry.WasReleased && entry.Stage != Held }
+func offered(entry *Entry) bool { return entry.WasReleased && entry.Stage != StageHeld }
 
 // released gives the revision that all proxies are to have, nil for none.
 func (c chain) released() *Entry {
@@ -49,7 +49,7 @@
 	}
 	wanted := c.released()
 	latest := c[len(c)-1]
-	if latest.Stage == Trial && slices.Contains(latest.Canaries, proxy) {
+	if latest.Stage == StageTrial && slices.Contains(latest.Canaries, proxy) {
 		wanted = latest
 	}
 	if wanted != nil && wanted.Number >= held {
@@ -67,15 +67,15 @@
 
 // supersedeTrial ends a trial because a newer revision came.
 func (c chain) supersedeTrial() {
-	if len(c) > 0 && c[len(c)-1].Stage == Trial {
-		c[len(c)-1].Stage = Superseded
+	if len(c) > 0 && c[len(c)-1].Stage == StageTrial {
+		c[len(c)-1].Stage = StageSuperseded
 	}
 }
 
 // supersedeReleased marks the released revision as replaced.
 func (c chain) supersedeReleased() {
 	if released := c.released(); released != nil {
-		released.Stage = Superseded
+		released.Stage = StageSuperseded
 	}
 }
 
@@ -115,7 +115,7 @@
 
 // prune drops the oldest revisions that nobody needs until the history is within its limits.
 func (s *State) prune() {
-	for len(s.entries) > HistoryMost || s.documentBytes > DocumentBytesMost {
+	for len(s.entries) > MaxHistoryRevisions || s.documentBytes > MaxTotalDocumentBytes {
 		oldest := s.oldestUnneeded()
 		if oldest == nil {
 			return
--- a/internal/control/check.go
+++ b/internal/control/check.go
@@ -8,12 +8,12 @@
 )
 
 // Checker says whether a merged configuration would be accepted by a proxy.
-type Checker func(effective revision.Document) error
+type ConfigChecker func(effective revision.Document) error
 
 // CheckApply checks what the command would give: over the fleet's document alone, and in each distinct combination of
 // scopes among the identities that it concerns. The error is a *CheckError, or what Document gives.
-func (s *State) CheckApply(a ApplyCommand, identities []revision.Identity, check Checker) error {
-	document, err := s.Document(a)
+func (s *State) CheckApply(a ApplyCommand, identities []revision.Identity, check ConfigChecker) error {
+	document, err := s.ResolveDocument(a)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 }
 
 // checkMerged merges revisions by the way that a proxy does and checks the result.
-func checkMerged(entries []*Entry, check Checker) error {
+func checkMerged(entries []*Entry, check ConfigChecker) error {
 	var names []string
 	var documents []revision.Document
 	for _, entry := range entries {
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -51,7 +51,7 @@
 	}
 	text, err := revision.Encode(c)
 	if err != nil {
-		return nil, &BadCommandError{Reason: err.Error()}
+		return nil, &InvalidCommandError{Reason: err.Error()}
 	}
 	return text, nil
 }
@@ -60,7 +60,7 @@
 func DecodeCommand(text []byte) (Command, error) {
 	var c Command
 	if err := json.Unmarshal(text, &c); err != nil {
-		return Command{}, &BadCommandError{Reason: oneLine(err)}
+		return Command{}, &InvalidCommandError{Reason: oneLine(err)}
 	}
 	if err := c.check(); err != nil {
 		return Command{}, err
@@ -71,9 +71,9 @@
 // check finds what is wrong with a command by itself; the error is a *BadCommandError.
 func (c Command) check() error {
 	if c.ID == "" {
-		return &BadCommandError{Reason: "it has no ID"}
+		return &InvalidCommandError{Reason: "it has no ID"}
 	}
-	if err := checkText("id", c.ID, IDMost); err != nil {
+	if err := checkText("id", c.ID, MaxCommandIDBytes); err != nil {
 		return err
 	}
 	parts := 0
@@ -84,7 +84,7 @@
 	}
 	switch {
 	case parts != 1:
-		return &BadCommandError{Reason: fmt.Sprintf("%d of apply, release and hold are set, not one", parts)}
+		return &InvalidCommandError{Reason: fmt.Sprintf("%d of apply, release and hold are set, not one", parts)}
 	case c.Apply != nil:
 		return c.Apply.check()
 	case c.Hold != nil:
@@ -95,45 +95,45 @@
 
 func (a *ApplyCommand) check() error {
 	if _, err := revision.ParseScope(a.Scope.String()); err != nil {
-		return &BadCommandError{Reason: oneLine(err)}
+		return &InvalidCommandError{Reason: oneLine(err)}
 	}
-	if err := checkText("author", a.Author, AuthorMost); err != nil {
+	if err := checkText("author", a.Author, MaxAuthorBytes); err != nil {
 		return err
 	}
-	if err := checkText("reason", a.Reason, ReasonMost); err != nil {
+	if err := checkText("reason", a.Reason, MaxReasonBytes); err != nil {
 		return err
 	}
 	if year := a.Time.UTC().Year(); year < 0 || year > 9999 {
-		return &BadCommandError{Reason: "its time is outside the years 0 to 9999"}
+		return &InvalidCommandError{Reason: "its time is outside the years 0 to 9999"}
 	}
 	if len(a.Document) == 0 && a.RollbackOf == 0 {
-		return &BadCommandError{Reason: "it has no document"}
+		return &InvalidCommandError{Reason: "it has no document"}
 	}
-	if len(a.Canaries) > CanariesMost {
-		return &BadCommandError{Reason: fmt.Sprintf("%d canaries, %d are allowed", len(a.Canaries), CanariesMost)}
+	if len(a.Canaries) > MaxCanaries {
+		return &InvalidCommandError{Reason: fmt.Sprintf("%d canaries, %d are allowed", len(a.Canaries), MaxCanaries)}
 	}
 	for _, name := range a.Canaries {
 		if _, err := revision.ParseScope(string(revision.ProxyKind) + ":" + name); err != nil {
-			return &BadCommandError{Reason: fmt.Sprintf("canary %q is no proxy's name", name)}
+			return &InvalidCommandError{Reason: fmt.Sprintf("canary %q is no proxy's name", name)}
 		}
 	}
 	return nil
 }
 
 func (h *HoldCommand) check() error {
-	if err := checkText("proxy", h.Proxy, IDMost); err != nil {
+	if err := checkText("proxy", h.Proxy, MaxCommandIDBytes); err != nil {
 		return err
 	}
-	return checkText("reason", h.Reason, ReasonMost)
+	return checkText("reason", h.Reason, MaxReasonBytes)
 }
 
 // checkText bounds a text, and sees to it that JSON carries it unchanged.
 func checkText(field, text string, most int) error {
 	if len(text) > most {
-		return &BadCommandError{Reason: fmt.Sprintf("%s has %d bytes, %d are allowed", field, len(text), most)}
+		return &InvalidCommandError{Reason: fmt.Sprintf("%s has %d bytes, %d are allowed", field, len(text), most)}
 	}
 	if !utf8.ValidString(text) {
-		return &BadCommandError{Reason: field + " is not UTF-8"}
+		return &InvalidCommandError{Reason: field + " is not UTF-8"}
 	}
 	return nil
 }
--- a/internal/control/cut_test.go
+++ b/internal/control/cut_test.go
@@ -59,7 +59,7 @@
 			if s.violation != nil {
 				t.Fatal(s.violation)
 			}
-			far := s.replicas[region[0]-1].node.State().Newest()
+			far := s.replicas[region[0]-1].node.State().NewestNumber()
 			if during < 10 || far > before+revision.Number(1) {
 				t.Errorf("%d revisions accepted during the cut, the region cut off went from %d to %d", during, before, far)
 			}
--- a/internal/control/delivery.go
+++ b/internal/control/delivery.go
@@ -5,9 +5,9 @@
 )
 
 // Effective gives the released documents of the scopes that a proxy lies in, in the order of merging.
-func (s *State) Effective(identity revision.Identity) ([]revision.ScopeDocument, error) {
+func (s *State) ReleasedDocuments(identity revision.Identity) ([]revision.ScopeDocument, error) {
 	if identity.Fleet != s.fleet {
-		return nil, &FleetError{Fleet: identity.Fleet, Want: s.fleet}
+		return nil, &FleetMismatchError{Fleet: identity.Fleet, Want: s.fleet}
 	}
 	var held []revision.ScopeDocument
 	for _, entry := range s.releasedEntries(identity) {
@@ -28,7 +28,7 @@
 }
 
 // Wanted is the newest revision that a proxy which holds nothing would be sent, 0 for none.
-func (s *State) Wanted(identity revision.Identity) revision.Number {
+func (s *State) TargetNumber(identity revision.Identity) revision.Number {
 	wanted := revision.Number(0)
 	for _, scope := range identity.Scopes() {
 		if entry, err := s.chains[scope].target(identity.Proxy, 0); err == nil && entry != nil {
@@ -43,9 +43,9 @@
 //
 // Errors: *FleetError; *AheadError from a replica that has yet to learn what the proxy holds; *UnknownRevisionError where
 // it holds a number that its scope never had; *LimitError where the scopes merge into too much.
-func (s *State) Update(hello revision.Hello) (*revision.Update, error) {
+func (s *State) UpdateFor(hello revision.Hello) (*revision.Update, error) {
 	if hello.Identity.Fleet != s.fleet {
-		return nil, &FleetError{Fleet: hello.Identity.Fleet, Want: s.fleet}
+		return nil, &FleetMismatchError{Fleet: hello.Identity.Fleet, Want: s.fleet}
 	}
 	plan, err := s.plan(hello)
 	if err != nil {
@@ -81,13 +81,13 @@
 
 func (s *State) plan(hello revision.Hello) (plan, error) {
 	if hello.Revision > s.newest {
-		return nil, &AheadError{Held: hello.Revision, Newest: s.newest}
+		return nil, &ReplicaBehindError{Held: hello.Revision, Newest: s.newest}
 	}
 	var steps plan
 	for _, scope := range hello.Identity.Scopes() {
 		next := step{heldNumber: heldNumber(hello.Documents, scope)}
 		if next.heldNumber > s.newest {
-			return nil, &AheadError{Scope: scope, Held: next.heldNumber, Newest: s.newest}
+			return nil, &ReplicaBehindError{Scope: scope, Held: next.heldNumber, Newest: s.newest}
 		}
 		c := s.chains[scope]
 		if len(c) == 0 && next.heldNumber > 0 {
--- a/internal/control/delivery_test.go
+++ b/internal/control/delivery_test.go
@@ -104,7 +104,7 @@
 		t.Run(name, func(t *testing.T) {
 			identity := someone
 			identity.Proxy = test.proxy
-			update, err := s.Update(revision.Hello{
+			update, err := s.UpdateFor(revision.Hello{
 				Identity: identity, Revision: test.revision, Documents: held(test.held), Checksum: test.checksum,
 			})
 			if err != nil || told(update) != test.want {
@@ -125,13 +125,13 @@
 		hello revision.Hello
 		want  any
 	}{
-		"another fleet":       {revision.Hello{Identity: foreign}, new(*FleetError)},
-		"a scope ahead":       {revision.Hello{Identity: someone, Documents: held(numbers{zoneA: 7})}, new(*AheadError)},
-		"a number ahead":      {revision.Hello{Identity: someone, Revision: 7}, new(*AheadError)},
+		"another fleet":       {revision.Hello{Identity: foreign}, new(*FleetMismatchError)},
+		"a scope ahead":       {revision.Hello{Identity: someone, Documents: held(numbers{zoneA: 7})}, new(*ReplicaBehindError)},
+		"a number ahead":      {revision.Hello{Identity: someone, Revision: 7}, new(*ReplicaBehindError)},
 		"another's number":    {revision.Hello{Identity: someone, Documents: held(numbers{zoneA: 4})}, new(*UnknownRevisionError)},
 		"a scope without any": {revision.Hello{Identity: someone, Documents: held(numbers{cart: 4})}, new(*UnknownRevisionError)},
 	} {
-		if update, err := s.Update(test.hello); update != nil || !errors.As(err, test.want) {
+		if update, err := s.UpdateFor(test.hello); update != nil || !errors.As(err, test.want) {
 			t.Errorf("%s: %v, %v", name, told(update), err)
 		}
 	}
@@ -142,7 +142,7 @@
 	accept(t, s,
 		apply("1", revision.FleetScope, 0, `{"a":9007199254740992,`+filler+`}`),
 		apply("2", revision.FleetScope, 1, `{"a":9007199254740993,`+filler+`}`))
-	update, err := s.Update(revision.Hello{
+	update, err := s.UpdateFor(revision.Hello{
 		Identity:  someone,
 		Revision:  1,
 		Documents: held(numbers{revision.FleetScope: 1}),
@@ -231,7 +231,7 @@
 		apply("3", zoneB, 0, `{"limits":{"rate":9}}`),
 		tried("4", cart, 0, `{"limits":{"rate":8}}`, "p1"),
 		apply("5", revision.Scope{Kind: revision.ProxyKind, Name: "p1"}, 0, `{"x":{"w":6},"e":{"h":1},"f":{}}`))
-	origins, err := s.Explain(someone)
+	origins, err := s.ValueOrigins(someone)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,7 +263,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		origins, err := s.Explain(someone)
+		origins, err := s.ValueOrigins(someone)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -298,7 +298,7 @@
 }
 
 func TestDifferences(t *testing.T) {
-	changes, err := Differences(
+	changes, err := DiffDocuments(
 		revision.Document(`{"a":{"b":1,"c":2},"d":[1],"e":1,"f":{"g":1},"same":{"x":1}}`),
 		revision.Document(`{"a":{"b":1,"c":3},"d":[1,2],"f":2,"h":{"i":1},"same":{"x":1}}`))
 	if err != nil {
@@ -362,7 +362,7 @@
 	}
 	next := func(want string) *revision.Update {
 		t.Helper()
-		update, err := session.Next(s)
+		update, err := session.NextUpdate(s)
 		if err != nil || told(update) != want {
 			t.Fatalf("%s, %v; wanted %s", told(update), err, want)
 		}
@@ -370,13 +370,13 @@
 	}
 	report := func(update *revision.Update, verdict revision.Verdict) {
 		t.Helper()
-		if !session.Reported(revision.Report{Revision: update.Revision, Verdict: verdict}) {
+		if !session.HandleReport(revision.Report{Revision: update.Revision, Verdict: verdict}) {
 			t.Fatal("the report is not taken")
 		}
 	}
 	first := next("4 whole fleet@4 zone:a@3")
 	next("nothing")
-	if session.Reported(revision.Report{Revision: 3, Verdict: revision.InForce}) {
+	if session.HandleReport(revision.Report{Revision: 3, Verdict: revision.InForce}) {
 		t.Error("a report on what was never sent is taken")
 	}
 	report(first, revision.Refused)
@@ -393,9 +393,9 @@
 	next("nothing")
 	accept(t, s, apply("8", revision.FleetScope, 7, `{"a":8,`+filler+`}`))
 	fifth := next("8 whole fleet@8 zone:a@3")
-	session.Unsent()
+	session.CancelSent()
 	next("8 whole fleet@8 zone:a@3")
-	if !session.Reported(revision.Report{Revision: 8, Verdict: revision.InForce, Checksum: fifth.Checksum}) {
+	if !session.HandleReport(revision.Report{Revision: 8, Verdict: revision.InForce, Checksum: fifth.Checksum}) {
 		t.Error("the report is not taken")
 	}
 	next("nothing")
--- a/internal/control/differences.go
+++ b/internal/control/differences.go
@@ -17,7 +17,7 @@
 }
 
 // Differences compares two canonical documents key by key, ordered by path. Numbers are equal if their texts are.
-func Differences(before, after revision.Document) ([]KeyChange, error) {
+func DiffDocuments(before, after revision.Document) ([]KeyChange, error) {
 	lower, err := parseDocument(before)
 	if err != nil {
 		return nil, err
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -12,31 +12,31 @@
 
 // Limits of a command.
 const (
-	IDMost       = 200  // bytes of a command's ID
-	AuthorMost   = 200  // bytes of an author
-	ReasonMost   = 2000 // bytes of a reason
-	CanariesMost = 1000 // proxies that take a revision first
+	MaxCommandIDBytes = 200  // bytes of a command's ID
+	MaxAuthorBytes    = 200  // bytes of an author
+	MaxReasonBytes    = 2000 // bytes of a reason
+	MaxCanaries       = 1000 // proxies that take a revision first
 )
 
 // Limits of the state.
 const (
 	// HistoryMost is how many revisions are kept beside those that are still needed: two and a half days of 810 changes.
-	HistoryMost = 2048
+	MaxHistoryRevisions = 2048
 	// DocumentBytesMost bounds the documents of all revisions that are kept.
-	DocumentBytesMost = 32 << 20
+	MaxTotalDocumentBytes = 32 << 20
 	// ScopesMost is how many scopes may have revisions.
-	ScopesMost = 4096
+	MaxScopes = 4096
 	// UnreleasedMost is how many revisions of a scope may follow its last released one. They are kept, because canaries
 	// hold them.
-	UnreleasedMost = 64
+	MaxUnreleasedRevisions = 64
 	// OutcomesMost is how many commands' outcomes are remembered against a second submission.
-	OutcomesMost = 4096
+	MaxRememberedOutcomes = 4096
 )
 
 // Limits of a conflict's text.
 const (
-	ConflictChangesMost = 8  // revisions that a ConflictError tells
-	ConflictKeysMost    = 16 // key paths that it tells of one revision
+	MaxConflictChanges = 8  // revisions that a ConflictError tells
+	MaxConflictKeys    = 16 // key paths that it tells of one revision
 )
 
 // Limits of what is computed once for many proxies.
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -69,39 +69,43 @@
 }
 
 // BadCommandError tells what is wrong with a command by itself.
-type BadCommandError struct {
+type InvalidCommandError struct {
 	Reason string `json:"reason"`
 }
 
 // Error is one line.
-func (e *BadCommandError) Error() string { return "bad command: " + e.Reason }
+func (e *InvalidCommandError) Error() string { return "bad command: " + e.Reason }
 
 // LimitError refuses a revision that would take the state over one of its limits.
 type LimitError struct {
-	What string `json:"what"`
-	Most int    `json:"most"`
+	Resource string `json:"what"`
+	Limit    int    `json:"most"`
 }
 
 // Error is one line.
-func (e *LimitError) Error() string { return fmt.Sprintf("over the limit of %d %s", e.Most, e.What) }
+func (e *LimitError) Error() string {
+	return fmt.Sprintf("over the limit of %d %s", e.Limit, e.Resource)
+}
 
 // FleetError refuses a proxy or a snapshot of another fleet.
-type FleetError struct {
+type FleetMismatchError struct {
 	Fleet, Want string
 }
 
 // Error is one line.
-func (e *FleetError) Error() string { return fmt.Sprintf("fleet %q is not %q", e.Fleet, e.Want) }
+func (e *FleetMismatchError) Error() string {
+	return fmt.Sprintf("fleet %q is not %q", e.Fleet, e.Want)
+}
 
 // AheadError says that a proxy holds a revision that this replica has yet to learn of: ask again once it has applied more.
-type AheadError struct {
+type ReplicaBehindError struct {
 	Scope  revision.Scope
 	Held   revision.Number
 	Newest revision.Number
 }
 
 // Error is one line.
-func (e *AheadError) Error() string {
+func (e *ReplicaBehindError) Error() string {
 	return fmt.Sprintf("the proxy holds revision %d of %v, this replica knows %d", e.Held, e.Scope, e.Newest)
 }
 
@@ -143,9 +147,9 @@
 
 // FailedError says that the consensus core found itself in a state that no sound log and no sound peer lead to. The node
 // does nothing more: start another one from what is saved.
-type FailedError struct {
+type NodeFailedError struct {
 	Reason string
 }
 
 // Error is one line.
-func (e *FailedError) Error() string { return "the consensus core has failed: " + e.Reason }
+func (e *NodeFailedError) Error() string { return "the consensus core has failed: " + e.Reason }
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -10,7 +10,7 @@
 )
 
 // Origin says where one value of an effective configuration comes from.
-type Origin struct {
+type ValueOrigin struct {
 	Path   string          `json:"path"` // keys joined by dots, quoted where they have one; arrays are values
 	Value  json.RawMessage `json:"value"`
 	Scope  revision.Scope  `json:"scope"`
@@ -18,9 +18,9 @@
 }
 
 // Explain gives the origin of each value that the released revisions give a proxy, ordered by path.
-func (s *State) Explain(identity revision.Identity) ([]Origin, error) {
+func (s *State) ValueOrigins(identity revision.Identity) ([]ValueOrigin, error) {
 	if identity.Fleet != s.fleet {
-		return nil, &FleetError{Fleet: identity.Fleet, Want: s.fleet}
+		return nil, &FleetMismatchError{Fleet: identity.Fleet, Want: s.fleet}
 	}
 	merged := &tree{object: true}
 	origins := map[*tree]*Entry{}
@@ -32,9 +32,9 @@
 		noteOrigin(value, entry, origins)
 		merged = overlay(merged, value)
 	}
-	var list []Origin
+	var list []ValueOrigin
 	listOrigins("", merged, origins, &list)
-	slices.SortFunc(list, func(a, b Origin) int { return strings.Compare(a.Path, b.Path) })
+	slices.SortFunc(list, func(a, b ValueOrigin) int { return strings.Compare(a.Path, b.Path) })
 	return list, nil
 }
 
@@ -47,7 +47,7 @@
 }
 
 // listOrigins adds the values below an object. An empty object is a value.
-func listOrigins(path string, object *tree, origins map[*tree]*Entry, list *[]Origin) {
+func listOrigins(path string, object *tree, origins map[*tree]*Entry, list *[]ValueOrigin) {
 	for _, one := range object.members {
 		onePath := joinPath(path, one.key)
 		if len(one.value.members) > 0 {
@@ -55,7 +55,7 @@
 			continue
 		}
 		entry := origins[one.value]
-		*list = append(*list, Origin{
+		*list = append(*list, ValueOrigin{
 			Path:   onePath,
 			Value:  one.value.document(),
 			Scope:  entry.Scope,
--- a/internal/control/fleetview_test.go
+++ b/internal/control/fleetview_test.go
@@ -23,19 +23,19 @@
 }
 
 func TestTheNewestWordOfAProxyCounts(t *testing.T) {
-	open := ProxyStatus{Identity: someone, Replica: "r1", Connected: true, At: at(5), InForce: 4}
+	open := ProxyStatus{Identity: someone, Replica: "r1", Connected: true, UpdatedAt: at(5), InForce: 4}
 	later, earlier, newer, gone, elsewhere, goneElsewhere := open, open, open, open, open, open
-	later.At = at(6)
+	later.UpdatedAt = at(6)
 	later.InForce = 3
-	earlier.At = at(4)
+	earlier.UpdatedAt = at(4)
 	newer.InForce = 5
-	gone.At = at(6)
+	gone.UpdatedAt = at(6)
 	gone.Connected = false
 	elsewhere.Replica = "r2"
-	elsewhere.At = at(4)
+	elsewhere.UpdatedAt = at(4)
 	goneElsewhere.Replica = "r2"
 	goneElsewhere.Connected = false
-	goneElsewhere.At = at(9)
+	goneElsewhere.UpdatedAt = at(9)
 	for name, test := range map[string]struct {
 		known, told ProxyStatus
 		news        bool
@@ -67,48 +67,48 @@
 				Identity:  someone,
 				Replica:   "r1",
 				Connected: rapid.Bool().Draw(t, "connected"),
-				At:        at(float64(len(statuses))),
+				UpdatedAt: at(float64(len(statuses))),
 				InForce:   revision.Number(rapid.IntRange(0, 3).Draw(t, "in force")),
 			})
 		}
 		one, other := NewFleetView(), NewFleetView()
 		one.Merge(statuses)
 		other.Merge(rapid.Permutation(statuses).Draw(t, "order"))
-		if fmt.Sprint(one.All()) != fmt.Sprint(other.All()) {
-			t.Fatalf("%v and %v", one.All(), other.All())
+		if fmt.Sprint(one.Statuses()) != fmt.Sprint(other.Statuses()) {
+			t.Fatalf("%v and %v", one.Statuses(), other.Statuses())
 		}
 	})
 }
 
 func TestAWatchEndsOnlyWhereItIs(t *testing.T) {
 	view := NewFleetView()
-	view.Opened(at(1), "r1", holding("p1", 0, nil))
-	view.Opened(at(2), "r2", holding("p1", 0, nil))
-	view.Closed(at(3), "r1", "p1")
-	view.Closed(at(3), "r1", "unknown")
-	if len(view.Connected()) != 1 {
+	view.RecordWatchOpened(at(1), "r1", holding("p1", 0, nil))
+	view.RecordWatchOpened(at(2), "r2", holding("p1", 0, nil))
+	view.RecordWatchClosed(at(3), "r1", "p1")
+	view.RecordWatchClosed(at(3), "r1", "unknown")
+	if len(view.ConnectedIdentities()) != 1 {
 		t.Error("the watch at r2 is taken for ended")
 	}
-	view.ReplicaGone(at(4), "r2")
-	if len(view.Connected()) != 0 {
+	view.RecordReplicaLost(at(4), "r2")
+	if len(view.ConnectedIdentities()) != 0 {
 		t.Error("the watch at r2 outlives it")
 	}
-	view.Forget(at(5))
-	if len(view.All()) != 1 {
+	view.RemoveExpired(at(5))
+	if len(view.Statuses()) != 1 {
 		t.Error("the proxy is forgotten at once")
 	}
-	view.Forget(at(5).Add(GoneKept))
-	if len(view.All()) != 0 {
+	view.RemoveExpired(at(5).Add(DisconnectedRetention))
+	if len(view.Statuses()) != 0 {
 		t.Error("the proxy is never forgotten")
 	}
 }
 
 func TestWhatAReplicaHearsItselfIsNewerWhateverTheClocksSay(t *testing.T) {
 	view := NewFleetView()
-	view.Merge([]ProxyStatus{{Identity: someone, Replica: "r2", Connected: true, At: at(60), InForce: 1}})
-	view.Opened(at(1), "r1", holding("p1", 2, nil))
-	status, _ := view.Proxy("p1")
-	if status.Replica != "r1" || status.InForce != 2 || !status.At.After(at(60)) {
+	view.Merge([]ProxyStatus{{Identity: someone, Replica: "r2", Connected: true, UpdatedAt: at(60), InForce: 1}})
+	view.RecordWatchOpened(at(1), "r1", holding("p1", 2, nil))
+	status, _ := view.Status("p1")
+	if status.Replica != "r1" || status.InForce != 2 || !status.UpdatedAt.After(at(60)) {
 		t.Errorf("%+v", status)
 	}
 }
@@ -116,24 +116,24 @@
 func TestSummaries(t *testing.T) {
 	s := deliveryState(t)
 	view := NewFleetView()
-	view.Opened(at(1), "r1", holding("p1", 6, numbers{revision.FleetScope: 6, zoneA: 3}))
-	view.Opened(at(2), "r1", holding("p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}))
+	view.RecordWatchOpened(at(1), "r1", holding("p1", 6, numbers{revision.FleetScope: 6, zoneA: 3}))
+	view.RecordWatchOpened(at(2), "r1", holding("p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}))
 	// Its newest number is that of zone a, it still lacks the fleet's 4.
-	view.Opened(at(3), "r1", holding("p9", 5, numbers{revision.FleetScope: 2, zoneA: 5}))
-	view.Opened(at(0), "r2", holding("p5", 1, numbers{revision.FleetScope: 1}))
-	view.Reported(at(4), "r2", holding("p5", 1, numbers{revision.FleetScope: 1}), revision.Report{
+	view.RecordWatchOpened(at(3), "r1", holding("p9", 5, numbers{revision.FleetScope: 2, zoneA: 5}))
+	view.RecordWatchOpened(at(0), "r2", holding("p5", 1, numbers{revision.FleetScope: 1}))
+	view.RecordReport(at(4), "r2", holding("p5", 1, numbers{revision.FleetScope: 1}), revision.Report{
 		Revision: 4, Verdict: revision.Refused, Reason: "no such key",
 	})
-	view.Opened(at(0), "r1", holding("p7", 1, nil))
-	view.Closed(at(1), "r1", "p7")
+	view.RecordWatchOpened(at(0), "r1", holding("p7", 1, nil))
+	view.RecordWatchClosed(at(1), "r1", "p7")
 
 	summary := view.Summary(s)
 	want := "{6 4 2 [{p5 1 4 TIME 4 no such key} {p9 5 4 TIME 0 }] 1}"
 	if got := withoutTimes(summary); got != want {
 		t.Errorf("%s; wanted %s", got, want)
 	}
-	if !summary.Behind[0].Since.Equal(at(0)) {
-		t.Errorf("p5 has had its revision since %v", summary.Behind[0].Since)
+	if !summary.Lagging[0].InForceSince.Equal(at(0)) {
+		t.Errorf("p5 has had its revision since %v", summary.Lagging[0].InForceSince)
 	}
 	fleet, err := view.RevisionSummary(s, 4)
 	if got := withoutTimes(fleet); err != nil || got != "{4 4 2 [{p5 1 4 TIME 4 no such key} {p9 5 4 TIME 0 }] 1}" {
@@ -145,28 +145,28 @@
 	}
 }
 
-func withoutTimes(summary Summary) string {
-	text := fmt.Sprintf("{%d %d %d [", summary.Revision, summary.Concerned, summary.InForce)
-	for i, lag := range summary.Behind {
+func withoutTimes(summary RolloutSummary) string {
+	text := fmt.Sprintf("{%d %d %d [", summary.Revision, summary.Targeted, summary.InForce)
+	for i, lag := range summary.Lagging {
 		if i > 0 {
 			text += " "
 		}
-		text += fmt.Sprintf("{%s %d %d TIME %d %s}", lag.Proxy, lag.InForce, lag.Wanted, lag.Refused, lag.Reason)
+		text += fmt.Sprintf("{%s %d %d TIME %d %s}", lag.Proxy, lag.InForce, lag.Target, lag.RefusedNumber, lag.RefusalReason)
 	}
-	return text + fmt.Sprintf("] %d}", summary.Gone)
+	return text + fmt.Sprintf("] %d}", summary.Disconnected)
 }
 
 func TestARefusalIsToldUntilALaterRevisionIsInForce(t *testing.T) {
 	view := NewFleetView()
 	hello := holding("p1", 1, nil)
-	view.Opened(at(1), "r1", hello)
-	view.Reported(at(2), "r1", hello, revision.Report{Revision: 2, Verdict: revision.Refused, Reason: "no such key"})
-	view.Opened(at(3), "r2", hello)
-	if status, _ := view.Proxy("p1"); status.Refused != 2 || !status.Since.Equal(at(1)) {
+	view.RecordWatchOpened(at(1), "r1", hello)
+	view.RecordReport(at(2), "r1", hello, revision.Report{Revision: 2, Verdict: revision.Refused, Reason: "no such key"})
+	view.RecordWatchOpened(at(3), "r2", hello)
+	if status, _ := view.Status("p1"); status.RefusedNumber != 2 || !status.InForceSince.Equal(at(1)) {
 		t.Errorf("%+v", status)
 	}
-	view.Reported(at(4), "r2", holding("p1", 3, nil), revision.Report{Revision: 3, Verdict: revision.InForce})
-	if status, _ := view.Proxy("p1"); status.Refused != 0 || !status.Since.Equal(at(4)) {
+	view.RecordReport(at(4), "r2", holding("p1", 3, nil), revision.Report{Revision: 3, Verdict: revision.InForce})
+	if status, _ := view.Status("p1"); status.RefusedNumber != 0 || !status.InForceSince.Equal(at(4)) {
 		t.Errorf("%+v", status)
 	}
 }
@@ -175,16 +175,16 @@
 	start := time.Unix(1_000_000, 0)
 	hello := revision.Hello{Identity: revision.Identity{Fleet: "shop", Proxy: "p1"}, Revision: 3}
 	follower, leader := NewFleetView(), NewFleetView()
-	follower.Opened(start, "c2", hello)
-	leader.Merge(follower.All())
-	leader.ReplicaGone(start.Add(time.Minute), "c2")
-	leader.Merge(follower.All())
-	if status, _ := leader.Proxy("p1"); status.Connected {
+	follower.RecordWatchOpened(start, "c2", hello)
+	leader.Merge(follower.Statuses())
+	leader.RecordReplicaLost(start.Add(time.Minute), "c2")
+	leader.Merge(follower.Statuses())
+	if status, _ := leader.Status("p1"); status.Connected {
 		t.Error("an old word counts for more than the end that was noted after it")
 	}
-	follower.Confirm(start.Add(2*time.Minute), "c2")
-	leader.Merge(follower.All())
-	if status, _ := leader.Proxy("p1"); !status.Connected || status.InForce != 3 {
+	follower.RefreshConnected(start.Add(2*time.Minute), "c2")
+	leader.Merge(follower.Statuses())
+	if status, _ := leader.Status("p1"); !status.Connected || status.InForce != 3 {
 		t.Errorf("after the replica is back: %+v", status)
 	}
 }
@@ -192,17 +192,17 @@
 func TestAProxyThatMovesKeepsSinceWhenItsRevisionIsInForce(t *testing.T) {
 	hello := holding("p1", 4, numbers{})
 	leader, next := NewFleetView(), NewFleetView()
-	leader.Opened(at(1), "r1", hello)
-	next.Opened(at(9), "r2", hello)
-	leader.Merge(next.All())
-	status, _ := leader.Proxy("p1")
-	if status.Replica != "r2" || !status.Since.Equal(at(1)) {
+	leader.RecordWatchOpened(at(1), "r1", hello)
+	next.RecordWatchOpened(at(9), "r2", hello)
+	leader.Merge(next.Statuses())
+	status, _ := leader.Status("p1")
+	if status.Replica != "r2" || !status.InForceSince.Equal(at(1)) {
 		t.Errorf("%+v", status)
 	}
 	newer := holding("p1", 5, numbers{})
-	next.Opened(at(12), "r2", newer)
-	leader.Merge(next.All())
-	if status, _ := leader.Proxy("p1"); !status.Since.Equal(at(12)) {
-		t.Errorf("a newer revision counts as in force since %v", status.Since)
+	next.RecordWatchOpened(at(12), "r2", newer)
+	leader.Merge(next.Statuses())
+	if status, _ := leader.Status("p1"); !status.InForceSince.Equal(at(12)) {
+		t.Errorf("a newer revision counts as in force since %v", status.InForceSince)
 	}
 }
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -41,12 +41,12 @@
 	s.History(nil, 10)
 	identity := someone
 	identity.Fleet = s.Fleet()
-	_, _ = s.Update(revision.Hello{Identity: identity})
-	_, _ = s.Explain(identity)
-	NewGuard(GuardConfig{}).Due(1, s)
+	_, _ = s.UpdateFor(revision.Hello{Identity: identity})
+	_, _ = s.ValueOrigins(identity)
+	NewCanaryController(CanaryConfig{}).PendingCommands(1, s)
 	latest, _ := s.Latest(revision.FleetScope)
 	s.Apply(tried("new", revision.FleetScope, latest.Number, `{"a":1}`, "p1"))
-	s.Apply(hold(s.Newest()))
+	s.Apply(hold(s.NewestNumber()))
 	if _, err := s.Marshal(); err != nil {
 		t.Fatal(err)
 	}
@@ -62,16 +62,16 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		command, err := DecodeCommand(text)
-		if bad := new(BadCommandError); err != nil {
+		if bad := new(InvalidCommandError); err != nil {
 			if !errors.As(err, &bad) {
 				t.Fatalf("%T: %v", err, err)
 			}
 			return
 		}
 		s := deliveryState(t)
-		before := s.Newest()
-		if outcome := s.Apply(command); outcome.Err != nil && s.Newest() != before {
-			t.Fatalf("%v, and yet revision %d is new", outcome.Err, s.Newest())
+		before := s.NewestNumber()
+		if outcome := s.Apply(command); outcome.Err != nil && s.NewestNumber() != before {
+			t.Fatalf("%v, and yet revision %d is new", outcome.Err, s.NewestNumber())
 		}
 		first, err := s.Marshal()
 		if err != nil {
@@ -101,7 +101,7 @@
 			return
 		}
 		s := deliveryState(t)
-		update, err := s.Update(hello)
+		update, err := s.UpdateFor(hello)
 		if err != nil || update == nil {
 			return
 		}
@@ -156,7 +156,7 @@
 			break
 		}
 	}
-	if bad, failed := new(MessageError), new(FailedError); err != nil && !errors.As(err, &bad) && !errors.As(err, &failed) {
+	if bad, failed := new(MessageError), new(NodeFailedError); err != nil && !errors.As(err, &bad) && !errors.As(err, &failed) {
 		t.Fatalf("%T: %v", err, err)
 	}
 	if fmt.Sprint(err) == "" {
--- a/internal/control/guard.go
+++ b/internal/control/guard.go
@@ -12,17 +12,17 @@
 
 // Defaults and times of a Guard, in seconds.
 const (
-	CanaryShare   = 0.1  // of the proxies that a scope concerns
-	CanaryTimeout = 0.8  // until a trial that half of the canaries passed ends well without the silent ones
-	GiveUpAfter   = 5.0  // until a trial that fewer have passed is held
-	WatchReleased = 10.0 // after its release a refusal still holds a revision
-	repeatAfter   = 0.5  // until a command is proposed again that the state does not show carried out
+	DefaultCanaryShare          = 0.1  // of the proxies that a scope concerns
+	DefaultCanaryTimeoutSeconds = 0.8  // until a trial that half of the canaries passed ends well without the silent ones
+	TrialTimeoutSeconds         = 5.0  // until a trial that fewer have passed is held
+	PostReleaseWatchSeconds     = 10.0 // after its release a refusal still holds a revision
+	repeatAfter                 = 0.5  // until a command is proposed again that the state does not show carried out
 )
 
 // GuardConfig bounds trials. Zero values stand for the defaults.
-type GuardConfig struct {
-	Share   float64 // of the proxies that a scope concerns, at most so many are canaries, but one at least
-	Timeout float64 // seconds until silent canaries are passed over
+type CanaryConfig struct {
+	Share          float64 // of the proxies that a scope concerns, at most so many are canaries, but one at least
+	TimeoutSeconds float64 // seconds until silent canaries are passed over
 }
 
 // Guard decides which proxies take a revision first and what follows from their reports. It runs on the leader.
@@ -36,8 +36,8 @@
 // The bound fails where half of the canaries pass a revision and each that would refuse it is silent until the time-out:
 // all proxies may take it then. Revisions applied at once, and those applied while no proxy is connected, have no canaries.
 // A new leader forgets that it watched a released revision, not that one is on trial.
-type Guard struct {
-	config   GuardConfig
+type CanaryController struct {
+	config   CanaryConfig
 	answers  map[string]answer
 	silent   map[string]bool // canaries that said nothing in their last trial: others of their zone go first
 	trials   map[revision.Number]*trial
@@ -59,11 +59,11 @@
 }
 
 // NewGuard gives a guard that has seen nothing.
-func NewGuard(config GuardConfig) *Guard {
-	return &Guard{
-		config: GuardConfig{
-			Share:   cmp.Or(config.Share, CanaryShare),
-			Timeout: cmp.Or(config.Timeout, CanaryTimeout),
+func NewCanaryController(config CanaryConfig) *CanaryController {
+	return &CanaryController{
+		config: CanaryConfig{
+			Share:          cmp.Or(config.Share, DefaultCanaryShare),
+			TimeoutSeconds: cmp.Or(config.TimeoutSeconds, DefaultCanaryTimeoutSeconds),
 		},
 		answers:  map[string]answer{},
 		silent:   map[string]bool{},
@@ -74,7 +74,7 @@
 
 // Canaries chooses the proxies that take a new revision of the scope first: one in each zone, ordered by zone. It gives
 // none where none is connected.
-func (g *Guard) Canaries(connected []revision.Identity, scope revision.Scope) []string {
+func (g *CanaryController) SelectCanaries(connected []revision.Identity, scope revision.Scope) []string {
 	concerned := 0
 	byZone := map[string]string{}
 	for _, identity := range connected {
@@ -86,7 +86,7 @@
 			byZone[identity.Zone] = identity.Proxy
 		}
 	}
-	most := min(CanariesMost, max(1, int(g.config.Share*float64(concerned))))
+	most := min(MaxCanaries, max(1, int(g.config.Share*float64(concerned))))
 	var canaries []string
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		if len(canaries) < most {
@@ -97,7 +97,7 @@
 }
 
 // goesBefore says whether one proxy of a zone is the better canary.
-func (g *Guard) goesBefore(proxy, other string) bool {
+func (g *CanaryController) goesBefore(proxy, other string) bool {
 	if g.silent[proxy] != g.silent[other] {
 		return g.silent[other]
 	}
@@ -105,7 +105,7 @@
 }
 
 // Reported takes a proxy's report.
-func (g *Guard) Reported(_ float64, proxy string, report revision.Report) {
+func (g *CanaryController) RecordReport(_ float64, proxy string, report revision.Report) {
 	known := g.answers[proxy]
 	switch report.Verdict {
 	case revision.InForce:
@@ -121,20 +121,20 @@
 }
 
 // Learn takes over what a new leader knows of all proxies. Proxies that are not known there are forgotten.
-func (g *Guard) Learn(_ float64, view *FleetView) {
+func (g *CanaryController) ResetFromFleet(_ float64, view *FleetView) {
 	clear(g.answers)
-	for _, status := range view.All() {
+	for _, status := range view.Statuses() {
 		g.answers[status.Identity.Proxy] = answer{
 			inForce: status.InForce,
-			refused: status.Refused,
-			reason:  status.Reason,
+			refused: status.RefusedNumber,
+			reason:  status.RefusalReason,
 		}
 	}
 }
 
 // Due gives the commands to propose now, each about one revision; now is in seconds of any steady clock. A command that
 // the state does not show carried out is given again after a while, with the same ID.
-func (g *Guard) Due(now float64, s *State) []Command {
+func (g *CanaryController) PendingCommands(now float64, s *State) []Command {
 	var commands []Command
 	onTrial := s.onTrial()
 	g.follow(now, s, onTrial)
@@ -154,7 +154,7 @@
 }
 
 // follow brings what is watched up to the state.
-func (g *Guard) follow(now float64, s *State, onTrial []*Entry) {
+func (g *CanaryController) follow(now float64, s *State, onTrial []*Entry) {
 	for _, entry := range onTrial {
 		if g.trials[entry.Number] == nil {
 			g.trials[entry.Number] = &trial{since: now}
@@ -162,17 +162,17 @@
 	}
 	for number := range g.trials {
 		entry := s.entries[number]
-		if entry != nil && entry.Stage == Trial {
+		if entry != nil && entry.Stage == StageTrial {
 			continue
 		}
 		delete(g.trials, number)
-		if entry != nil && entry.Stage == Released {
+		if entry != nil && entry.Stage == StageReleased {
 			g.released[number] = &trial{since: now}
 		}
 	}
 	for number, watched := range g.released {
 		entry := s.entries[number]
-		if entry == nil || entry.Stage != Released || now-watched.since > WatchReleased {
+		if entry == nil || entry.Stage != StageReleased || now-watched.since > PostReleaseWatchSeconds {
 			delete(g.released, number)
 		}
 	}
@@ -189,7 +189,7 @@
 }
 
 // judge says what is to become of a revision on trial, nil for nothing yet.
-func (g *Guard) judge(now float64, entry *Entry, since float64) *Command {
+func (g *CanaryController) judge(now float64, entry *Entry, since float64) *Command {
 	passed := 0
 	for _, name := range entry.Canaries {
 		known := g.answers[name]
@@ -204,19 +204,19 @@
 	switch {
 	case passed == len(entry.Canaries):
 		return releaseCommand(entry.Number)
-	case waited >= g.config.Timeout && 2*passed >= len(entry.Canaries):
+	case waited >= g.config.TimeoutSeconds && 2*passed >= len(entry.Canaries):
 		g.noteSilent(entry)
 		return releaseCommand(entry.Number)
-	case waited >= GiveUpAfter:
+	case waited >= TrialTimeoutSeconds:
 		g.noteSilent(entry)
-		reason := fmt.Sprintf("%d of %d canaries answered within %v s", passed, len(entry.Canaries), GiveUpAfter)
+		reason := fmt.Sprintf("%d of %d canaries answered within %v s", passed, len(entry.Canaries), TrialTimeoutSeconds)
 		return holdCommand(entry.Number, "", reason)
 	}
 	return nil
 }
 
 // noteSilent remembers the canaries that have not answered.
-func (g *Guard) noteSilent(entry *Entry) {
+func (g *CanaryController) noteSilent(entry *Entry) {
 	for _, name := range entry.Canaries {
 		if g.answers[name].inForce < entry.Number {
 			g.silent[name] = true
@@ -225,7 +225,7 @@
 }
 
 // refusalOf gives the command that holds a released revision which some proxy refused, nil for none.
-func (g *Guard) refusalOf(number revision.Number) *Command {
+func (g *CanaryController) refusalOf(number revision.Number) *Command {
 	for _, name := range slices.Sorted(maps.Keys(g.answers)) {
 		if known := g.answers[name]; known.refused == number && known.inForce < number {
 			return holdCommand(number, name, known.reason)
@@ -239,7 +239,7 @@
 }
 
 func holdCommand(number revision.Number, proxy, reason string) *Command {
-	reason = strings.ToValidUTF8(reason[:min(len(reason), ReasonMost)], "")
+	reason = strings.ToValidUTF8(reason[:min(len(reason), MaxReasonBytes)], "")
 	return &Command{ID: fmt.Sprintf("hold/%d", number), Hold: &HoldCommand{Number: number, Proxy: proxy, Reason: reason}}
 }
 
@@ -247,7 +247,7 @@
 func (s *State) onTrial() []*Entry {
 	var entries []*Entry
 	for _, c := range s.chains {
-		if latest := c[len(c)-1]; latest.Stage == Trial {
+		if latest := c[len(c)-1]; latest.Stage == StageTrial {
 			entries = append(entries, latest)
 		}
 	}
--- a/internal/control/guard_test.go
+++ b/internal/control/guard_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestCanariesAreOneInEachZoneAndAShareAtMost(t *testing.T) {
-	g := NewGuard(GuardConfig{})
+	g := NewCanaryController(CanaryConfig{})
 	zone := revision.Scope{Kind: revision.ZoneKind, Name: "z03"}
 	service := revision.Scope{Kind: revision.ServiceKind, Name: "s1"}
 	one := revision.Scope{Kind: revision.ProxyKind, Name: "z01-02"}
@@ -45,13 +45,13 @@
 		"none concerned":    {zones(1, 20), zone, ""},
 		"none is connected": {nil, revision.FleetScope, ""},
 	} {
-		if got := strings.Join(g.Canaries(test.connected, test.scope), " "); got != test.want {
+		if got := strings.Join(g.SelectCanaries(test.connected, test.scope), " "); got != test.want {
 			t.Errorf("%s: %s; wanted %s", name, got, test.want)
 		}
 	}
 	shuffled := zones(11, 51)
 	slices.Reverse(shuffled)
-	if canaries := g.Canaries(shuffled, revision.FleetScope); len(canaries) != 11 || canaries[0] != "z00-00" {
+	if canaries := g.SelectCanaries(shuffled, revision.FleetScope); len(canaries) != 11 || canaries[0] != "z00-00" {
 		t.Errorf("of 561 proxies: %v", canaries)
 	}
 }
@@ -89,16 +89,16 @@
 		t.Run(name, func(t *testing.T) {
 			s := NewState(simFleet)
 			accept(t, s, apply("1", revision.FleetScope, 0, "{}"), tried("2", revision.FleetScope, 1, "{}", "p1", "p2", "p3"))
-			g := NewGuard(GuardConfig{})
+			g := NewCanaryController(CanaryConfig{})
 			var due []string
 			words := test.words
 			for tick := range int(test.until*10) + 1 {
 				now := float64(tick) / 10
 				for len(words) > 0 && words[0].at <= now {
-					g.Reported(now, words[0].proxy, words[0].Report)
+					g.RecordReport(now, words[0].proxy, words[0].Report)
 					words = words[1:]
 				}
-				for _, command := range g.Due(now, s) {
+				for _, command := range g.PendingCommands(now, s) {
 					text := fmt.Sprintf("%.1f %s", now, command.ID)
 					if command.Hold != nil {
 						text += fmt.Sprintf(" %s %s", command.Hold.Proxy, command.Hold.Reason)
@@ -122,18 +122,18 @@
 		at   float64
 		want Stage
 	}{
-		"soon": {2, Held},
-		"late": {WatchReleased + 2, Released},
+		"soon": {2, StageHeld},
+		"late": {PostReleaseWatchSeconds + 2, StageReleased},
 	} {
 		s := NewState(simFleet)
 		accept(t, s, apply("1", revision.FleetScope, 0, "{}"), tried("2", revision.FleetScope, 1, "{}", "p1"))
-		g := NewGuard(GuardConfig{})
-		g.Due(0, s)
+		g := NewCanaryController(CanaryConfig{})
+		g.PendingCommands(0, s)
 		accept(t, s, release(2))
-		g.Due(1, s)
-		g.Due(test.at, s)
-		g.Reported(test.at, "p5", refusal)
-		for _, command := range g.Due(test.at, s) {
+		g.PendingCommands(1, s)
+		g.PendingCommands(test.at, s)
+		g.RecordReport(test.at, "p5", refusal)
+		for _, command := range g.PendingCommands(test.at, s) {
 			s.Apply(command)
 		}
 		if latest, _ := s.Latest(revision.FleetScope); latest.Stage != test.want {
@@ -147,9 +147,9 @@
 	command := tried("1", revision.FleetScope, 0, "{}", "p1")
 	command.Apply.AtOnce = true
 	accept(t, s, command)
-	g := NewGuard(GuardConfig{})
-	g.Reported(0, "p1", revision.Report{Revision: 1, Verdict: revision.Refused})
-	if due := g.Due(9, s); len(due) != 0 || s.chains[revision.FleetScope].released() == nil {
+	g := NewCanaryController(CanaryConfig{})
+	g.RecordReport(0, "p1", revision.Report{Revision: 1, Verdict: revision.Refused})
+	if due := g.PendingCommands(9, s); len(due) != 0 || s.chains[revision.FleetScope].released() == nil {
 		t.Errorf("%v is due, %s", due, stages(s))
 	}
 }
@@ -157,12 +157,12 @@
 func TestACommandThatWasDroppedIsGivenAgain(t *testing.T) {
 	s := NewState(simFleet)
 	accept(t, s, tried("1", revision.FleetScope, 0, "{}", "p1"))
-	g := NewGuard(GuardConfig{})
-	g.Reported(0, "p1", revision.Report{Revision: 1, Verdict: revision.InForce})
+	g := NewCanaryController(CanaryConfig{})
+	g.RecordReport(0, "p1", revision.Report{Revision: 1, Verdict: revision.InForce})
 	var given []float64
 	for tick := range 12 {
 		now := float64(tick) / 10
-		if len(g.Due(now, s)) > 0 {
+		if len(g.PendingCommands(now, s)) > 0 {
 			given = append(given, now)
 		}
 	}
@@ -174,17 +174,17 @@
 func TestASilentCanaryLetsAnotherGoFirst(t *testing.T) {
 	s := NewState(simFleet)
 	connected := zones(2, 20)
-	g := NewGuard(GuardConfig{})
-	canaries := g.Canaries(connected, revision.FleetScope)
+	g := NewCanaryController(CanaryConfig{})
+	canaries := g.SelectCanaries(connected, revision.FleetScope)
 	accept(t, s, tried("1", revision.FleetScope, 0, "{}", canaries...))
-	g.Due(0, s)
-	g.Reported(0, canaries[0], revision.Report{Revision: 1, Verdict: revision.InForce})
-	g.Due(1, s)
-	if next := g.Canaries(connected, revision.FleetScope); fmt.Sprint(next) != "[z00-00 z01-01]" {
+	g.PendingCommands(0, s)
+	g.RecordReport(0, canaries[0], revision.Report{Revision: 1, Verdict: revision.InForce})
+	g.PendingCommands(1, s)
+	if next := g.SelectCanaries(connected, revision.FleetScope); fmt.Sprint(next) != "[z00-00 z01-01]" {
 		t.Errorf("next are %v", next)
 	}
-	g.Reported(2, canaries[1], revision.Report{Revision: 1, Verdict: revision.InForce})
-	if next := g.Canaries(connected, revision.FleetScope); fmt.Sprint(next) != "[z00-00 z01-00]" {
+	g.RecordReport(2, canaries[1], revision.Report{Revision: 1, Verdict: revision.InForce})
+	if next := g.SelectCanaries(connected, revision.FleetScope); fmt.Sprint(next) != "[z00-00 z01-00]" {
 		t.Errorf("next are %v", next)
 	}
 }
@@ -194,13 +194,13 @@
 	accept(t, s, tried("1", revision.FleetScope, 0, "{}", "p1"))
 	view := NewFleetView()
 	identity := someone
-	view.Opened(time.Unix(1, 0), "r1", revision.Hello{Identity: identity})
-	view.Reported(time.Unix(2, 0), "r1", revision.Hello{Identity: identity}, revision.Report{
+	view.RecordWatchOpened(time.Unix(1, 0), "r1", revision.Hello{Identity: identity})
+	view.RecordReport(time.Unix(2, 0), "r1", revision.Hello{Identity: identity}, revision.Report{
 		Revision: 1, Verdict: revision.Refused, Reason: "no such key",
 	})
-	g := NewGuard(GuardConfig{})
-	g.Learn(0, view)
-	due := g.Due(0, s)
+	g := NewCanaryController(CanaryConfig{})
+	g.ResetFromFleet(0, view)
+	due := g.PendingCommands(0, s)
 	if len(due) != 1 || due[0].Hold == nil || due[0].Hold.Proxy != "p1" {
 		t.Errorf("%+v", due)
 	}
--- a/internal/control/history.go
+++ b/internal/control/history.go
@@ -10,7 +10,7 @@
 func (s *State) Fleet() string { return s.fleet }
 
 // Newest is the number of the newest revision, 0 for none.
-func (s *State) Newest() revision.Number { return s.newest }
+func (s *State) NewestNumber() revision.Number { return s.newest }
 
 // Latest gives a scope's newest revision, whatever its stage.
 func (s *State) Latest(scope revision.Scope) (Entry, bool) {
@@ -49,7 +49,7 @@
 }
 
 // Concerned says whether a revision's scope is one of the proxy's.
-func (s *State) Concerned(number revision.Number, identity revision.Identity) bool {
+func (s *State) AppliesTo(number revision.Number, identity revision.Identity) bool {
 	entry := s.entries[number]
 	return entry != nil && concerns(entry.Scope, identity)
 }
@@ -63,7 +63,7 @@
 func (c chain) conflict(a ApplyCommand) *ConflictError {
 	conflict := &ConflictError{Scope: a.Scope, Base: a.Base, Newest: c.latestNumber()}
 	first := slices.IndexFunc(c, func(entry *Entry) bool { return entry.Number > a.Base })
-	first = max(first, len(c)-ConflictChangesMost)
+	first = max(first, len(c)-MaxConflictChanges)
 	for i := first; i < len(c); i++ {
 		before := revision.EmptyDocument
 		if i > 0 {
@@ -82,12 +82,12 @@
 
 // changedKeys gives the paths at which two documents differ, as many as a conflict tells.
 func changedKeys(before, after revision.Document) []string {
-	changes, err := Differences(before, after)
+	changes, err := DiffDocuments(before, after)
 	if err != nil {
 		return nil
 	}
 	var keys []string
-	for _, change := range changes[:min(len(changes), ConflictKeysMost)] {
+	for _, change := range changes[:min(len(changes), MaxConflictKeys)] {
 		keys = append(keys, change.Path)
 	}
 	return keys
--- a/internal/control/merged.go
+++ b/internal/control/merged.go
@@ -77,7 +77,7 @@
 	s.cache.text.Reset()
 	merged.write(&s.cache.text)
 	if s.cache.text.Len() > revision.MaxDocumentBytes {
-		return "", &LimitError{What: "bytes of a merged configuration", Most: revision.MaxDocumentBytes}
+		return "", &LimitError{Resource: "bytes of a merged configuration", Limit: revision.MaxDocumentBytes}
 	}
 	checksum := revision.Checksum(s.cache.text.Bytes())
 	s.cache.checksums.put(key, checksum, 1)
--- a/internal/control/messagecheck.go
+++ b/internal/control/messagecheck.go
@@ -77,7 +77,7 @@
 		return &MessageError{Reason: oneLine(err)}
 	}
 	if state.Fleet() != n.state.Fleet() {
-		err := &FleetError{Fleet: state.Fleet(), Want: n.state.Fleet()}
+		err := &FleetMismatchError{Fleet: state.Fleet(), Want: n.state.Fleet()}
 		return &MessageError{Reason: err.Error()}
 	}
 	n.incoming = state
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -20,7 +20,7 @@
 )
 
 // Persisted is what a replica's storage holds. The zero value is a replica that begins.
-type Persisted struct {
+type PersistedState struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot // nil for none
 	Entries   []*raftpb.Entry  // ascending without gaps; those up to the snapshot's index are passed over
@@ -31,22 +31,22 @@
 	ID        uint64   // one of Peers, not 0
 	Peers     []uint64 // all replicas of the cluster, the same at each
 	Fleet     string
-	Persisted Persisted
+	Persisted PersistedState
 }
 
 // Applied is a command that is committed, saved here and carried out.
-type Applied struct {
+type AppliedCommand struct {
 	Index   uint64
 	Command Command
 	Outcome Outcome
 }
 
 // Progress is what became of a Work.
-type Progress struct {
-	Applied   []Applied
-	Reads     [][]byte // contexts of ReadIndex: the state has all that was accepted before the call
-	Undecided []string // IDs proposed here that may yet be committed or not: ask again with the same ID
-	Restored  bool     // the state was replaced by a leader's snapshot: State gives another one
+type AdvanceResult struct {
+	Applied       []AppliedCommand
+	ReadContexts  [][]byte // contexts of ReadIndex: the state has all that was accepted before the call
+	Undecided     []string // IDs proposed here that may yet be committed or not: ask again with the same ID
+	StateReplaced bool     // the state was replaced by a leader's snapshot: State gives another one
 }
 
 // Node is one replica's consensus core, over the etcd project's raft library with its PreVote and CheckQuorum. It does no
@@ -119,11 +119,11 @@
 		return n.failed
 	}
 	defer func() {
-		if failed := new(FailedError); errors.As(err, &failed) {
+		if failed := new(NodeFailedError); errors.As(err, &failed) {
 			n.failed = err
 		}
 	}()
-	defer recoverAs(&err, func(reason string) error { return &FailedError{Reason: reason} })
+	defer recoverAs(&err, func(reason string) error { return &NodeFailedError{Reason: reason} })
 	return call()
 }
 
@@ -168,7 +168,7 @@
 }
 
 // Unreachable says that messages to a peer do not arrive.
-func (n *Node) Unreachable(peer uint64) {
+func (n *Node) ReportUnreachable(peer uint64) {
 	_ = n.guarded(func() error {
 		n.raft.ReportUnreachable(peer)
 		return nil
@@ -176,7 +176,7 @@
 }
 
 // SnapshotSent says whether a message of type MsgSnap reached the peer. It must be called for each.
-func (n *Node) SnapshotSent(peer uint64, arrived bool) {
+func (n *Node) ReportSnapshot(peer uint64, arrived bool) {
 	status := raft.SnapshotFailure
 	if arrived {
 		status = raft.SnapshotFinish
@@ -188,7 +188,7 @@
 }
 
 // Failed tells why the node does nothing more, nil while it does.
-func (n *Node) Failed() error { return n.failed }
+func (n *Node) Err() error { return n.failed }
 
 // State is the replica's state machine.
 func (n *Node) State() *State { return n.state }
@@ -203,7 +203,7 @@
 func (n *Node) Term() uint64 { return n.raft.BasicStatus().GetTerm() }
 
 // Applied is the index of the last entry that the state has.
-func (n *Node) Applied() uint64 { return n.applied }
+func (n *Node) AppliedIndex() uint64 { return n.applied }
 
 // lastSaved is the index of the last entry that may be saved.
 func (n *Node) lastSaved() uint64 {
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -44,7 +44,7 @@
 	if err := s.follower().node.Propose(command); !errors.Is(err, ErrNotLeader) {
 		t.Errorf("a follower: %v", err)
 	}
-	bad := new(BadCommandError)
+	bad := new(InvalidCommandError)
 	if err := s.leader().node.Propose(Command{}); !errors.As(err, &bad) {
 		t.Errorf("an empty command: %v", err)
 	}
@@ -53,8 +53,8 @@
 	}
 	s.round()
 	for _, r := range s.replicas {
-		if r.node.State().Newest() != 1 {
-			t.Errorf("replica %d is at %d", r.id, r.node.State().Newest())
+		if r.node.State().NewestNumber() != 1 {
+			t.Errorf("replica %d is at %d", r.id, r.node.State().NewestNumber())
 		}
 	}
 }
@@ -149,8 +149,8 @@
 				}
 			}
 			s.round()
-			if leaders != 1 || s.follower().node.State().Newest()+old.node.State().Newest() == 0 {
-				t.Errorf("%d lead, the others are at %d", leaders, s.follower().node.State().Newest())
+			if leaders != 1 || s.follower().node.State().NewestNumber()+old.node.State().NewestNumber() == 0 {
+				t.Errorf("%d lead, the others are at %d", leaders, s.follower().node.State().NewestNumber())
 			}
 		})
 	}
@@ -160,7 +160,7 @@
 	s := quietSim(t)
 	leader := s.leader()
 	leader.node.limits = defaultLimits
-	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", SnapshotBytes/snapshotEntriesMin))
+	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", SnapshotIntervalBytes/snapshotEntriesMin))
 	for i := range snapshotEntriesMin {
 		if leader.disk.Snapshot != nil {
 			t.Fatalf("after %d commands there is one", i)
@@ -201,14 +201,14 @@
 			t.Fatal(err)
 		}
 		s.round()
-		base = s.leader().node.State().Newest()
+		base = s.leader().node.State().NewestNumber()
 	}
 	s.start(late)
 	for range 20 {
 		s.round()
 	}
-	if late.node.State().Newest() != 40 || s.counts["states restored"] == 0 {
-		t.Errorf("it is at %d, %d were restored", late.node.State().Newest(), s.counts["states restored"])
+	if late.node.State().NewestNumber() != 40 || s.counts["states restored"] == 0 {
+		t.Errorf("it is at %d, %d were restored", late.node.State().NewestNumber(), s.counts["states restored"])
 	}
 	s.crash(late)
 	s.start(late)
@@ -230,18 +230,18 @@
 		s.round()
 	}
 	good := s.replicas[0].disk
-	for name, spoil := range map[string]func(*Persisted){
-		"a gap": func(p *Persisted) { p.Entries = append(p.Entries[:1:1], p.Entries[2:]...) },
-		"a lost end": func(p *Persisted) {
+	for name, spoil := range map[string]func(*PersistedState){
+		"a gap": func(p *PersistedState) { p.Entries = append(p.Entries[:1:1], p.Entries[2:]...) },
+		"a lost end": func(p *PersistedState) {
 			p.Entries = p.Entries[:1]
 			p.HardState.Commit = proto.Uint64(4)
 		},
-		"a torn snapshot": func(p *Persisted) {
+		"a torn snapshot": func(p *PersistedState) {
 			p.Snapshot = &raftpb.Snapshot{Data: []byte("{"), Metadata: &raftpb.SnapshotMetadata{
 				Index: proto.Uint64(2), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3, 4, 5}},
 			}}
 		},
-		"a snapshot of others": func(p *Persisted) {
+		"a snapshot of others": func(p *PersistedState) {
 			p.Snapshot = &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(2), Term: proto.Uint64(1)}}
 		},
 	} {
@@ -310,21 +310,21 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, any := r.node.Ready(); any || r.node.Failed() != nil {
-		t.Error("there is work after them:", r.node.Failed())
+	if _, any := r.node.Ready(); any || r.node.Err() != nil {
+		t.Error("there is work after them:", r.node.Err())
 	}
 }
 
 func TestACommittedEntryThatIsNoCommandChangesNothing(t *testing.T) {
 	s := quietSim(t)
-	before := s.leader().node.Applied()
+	before := s.leader().node.AppliedIndex()
 	if err := s.leader().node.raft.Propose([]byte("{no command")); err != nil {
 		t.Fatal(err)
 	}
 	s.round()
 	for _, r := range s.replicas {
-		if r.node.Applied() != before+1 || r.node.State().Newest() != 0 || r.node.Failed() != nil {
-			t.Errorf("replica %d: applied %d, %v", r.id, r.node.Applied(), r.node.Failed())
+		if r.node.AppliedIndex() != before+1 || r.node.State().NewestNumber() != 0 || r.node.Err() != nil {
+			t.Errorf("replica %d: applied %d, %v", r.id, r.node.AppliedIndex(), r.node.Err())
 		}
 	}
 }
--- a/internal/control/outcome.go
+++ b/internal/control/outcome.go
@@ -25,7 +25,7 @@
 func (m *outcomeMemory) add(id string, outcome Outcome) {
 	m.byID[id] = outcome
 	m.order = append(m.order, id)
-	if len(m.order) > OutcomesMost {
+	if len(m.order) > MaxRememberedOutcomes {
 		delete(m.byID, m.order[0])
 		m.order = m.order[1:]
 	}
@@ -61,7 +61,7 @@
 		record.Kind = unknownRevisionKind
 	case *StageError:
 		record.Kind = stageKind
-	case *BadCommandError:
+	case *InvalidCommandError:
 		record.Kind = badCommandKind
 	case *LimitError:
 		record.Kind = limitKind
@@ -87,7 +87,7 @@
 	case stageKind:
 		outcome.Err = &StageError{}
 	case badCommandKind:
-		outcome.Err = &BadCommandError{}
+		outcome.Err = &InvalidCommandError{}
 	case limitKind:
 		outcome.Err = &LimitError{}
 	default:
--- a/internal/control/pacer.go
+++ b/internal/control/pacer.go
@@ -3,20 +3,20 @@
 import "math"
 
 // Pacer bounds the bytes a second of whole configurations that a replica sends: a token bucket.
-type Pacer struct {
+type TokenBucket struct {
 	rate, burst float64
 	tokens      float64 // below 0 while a message larger than the bucket is paid off
 	at          float64 // when tokens was right
 }
 
 // NewPacer allows so many bytes a second, and so many at once after a pause.
-func NewPacer(rate, burst float64) *Pacer {
-	return &Pacer{rate: rate, burst: burst, tokens: burst, at: math.Inf(-1)}
+func NewTokenBucket(rate, burst float64) *TokenBucket {
+	return &TokenBucket{rate: rate, burst: burst, tokens: burst, at: math.Inf(-1)}
 }
 
 // Take says whether so many bytes may be sent now, in seconds of any steady clock, and counts them if so. It lets a
 // message larger than the burst through on a full bucket and has later ones wait for it.
-func (p *Pacer) Take(now float64, bytes int) bool {
+func (p *TokenBucket) TryTake(now float64, bytes int) bool {
 	p.refill(now)
 	if p.tokens < p.need(bytes) {
 		return false
@@ -26,15 +26,15 @@
 }
 
 // Next is the earliest time at which Take says yes to so many bytes.
-func (p *Pacer) Next(now float64, bytes int) float64 {
+func (p *TokenBucket) EarliestTime(now float64, bytes int) float64 {
 	p.refill(now)
 	return now + max(0, p.need(bytes)-p.tokens)/p.rate
 }
 
 // need is how full the bucket must be for a message.
-func (p *Pacer) need(bytes int) float64 { return min(float64(bytes), p.burst) }
+func (p *TokenBucket) need(bytes int) float64 { return min(float64(bytes), p.burst) }
 
-func (p *Pacer) refill(now float64) {
+func (p *TokenBucket) refill(now float64) {
 	if now <= p.at {
 		return
 	}
--- a/internal/control/pacer_test.go
+++ b/internal/control/pacer_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestPacerSpreadsWholeConfigurations(t *testing.T) {
-	p := NewPacer(1000, 500)
+	p := NewTokenBucket(1000, 500)
 	sent := 0
 	last := 0.0
-	for now := 7.0; sent < 20; now = p.Next(now, 250) {
-		if !p.Take(now, 250) {
+	for now := 7.0; sent < 20; now = p.EarliestTime(now, 250) {
+		if !p.TryTake(now, 250) {
 			t.Fatalf("at %v it refuses what it said it takes", now)
 		}
 		sent++
@@ -24,23 +24,23 @@
 }
 
 func TestPacerLetsALargeOneThroughOnAFullBucket(t *testing.T) {
-	p := NewPacer(1000, 500)
-	if !p.Take(0, 3000) || p.Take(1, 1) {
+	p := NewTokenBucket(1000, 500)
+	if !p.TryTake(0, 3000) || p.TryTake(1, 1) {
 		t.Error("a large one does not pass, or another right after it")
 	}
-	if next := p.Next(1, 500); math.Abs(next-3) > 1e-6 || !p.Take(next, 500) {
+	if next := p.EarliestTime(1, 500); math.Abs(next-3) > 1e-6 || !p.TryTake(next, 500) {
 		t.Errorf("the next goes at %v", next)
 	}
 }
 
 func TestPacerNeverGoesOverItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := NewPacer(100, 50)
+		p := NewTokenBucket(100, 50)
 		now, sent := 0.0, 0.0
 		for range 50 {
 			now += rapid.Float64Range(-0.1, 2).Draw(t, "pause")
 			bytes := rapid.IntRange(0, 50).Draw(t, "bytes")
-			if p.Take(now, bytes) {
+			if p.TryTake(now, bytes) {
 				sent += float64(bytes)
 			}
 			if sent > 50+100*(max(now, 0)+5)+1e-6 {
--- a/internal/control/restore.go
+++ b/internal/control/restore.go
@@ -16,7 +16,7 @@
 )
 
 // restore builds the log's saved part and the state at its snapshot.
-func (n *Node) restore(fleet string, saved Persisted) error {
+func (n *Node) restore(fleet string, saved PersistedState) error {
 	snapshot := saved.Snapshot
 	if raft.IsEmptySnap(snapshot) {
 		var err error
@@ -70,7 +70,7 @@
 		return &StorageError{Reason: oneLine(err)}
 	}
 	if state.Fleet() != fleet {
-		return &FleetError{Fleet: state.Fleet(), Want: fleet}
+		return &FleetMismatchError{Fleet: state.Fleet(), Want: fleet}
 	}
 	n.state = state
 	n.applied = snapshot.GetMetadata().GetIndex()
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -36,11 +36,11 @@
 // Next gives the update to send now, nil while one is unanswered, while there is nothing new, or while what there is
 // was refused. Ask after the Hello, after each Reported and after each applied command. The update counts as sent.
 // Errors are those of State.Update; after an *AheadError ask again when more is applied.
-func (s *Session) Next(state *State) (*revision.Update, error) {
+func (s *Session) NextUpdate(state *State) (*revision.Update, error) {
 	if s.sent != nil {
 		return nil, nil
 	}
-	update, err := state.Update(s.hello)
+	update, err := state.UpdateFor(s.hello)
 	if err != nil || update == nil || updateKey(update) == s.refused {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 }
 
 // Unsent takes back an update that Next gave and that was not sent after all, for the pacer's sake.
-func (s *Session) Unsent() { s.sent = nil }
+func (s *Session) CancelSent() { s.sent = nil }
 
 // updateKey names what an update would lead to.
 func updateKey(update *revision.Update) string {
@@ -57,7 +57,7 @@
 }
 
 // Reported takes the proxy's answer. It says whether the report belongs to the update that was sent last.
-func (s *Session) Reported(report revision.Report) bool {
+func (s *Session) HandleReport(report revision.Report) bool {
 	if s.sent == nil || report.Revision != s.sent.Revision {
 		return false
 	}
--- a/internal/control/sim_test.go
+++ b/internal/control/sim_test.go
@@ -39,12 +39,12 @@
 // simReplica is one replica: what is on its disk, and the node while it runs.
 type simReplica struct {
 	id    uint64
-	disk  Persisted
+	disk  PersistedState
 	cache []Work // written and not synced: a crash may lose it
 	node  *Node  // nil while it is down
 	reads map[string]revision.Number
 	view  *FleetView
-	guard *Guard
+	guard *CanaryController
 	led   bool
 
 	paused bool // it does nothing, what comes in waits
@@ -113,11 +113,11 @@
 		s.fail("replica %d does not start: %w", r.id, err)
 		return
 	}
-	node.limits = compactionLimits{entries: 12, bytes: SnapshotBytes, kept: 4}
+	node.limits = compactionLimits{entries: 12, bytes: SnapshotIntervalBytes, kept: 4}
 	r.node = node
 	r.reads = map[string]revision.Number{}
 	r.view = NewFleetView()
-	r.guard = NewGuard(GuardConfig{Share: 1})
+	r.guard = NewCanaryController(CanaryConfig{Share: 1})
 	r.led = false
 }
 
@@ -141,8 +141,8 @@
 }
 
 // copy gives what a disk holds, so that nothing of a running node is on it.
-func (p Persisted) copy() Persisted {
-	copied := Persisted{Entries: cloneAll(p.Entries)}
+func (p PersistedState) copy() PersistedState {
+	copied := PersistedState{Entries: cloneAll(p.Entries)}
 	if p.HardState != nil {
 		copied.HardState = proto.Clone(p.HardState).(*raftpb.HardState)
 	}
@@ -161,7 +161,7 @@
 }
 
 // save writes a Work as the doc comment of Work asks it.
-func (p *Persisted) save(work Work) {
+func (p *PersistedState) save(work Work) {
 	if work.Snapshot != nil {
 		p.Snapshot = proto.Clone(work.Snapshot).(*raftpb.Snapshot)
 		p.Entries = nil
@@ -169,7 +169,7 @@
 	if work.Compaction != nil {
 		p.Snapshot = proto.Clone(work.Compaction.Snapshot).(*raftpb.Snapshot)
 		p.Entries = slices.DeleteFunc(p.Entries, func(entry *raftpb.Entry) bool {
-			return entry.GetIndex() < work.Compaction.FirstKept
+			return entry.GetIndex() < work.Compaction.FirstRetainedIndex
 		})
 	}
 	if len(work.Entries) > 0 {
@@ -238,10 +238,10 @@
 	to := message.GetTo()
 	if message.GetType() == raftpb.MsgSnap {
 		s.counts["snapshots sent"]++
-		r.node.SnapshotSent(to, !s.cut[[2]uint64{r.id, to}])
+		r.node.ReportSnapshot(to, !s.cut[[2]uint64{r.id, to}])
 	}
 	if s.cut[[2]uint64{r.id, to}] {
-		r.node.Unreachable(to)
+		r.node.ReportUnreachable(to)
 		return
 	}
 	s.network = append(s.network, envelope{r.id, to, proto.Clone(message).(*raftpb.Message)})
@@ -258,7 +258,7 @@
 		return
 	}
 	if err := r.node.Step(proto.Clone(one.message).(*raftpb.Message)); err != nil {
-		if r.node.Failed() != nil {
+		if r.node.Err() != nil {
 			s.fail("replica %d: %w", r.id, err)
 		}
 		s.counts["messages refused"]++
@@ -266,20 +266,20 @@
 }
 
 // took checks what a replica's state went through.
-func (s *sim) took(r *simReplica, progress Progress) {
-	if progress.Restored {
+func (s *sim) took(r *simReplica, progress AdvanceResult) {
+	if progress.StateReplaced {
 		s.counts["states restored"]++
 	}
 	for _, applied := range progress.Applied {
 		s.checkApplied(r, applied)
 	}
-	for _, context := range progress.Reads {
+	for _, context := range progress.ReadContexts {
 		s.checkRead(r, string(context))
 	}
 	s.counts["undecided"] += len(progress.Undecided)
 }
 
-func (s *sim) checkApplied(r *simReplica, applied Applied) {
+func (s *sim) checkApplied(r *simReplica, applied AppliedCommand) {
 	id := applied.Command.ID
 	if before, known := s.log[applied.Index]; known && before != id {
 		s.fail("entry %d is %s at one replica and %s at replica %d", applied.Index, before, id, r.id)
@@ -323,7 +323,7 @@
 	}
 	delete(r.reads, context)
 	s.counts["reads"]++
-	if newest := r.node.State().Newest(); newest < least {
+	if newest := r.node.State().NewestNumber(); newest < least {
 		s.fail("a read at replica %d tells revision %d as newest, %d was accepted before it", r.id, newest, least)
 	}
 }
@@ -363,7 +363,7 @@
 		Document: revision.Document(document),
 		Author:   "anna",
 		Reason:   id,
-		Canaries: leader.guard.Canaries(leader.view.Connected(), scope),
+		Canaries: leader.guard.SelectCanaries(leader.view.ConnectedIdentities(), scope),
 	}
 	if s.defects.noGuard {
 		apply.Canaries = nil
@@ -372,7 +372,7 @@
 		apply.Base = newest.Number
 	}
 	asked := &submission{command: Command{ID: id, Apply: &apply}, sawBase: base.Number}
-	asked.watched = slices.ContainsFunc(leader.view.Connected(), func(identity revision.Identity) bool {
+	asked.watched = slices.ContainsFunc(leader.view.ConnectedIdentities(), func(identity revision.Identity) bool {
 		return concerns(scope, identity)
 	})
 	s.submissions[id] = asked
@@ -399,13 +399,13 @@
 		}
 		leads := r.node.IsLeader()
 		if leads && !r.led {
-			r.guard.Learn(s.now, r.view)
+			r.guard.ResetFromFleet(s.now, r.view)
 		}
 		r.led = leads
 		if !leads {
 			continue
 		}
-		for _, command := range r.guard.Due(s.now, r.node.State()) {
+		for _, command := range r.guard.PendingCommands(s.now, r.node.State()) {
 			_ = r.node.Propose(command)
 		}
 	}
--- a/internal/control/simproxy_test.go
+++ b/internal/control/simproxy_test.go
@@ -75,7 +75,7 @@
 	}
 	p.replica = r
 	p.session = session
-	r.view.Opened(s.time(), fmt.Sprint(r.id), session.Hello())
+	r.view.RecordWatchOpened(s.time(), fmt.Sprint(r.id), session.Hello())
 }
 
 func (s *sim) time() time.Time {
@@ -90,8 +90,8 @@
 	if p.session == nil {
 		return
 	}
-	update, err := p.session.Next(p.replica.node.State())
-	if ahead := new(AheadError); errors.As(err, &ahead) {
+	update, err := p.session.NextUpdate(p.replica.node.State())
+	if ahead := new(ReplicaBehindError); errors.As(err, &ahead) {
 		s.counts["proxies ahead"]++
 		return
 	}
@@ -121,15 +121,15 @@
 
 // report has the replicas learn a proxy's word; the leader learns it at once.
 func (s *sim) report(p *simProxy, report revision.Report) {
-	if !p.session.Reported(report) {
+	if !p.session.HandleReport(report) {
 		s.fail("proxy %s: its report is not taken for one on the update sent", p.identity.Proxy)
 	}
 	for _, r := range s.replicas {
 		if r.node == nil {
 			continue
 		}
-		r.view.Reported(s.time(), fmt.Sprint(p.replica.id), p.session.Hello(), report)
-		r.guard.Reported(s.now, p.identity.Proxy, report)
+		r.view.RecordReport(s.time(), fmt.Sprint(p.replica.id), p.session.Hello(), report)
+		r.guard.RecordReport(s.now, p.identity.Proxy, report)
 	}
 }
 
@@ -222,7 +222,7 @@
 
 // checkSettled says what a proxy must have once all is healed and told.
 func (p *simProxy) checkSettled(s *sim, state *State) {
-	update, err := state.Update(p.hello())
+	update, err := state.UpdateFor(p.hello())
 	if err != nil {
 		s.fail("proxy %s in the end: %w", p.identity.Proxy, err)
 		return
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -11,7 +11,7 @@
 )
 
 // SnapshotFormat is the version of a snapshot's form. A replica refuses one that it does not know.
-const SnapshotFormat = 1
+const SnapshotFormatVersion = 1
 
 // numberMost is the highest number of a revision that a snapshot may have: one more must be countable.
 const numberMost = 1 << 53
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	header, err := revision.Encode(snapshotHeader{Format: SnapshotFormat, Checksum: revision.Checksum(text)})
+	header, err := revision.Encode(snapshotHeader{Format: SnapshotFormatVersion, Checksum: revision.Checksum(text)})
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
@@ -74,8 +74,8 @@
 	if err := json.Unmarshal(head, &header); err != nil || !cut {
 		return nil, &SnapshotError{Reason: "it has no header"}
 	}
-	if header.Format != SnapshotFormat {
-		return nil, &SnapshotError{Reason: fmt.Sprintf("format %d, known is %d", header.Format, SnapshotFormat)}
+	if header.Format != SnapshotFormatVersion {
+		return nil, &SnapshotError{Reason: fmt.Sprintf("format %d, known is %d", header.Format, SnapshotFormatVersion)}
 	}
 	if header.Checksum != revision.Checksum(text) {
 		return nil, &SnapshotError{Reason: "its checksum is wrong"}
@@ -128,7 +128,7 @@
 		return err
 	}
 	switch e.Stage {
-	case Trial, Released, Held, Superseded:
+	case StageTrial, StageReleased, StageHeld, StageSuperseded:
 	default:
 		return fmt.Errorf("stage %q is unknown", e.Stage)
 	}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -9,10 +9,10 @@
 
 // The stages of a revision.
 const (
-	Trial      Stage = "trial"      // only its canaries take it
-	Released   Stage = "released"   // all proxies that it concerns take it
-	Held       Stage = "held"       // a proxy refused it: nobody else takes it
-	Superseded Stage = "superseded" // a newer one of its scope took its place
+	StageTrial      Stage = "trial"      // only its canaries take it
+	StageReleased   Stage = "released"   // all proxies that it concerns take it
+	StageHeld       Stage = "held"       // a proxy refused it: nobody else takes it
+	StageSuperseded Stage = "superseded" // a newer one of its scope took its place
 )
 
 // Entry is a revision in the history.
@@ -87,7 +87,7 @@
 	} else if a.Base < latest {
 		return Outcome{Err: existing.conflict(a)}
 	}
-	document, err := s.Document(a)
+	document, err := s.ResolveDocument(a)
 	if err != nil {
 		return Outcome{Err: err}
 	}
@@ -119,10 +119,10 @@
 			RollbackOf: a.RollbackOf,
 			AtOnce:     a.AtOnce,
 		},
-		Stage: Trial,
+		Stage: StageTrial,
 	}
 	if a.AtOnce || len(a.Canaries) == 0 {
-		entry.Stage = Released
+		entry.Stage = StageReleased
 		entry.WasReleased = true
 	} else {
 		entry.Canaries = append([]string(nil), a.Canaries...)
@@ -139,15 +139,15 @@
 
 // checkRoom refuses what the state has no room for.
 func (s *State) checkRoom(a ApplyCommand, existing chain, size int) error {
-	if len(existing) == 0 && len(s.chains) >= ScopesMost {
-		return &LimitError{What: "scopes", Most: ScopesMost}
+	if len(existing) == 0 && len(s.chains) >= MaxScopes {
+		return &LimitError{Resource: "scopes", Limit: MaxScopes}
 	}
 	onTrial := !a.AtOnce && len(a.Canaries) > 0
-	if onTrial && existing.unreleased() >= UnreleasedMost {
-		return &LimitError{What: "revisions of a scope in a row that were not released", Most: UnreleasedMost}
+	if onTrial && existing.unreleased() >= MaxUnreleasedRevisions {
+		return &LimitError{Resource: "revisions of a scope in a row that were not released", Limit: MaxUnreleasedRevisions}
 	}
-	if s.neededBytes()+size > DocumentBytesMost {
-		return &LimitError{What: "bytes of documents in use", Most: DocumentBytesMost}
+	if s.neededBytes()+size > MaxTotalDocumentBytes {
+		return &LimitError{Resource: "bytes of documents in use", Limit: MaxTotalDocumentBytes}
 	}
 	return nil
 }
@@ -159,11 +159,11 @@
 		return outcome
 	}
 	switch entry.Stage {
-	case Trial:
+	case StageTrial:
 		s.chains[entry.Scope].supersedeReleased()
-		entry.Stage = Released
+		entry.Stage = StageReleased
 		entry.WasReleased = true
-	case Released:
+	case StageReleased:
 	default:
 		return Outcome{Err: &StageError{Number: number, Stage: entry.Stage}}
 	}
@@ -173,14 +173,14 @@
 // hold stops a revision. Proxies that have it keep it, the others keep or get the released one before it.
 func (s *State) hold(h HoldCommand) Outcome {
 	entry, outcome := s.newestOfScope(h.Number)
-	if entry == nil || entry.Stage == Held {
+	if entry == nil || entry.Stage == StageHeld {
 		return outcome
 	}
-	entry.Stage = Held
+	entry.Stage = StageHeld
 	entry.HeldBy = h.Proxy
 	entry.HeldReason = h.Reason
 	if before := s.chains[entry.Scope].released(); before != nil {
-		before.Stage = Released
+		before.Stage = StageReleased
 	}
 	return outcome
 }
@@ -199,7 +199,7 @@
 
 // Document gives the document that an ApplyCommand would put in force: its own, or the one that it brings back.
 // Errors: *BadCommandError, *UnknownRevisionError.
-func (s *State) Document(a ApplyCommand) (revision.Document, error) {
+func (s *State) ResolveDocument(a ApplyCommand) (revision.Document, error) {
 	if a.RollbackOf != 0 {
 		entry := s.entries[a.RollbackOf]
 		if entry == nil || entry.Scope != a.Scope {
@@ -209,7 +209,7 @@
 	}
 	document, err := revision.Canonicalize(a.Document)
 	if err != nil {
-		return nil, &BadCommandError{Reason: oneLine(err)}
+		return nil, &InvalidCommandError{Reason: oneLine(err)}
 	}
 	return document, nil
 }
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -57,7 +57,7 @@
 // stages gives the stages of all revisions, ascending.
 func stages(s *State) string {
 	var list []string
-	for _, entry := range slices.Backward(s.History(nil, HistoryMost)) {
+	for _, entry := range slices.Backward(s.History(nil, MaxHistoryRevisions)) {
 		list = append(list, fmt.Sprintf("%d %s", entry.Number, entry.Stage))
 	}
 	return strings.Join(list, ", ")
@@ -113,25 +113,25 @@
 }
 
 func TestRefusedCommandsChangeNothing(t *testing.T) {
-	long := strings.Repeat("x", ReasonMost+1)
+	long := strings.Repeat("x", MaxReasonBytes+1)
 	for name, test := range map[string]struct {
 		command Command
 		want    any
 	}{
 		"stale base":         {apply("x", revision.FleetScope, 1, "{}"), new(*ConflictError)},
 		"base to come":       {apply("x", revision.FleetScope, 9, "{}"), new(*UnknownRevisionError)},
-		"no scope":           {apply("x", revision.Scope{}, 0, "{}"), new(*BadCommandError)},
-		"unknown kind":       {apply("x", revision.Scope{Kind: "rack", Name: "a"}, 0, "{}"), new(*BadCommandError)},
-		"cut document":       {apply("x", revision.FleetScope, 2, `{"a":`), new(*BadCommandError)},
-		"null in it":         {apply("x", revision.FleetScope, 2, `{"a":null}`), new(*BadCommandError)},
-		"no document":        {apply("x", revision.FleetScope, 2, ""), new(*BadCommandError)},
-		"no ID":              {apply("", revision.FleetScope, 2, "{}"), new(*BadCommandError)},
-		"long ID":            {apply(strings.Repeat("x", IDMost+1), revision.FleetScope, 2, "{}"), new(*BadCommandError)},
-		"bad canary":         {tried("x", revision.FleetScope, 2, "{}", "p 1"), new(*BadCommandError)},
-		"nothing set":        {Command{ID: "x"}, new(*BadCommandError)},
-		"long reason":        {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: long}}, new(*BadCommandError)},
-		"no UTF-8":           {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: "\xff"}}, new(*BadCommandError)},
-		"two set":            {Command{ID: "x", Hold: &HoldCommand{}, Release: &ReleaseCommand{}}, new(*BadCommandError)},
+		"no scope":           {apply("x", revision.Scope{}, 0, "{}"), new(*InvalidCommandError)},
+		"unknown kind":       {apply("x", revision.Scope{Kind: "rack", Name: "a"}, 0, "{}"), new(*InvalidCommandError)},
+		"cut document":       {apply("x", revision.FleetScope, 2, `{"a":`), new(*InvalidCommandError)},
+		"null in it":         {apply("x", revision.FleetScope, 2, `{"a":null}`), new(*InvalidCommandError)},
+		"no document":        {apply("x", revision.FleetScope, 2, ""), new(*InvalidCommandError)},
+		"no ID":              {apply("", revision.FleetScope, 2, "{}"), new(*InvalidCommandError)},
+		"long ID":            {apply(strings.Repeat("x", MaxCommandIDBytes+1), revision.FleetScope, 2, "{}"), new(*InvalidCommandError)},
+		"bad canary":         {tried("x", revision.FleetScope, 2, "{}", "p 1"), new(*InvalidCommandError)},
+		"nothing set":        {Command{ID: "x"}, new(*InvalidCommandError)},
+		"long reason":        {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: long}}, new(*InvalidCommandError)},
+		"no UTF-8":           {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: "\xff"}}, new(*InvalidCommandError)},
+		"two set":            {Command{ID: "x", Hold: &HoldCommand{}, Release: &ReleaseCommand{}}, new(*InvalidCommandError)},
 		"release of old":     {release(1), new(*StageError)},
 		"hold of old":        {hold(1), new(*StageError)},
 		"release of none":    {release(9), new(*UnknownRevisionError)},
@@ -149,7 +149,7 @@
 			if strings.Contains(fmt.Sprint(outcome.Err), "\n") {
 				t.Errorf("the error is no line: %q", outcome.Err)
 			}
-			if after := stages(s); after != before || s.Newest() != 2 {
+			if after := stages(s); after != before || s.NewestNumber() != 2 {
 				t.Errorf("%s has become %s", before, after)
 			}
 		})
@@ -190,8 +190,8 @@
 	if outcome := s.Apply(apply("b", revision.FleetScope, 2, `{"a":2}`)); outcome.Err != refused.Err {
 		t.Errorf("the second b: %v, the first %v", outcome, refused)
 	}
-	if s.Newest() != 2 {
-		t.Errorf("newest is %d", s.Newest())
+	if s.NewestNumber() != 2 {
+		t.Errorf("newest is %d", s.NewestNumber())
 	}
 	if outcome, known := s.Outcome("c"); !known || outcome.Number != 2 {
 		t.Errorf("the outcome of c is told as %v, %v", outcome, known)
@@ -215,7 +215,7 @@
 	s := NewState(simFleet)
 	accept(t, s, apply("zone", zoneA, 0, `{"a":1}`), apply("zone 2", zoneA, 1, `{"a":2}`))
 	base := revision.Number(0)
-	for i := range HistoryMost + 100 {
+	for i := range MaxHistoryRevisions + 100 {
 		command := apply(fmt.Sprint("f", i), revision.FleetScope, base, fmt.Sprintf(`{"a":%d}`, i))
 		outcome := s.Apply(command)
 		if outcome.Err != nil {
@@ -223,7 +223,7 @@
 		}
 		base = outcome.Number
 	}
-	if len(s.entries) != HistoryMost {
+	if len(s.entries) != MaxHistoryRevisions {
 		t.Errorf("%d revisions are kept", len(s.entries))
 	}
 	if latest, known := s.Latest(zoneA); !known || string(latest.Document) != `{"a":2}` {
@@ -240,13 +240,13 @@
 func TestDocumentBytesAreBounded(t *testing.T) {
 	s := NewState(simFleet)
 	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", revision.MaxDocumentBytes-100))
-	for i := range 2 * DocumentBytesMost / len(large) {
+	for i := range 2 * MaxTotalDocumentBytes / len(large) {
 		scope := revision.Scope{Kind: revision.ProxyKind, Name: fmt.Sprint("p", i)}
 		outcome := s.Apply(apply(scope.Name, scope, 0, large))
-		if s.documentBytes > DocumentBytesMost {
+		if s.documentBytes > MaxTotalDocumentBytes {
 			t.Fatalf("%d bytes are kept", s.documentBytes)
 		}
-		if limit := new(LimitError); i > DocumentBytesMost/len(large) && !errors.As(outcome.Err, &limit) {
+		if limit := new(LimitError); i > MaxTotalDocumentBytes/len(large) && !errors.As(outcome.Err, &limit) {
 			t.Fatalf("document %d: %v", i, outcome)
 		}
 	}
@@ -255,9 +255,9 @@
 func TestUnreleasedRevisionsOfAScopeAreBounded(t *testing.T) {
 	s := NewState(simFleet)
 	base := revision.Number(0)
-	for i := range UnreleasedMost {
+	for i := range MaxUnreleasedRevisions {
 		accept(t, s, tried(fmt.Sprint(i), revision.FleetScope, base, "{}", "p1"))
-		base = s.Newest()
+		base = s.NewestNumber()
 	}
 	limit := new(LimitError)
 	if outcome := s.Apply(tried("x", revision.FleetScope, base, "{}", "p1")); !errors.As(outcome.Err, &limit) {
@@ -268,10 +268,10 @@
 
 func TestOutcomesAreBounded(t *testing.T) {
 	s := NewState(simFleet)
-	for i := range OutcomesMost + 10 {
+	for i := range MaxRememberedOutcomes + 10 {
 		s.Apply(Command{ID: fmt.Sprint(i), Release: &ReleaseCommand{Number: 1}})
 	}
-	if len(s.outcomes.byID) != OutcomesMost || len(s.outcomes.order) != OutcomesMost {
+	if len(s.outcomes.byID) != MaxRememberedOutcomes || len(s.outcomes.order) != MaxRememberedOutcomes {
 		t.Errorf("%d and %d outcomes are kept", len(s.outcomes.byID), len(s.outcomes.order))
 	}
 }
@@ -288,7 +288,7 @@
 	s.Apply(apply("bad", revision.FleetScope, 2, `{"n":`))
 	s.Apply(release(2))
 	s.Apply(release(99))
-	s.outcomes.add("limit", Outcome{Err: &LimitError{What: "scopes", Most: 1}})
+	s.outcomes.add("limit", Outcome{Err: &LimitError{Resource: "scopes", Limit: 1}})
 	return s
 }
 
@@ -325,7 +325,7 @@
 
 // sealed gives a snapshot's body a right header.
 func sealed(body string) []byte {
-	return fmt.Appendf(nil, "{\"format\":%d,\"checksum\":%q}\n%s", SnapshotFormat, revision.Checksum([]byte(body)), body)
+	return fmt.Appendf(nil, "{\"format\":%d,\"checksum\":%q}\n%s", SnapshotFormatVersion, revision.Checksum([]byte(body)), body)
 }
 
 func TestBadSnapshotsAreRefused(t *testing.T) {
--- a/internal/control/summary.go
+++ b/internal/control/summary.go
@@ -9,26 +9,26 @@
 )
 
 // Lag is a proxy that has yet to take a revision.
-type Lag struct {
-	Proxy   string          `json:"proxy"`
-	InForce revision.Number `json:"in_force"`
-	Wanted  revision.Number `json:"wanted"`
-	Since   time.Time       `json:"since"` // when what is in force there was reported
-	Refused revision.Number `json:"refused,omitempty"`
-	Reason  string          `json:"reason,omitempty"`
+type LaggingProxy struct {
+	Proxy         string          `json:"proxy"`
+	InForce       revision.Number `json:"in_force"`
+	Target        revision.Number `json:"wanted"`
+	InForceSince  time.Time       `json:"since"` // when what is in force there was reported
+	RefusedNumber revision.Number `json:"refused,omitempty"`
+	RefusalReason string          `json:"reason,omitempty"`
 }
 
 // Summary says how far a revision has come.
-type Summary struct {
-	Revision  revision.Number `json:"revision"`
-	Concerned int             `json:"concerned"` // connected proxies that are to have it
-	InForce   int             `json:"in_force"`  // of them, those that have it or a newer one of its scope
-	Behind    []Lag           `json:"behind"`    // the others, the slowest first
-	Gone      int             `json:"gone"`      // proxies that are known and not connected
+type RolloutSummary struct {
+	Revision     revision.Number `json:"revision"`
+	Targeted     int             `json:"concerned"` // connected proxies that are to have it
+	InForce      int             `json:"in_force"`  // of them, those that have it or a newer one of its scope
+	Lagging      []LaggingProxy  `json:"behind"`    // the others, the slowest first
+	Disconnected int             `json:"gone"`      // proxies that are known and not connected
 }
 
 // Summary says how many proxies have all that they are to have.
-func (v *FleetView) Summary(s *State) Summary {
+func (v *FleetView) Summary(s *State) RolloutSummary {
 	return v.summarize(s.newest, func(status ProxyStatus) (bool, revision.Number) {
 		return true, s.missing(status)
 	})
@@ -36,13 +36,13 @@
 
 // RevisionSummary says how far one revision has come among the proxies that it concerns, whatever its stage. The error is
 // an *UnknownRevisionError.
-func (v *FleetView) RevisionSummary(s *State, number revision.Number) (Summary, error) {
+func (v *FleetView) RevisionSummary(s *State, number revision.Number) (RolloutSummary, error) {
 	entry := s.entries[number]
 	if entry == nil {
-		return Summary{}, &UnknownRevisionError{Number: number}
+		return RolloutSummary{}, &UnknownRevisionError{Number: number}
 	}
 	return v.summarize(number, func(status ProxyStatus) (bool, revision.Number) {
-		if heldNumber(status.Held, entry.Scope) >= number {
+		if heldNumber(status.HeldDocuments, entry.Scope) >= number {
 			return concerns(entry.Scope, status.Identity), 0
 		}
 		return concerns(entry.Scope, status.Identity), number
@@ -50,24 +50,24 @@
 }
 
 // summarize counts; judge says whether a proxy is concerned and which revision it lacks, 0 for none.
-func (v *FleetView) summarize(number revision.Number, judge func(ProxyStatus) (bool, revision.Number)) Summary {
-	summary := Summary{Revision: number, Behind: []Lag{}}
+func (v *FleetView) summarize(number revision.Number, judge func(ProxyStatus) (bool, revision.Number)) RolloutSummary {
+	summary := RolloutSummary{Revision: number, Lagging: []LaggingProxy{}}
 	for _, status := range v.proxies {
 		concerned, wanted := judge(status)
 		switch {
 		case !concerned:
 		case !status.Connected:
-			summary.Gone++
+			summary.Disconnected++
 		case wanted == 0:
-			summary.Concerned++
+			summary.Targeted++
 			summary.InForce++
 		default:
-			summary.Concerned++
-			summary.Behind = append(summary.Behind, status.lag(wanted))
+			summary.Targeted++
+			summary.Lagging = append(summary.Lagging, status.lag(wanted))
 		}
 	}
-	slices.SortFunc(summary.Behind, func(a, b Lag) int {
-		if order := a.Since.Compare(b.Since); order != 0 {
+	slices.SortFunc(summary.Lagging, func(a, b LaggingProxy) int {
+		if order := a.InForceSince.Compare(b.InForceSince); order != 0 {
 			return order
 		}
 		return strings.Compare(a.Proxy, b.Proxy)
@@ -75,14 +75,14 @@
 	return summary
 }
 
-func (p ProxyStatus) lag(wanted revision.Number) Lag {
-	return Lag{
-		Proxy:   p.Identity.Proxy,
-		InForce: p.InForce,
-		Wanted:  wanted,
-		Since:   p.Since,
-		Refused: p.Refused,
-		Reason:  p.Reason,
+func (p ProxyStatus) lag(wanted revision.Number) LaggingProxy {
+	return LaggingProxy{
+		Proxy:         p.Identity.Proxy,
+		InForce:       p.InForce,
+		Target:        wanted,
+		InForceSince:  p.InForceSince,
+		RefusedNumber: p.RefusedNumber,
+		RefusalReason: p.RefusalReason,
 	}
 }
 
@@ -90,7 +90,7 @@
 func (s *State) missing(status ProxyStatus) revision.Number {
 	missing := revision.Number(0)
 	for _, scope := range status.Identity.Scopes() {
-		held := heldNumber(status.Held, scope)
+		held := heldNumber(status.HeldDocuments, scope)
 		target, err := s.chains[scope].target(status.Identity.Proxy, held)
 		if err == nil && target != nil && target.Number > held {
 			missing = max(missing, target.Number)
--- a/internal/control/work.go
+++ b/internal/control/work.go
@@ -10,10 +10,10 @@
 
 // Compaction of the log.
 const (
-	SnapshotEntries    = 512     // entries applied since the last snapshot make the next one due
-	SnapshotBytes      = 8 << 20 // bytes of commands applied since it do, too, after snapshotEntriesMin
-	EntriesBehindKept  = 256     // entries before a snapshot that stay for replicas that are a little behind
-	snapshotEntriesMin = 16
+	SnapshotIntervalEntries = 512     // entries applied since the last snapshot make the next one due
+	SnapshotIntervalBytes   = 8 << 20 // bytes of commands applied since it do, too, after snapshotEntriesMin
+	RetainedLogEntries      = 256     // entries before a snapshot that stay for replicas that are a little behind
+	snapshotEntriesMin      = 16
 )
 
 // compactionLimits says when a snapshot is due and what stays of the log.
@@ -21,7 +21,7 @@
 	entries, bytes, kept int
 }
 
-var defaultLimits = compactionLimits{entries: SnapshotEntries, bytes: SnapshotBytes, kept: EntriesBehindKept}
+var defaultLimits = compactionLimits{entries: SnapshotIntervalEntries, bytes: SnapshotIntervalBytes, kept: RetainedLogEntries}
 
 // Work is what a replica's storage and network are to do, in this order: save Snapshot, Compaction, Entries and HardState
 // in one transaction, synced if MustSync; then send Messages; then call Advance. Nothing in it may be changed.
@@ -38,8 +38,8 @@
 
 // Compaction puts a snapshot in the place of the log's beginning.
 type Compaction struct {
-	Snapshot  *raftpb.Snapshot
-	FirstKept uint64 // entries below this index are deleted
+	Snapshot           *raftpb.Snapshot
+	FirstRetainedIndex uint64 // entries below this index are deleted
 }
 
 // Ready gives the next work, false for none. Advance is to follow before Ready is called again.
@@ -48,7 +48,7 @@
 		if n.compactionDue() {
 			compaction, err := n.compaction()
 			if err != nil {
-				return &FailedError{Reason: oneLine(err)}
+				return &NodeFailedError{Reason: oneLine(err)}
 			}
 			work = Work{Compaction: compaction, MustSync: true}
 			any = true
@@ -101,12 +101,12 @@
 		return nil, err
 	}
 	behind := min(n.applied, uint64(n.limits.kept))
-	return &Compaction{Snapshot: snapshot, FirstKept: max(first, n.applied-behind+1)}, nil
+	return &Compaction{Snapshot: snapshot, FirstRetainedIndex: max(first, n.applied-behind+1)}, nil
 }
 
 // Advance says that the work is done, and carries out what it committed.
-func (n *Node) Advance(work Work) (Progress, error) {
-	var progress Progress
+func (n *Node) Advance(work Work) (AdvanceResult, error) {
+	var progress AdvanceResult
 	err := n.guarded(func() error {
 		if work.Compaction != nil {
 			return n.advanceCompaction(work.Compaction)
@@ -115,7 +115,7 @@
 			return nil
 		}
 		if err := n.store(work, &progress); err != nil {
-			return &FailedError{Reason: oneLine(err)}
+			return &NodeFailedError{Reason: oneLine(err)}
 		}
 		for _, entry := range work.ready.CommittedEntries {
 			n.applyEntry(entry, &progress)
@@ -133,22 +133,22 @@
 	n.compactedIndex = compaction.Snapshot.GetMetadata().GetIndex()
 	n.loggedBytes = 0
 	first, err := n.storage.FirstIndex()
-	if err == nil && compaction.FirstKept > first {
-		err = n.storage.Compact(compaction.FirstKept - 1)
+	if err == nil && compaction.FirstRetainedIndex > first {
+		err = n.storage.Compact(compaction.FirstRetainedIndex - 1)
 	}
 	if err != nil {
-		return &FailedError{Reason: oneLine(err)}
+		return &NodeFailedError{Reason: oneLine(err)}
 	}
 	return nil
 }
 
 // store takes over what has been saved.
-func (n *Node) store(work Work, progress *Progress) error {
+func (n *Node) store(work Work, progress *AdvanceResult) error {
 	if work.Snapshot != nil {
 		if err := n.takeSnapshot(work.Snapshot); err != nil {
 			return err
 		}
-		progress.Restored = true
+		progress.StateReplaced = true
 	}
 	if err := n.storage.Append(work.Entries); err != nil {
 		return err
@@ -181,7 +181,7 @@
 }
 
 // applyEntry carries out one committed entry. What is no command changes nothing, at every replica alike.
-func (n *Node) applyEntry(entry *raftpb.Entry, progress *Progress) {
+func (n *Node) applyEntry(entry *raftpb.Entry, progress *AdvanceResult) {
 	n.applied = entry.GetIndex()
 	n.loggedBytes += len(entry.Data)
 	if entry.GetType() != raftpb.EntryNormal || len(entry.Data) == 0 {
@@ -193,22 +193,22 @@
 	}
 	outcome := n.state.Apply(command)
 	delete(n.pending, command.ID)
-	progress.Applied = append(progress.Applied, Applied{Index: n.applied, Command: command, Outcome: outcome})
+	progress.Applied = append(progress.Applied, AppliedCommand{Index: n.applied, Command: command, Outcome: outcome})
 }
 
 // finishReads gives the reads that the state is far enough for.
-func (n *Node) finishReads(progress *Progress) {
+func (n *Node) finishReads(progress *AdvanceResult) {
 	n.reads = slices.DeleteFunc(n.reads, func(read raft.ReadState) bool {
 		if read.Index > n.applied {
 			return false
 		}
-		progress.Reads = append(progress.Reads, read.RequestCtx)
+		progress.ReadContexts = append(progress.ReadContexts, read.RequestCtx)
 		return true
 	})
 }
 
 // giveUpPending tells the proposals whose fate another leader decides.
-func (n *Node) giveUpPending(progress *Progress) {
+func (n *Node) giveUpPending(progress *AdvanceResult) {
 	if len(n.pending) == 0 || n.IsLeader() && n.Term() == n.pendingTerm {
 		return
 	}
--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -18,7 +18,7 @@
 
 const (
 	// BodyMost is the largest body of a request or an answer, in bytes: a document, as JSON may write it, and its frame.
-	BodyMost = 4 << 20
+	MaxBodyBytes = 4 << 20
 	// StaleParameter of a read allows what the replica knows by itself, which may be old.
 	StaleParameter = "stale"
 )
@@ -79,12 +79,12 @@
 
 // ShowResponse is a scope's newest document, or a proxy's merged one.
 type ShowResponse struct {
-	Scope    *revision.Scope   `json:"scope,omitempty"`
-	Number   revision.Number   `json:"number"` // newest of the scope, or of all that the merged one is made of
-	Document revision.Document `json:"document"`
-	Checksum string            `json:"checksum"`
-	Entry    *control.Entry    `json:"entry,omitempty"`
-	Origins  []control.Origin  `json:"origins,omitempty"`
+	Scope    *revision.Scope       `json:"scope,omitempty"`
+	Number   revision.Number       `json:"number"` // newest of the scope, or of all that the merged one is made of
+	Document revision.Document     `json:"document"`
+	Checksum string                `json:"checksum"`
+	Entry    *control.Entry        `json:"entry,omitempty"`
+	Origins  []control.ValueOrigin `json:"origins,omitempty"`
 	Freshness
 }
 
@@ -96,9 +96,9 @@
 
 // DiffResponse has the merge patch from the scope's newest document to the one asked about.
 type DiffResponse struct {
-	Base  revision.Number   `json:"base"`
-	Patch revision.Document `json:"patch"`
-	Check string            `json:"check,omitempty"` // why it would be refused, empty: it would not
+	Base    revision.Number   `json:"base"`
+	Patch   revision.Document `json:"patch"`
+	Refusal string            `json:"check,omitempty"` // why it would be refused, empty: it would not
 	Freshness
 }
 
@@ -115,14 +115,14 @@
 
 // StatusResponse is the fleet as the leader, or with stale the asked replica, knows it.
 type StatusResponse struct {
-	Fleet    string                `json:"fleet"`
-	Replica  string                `json:"replica"` // that answers
-	Leader   string                `json:"leader,omitempty"`
-	Newest   revision.Number       `json:"newest"`          // accepted
-	Summary  control.Summary       `json:"summary"`         // of the revision asked for with number=, otherwise of all
-	Asked    *control.Entry        `json:"asked,omitempty"` // the revision asked for with number=
-	Refusing []control.ProxyStatus `json:"refusing,omitempty"`
-	Proxies  []control.ProxyStatus `json:"proxies,omitempty"` // asked for with proxies=true
-	Replicas []ReplicaStatus       `json:"replicas"`
+	Fleet     string                 `json:"fleet"`
+	Replica   string                 `json:"replica"` // that answers
+	Leader    string                 `json:"leader,omitempty"`
+	Newest    revision.Number        `json:"newest"`          // accepted
+	Summary   control.RolloutSummary `json:"summary"`         // of the revision asked for with number=, otherwise of all
+	Requested *control.Entry         `json:"asked,omitempty"` // the revision asked for with number=
+	Refusing  []control.ProxyStatus  `json:"refusing,omitempty"`
+	Proxies   []control.ProxyStatus  `json:"proxies,omitempty"` // asked for with proxies=true
+	Replicas  []ReplicaStatus        `json:"replicas"`
 	Freshness
 }
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -29,9 +29,9 @@
 
 // Client asks a fleet's replicas. It may be used by several goroutines.
 type Client struct {
-	replicas []string
-	http     *http.Client
-	Stale    bool // reads are content with what one replica knows by itself
+	replicas   []string
+	http       *http.Client
+	AllowStale bool // reads are content with what one replica knows by itself
 }
 
 // New makes a client of the replicas at the addresses, host:port each, asked in this order.
@@ -123,7 +123,7 @@
 			return err
 		}
 	}
-	if c.Stale && method == http.MethodGet {
+	if c.AllowStale && method == http.MethodGet {
 		query.Set(controlapi.StaleParameter, "true")
 	}
 	var last error
@@ -211,7 +211,7 @@
 		return unanswered(method, err)
 	}
 	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, controlapi.BodyMost))
+	text, err := io.ReadAll(io.LimitReader(answer.Body, controlapi.MaxBodyBytes))
 	if err != nil {
 		return unanswered(method, err)
 	}
--- a/internal/controlserver/apply.go
+++ b/internal/controlserver/apply.go
@@ -84,13 +84,13 @@
 
 // checkRequest finds what is wrong with a change by itself; its document becomes canonical.
 func checkRequest(request *controlapi.ApplyRequest) error {
-	if request.ID == "" || len(request.ID) > control.IDMost {
-		return badRequest(fmt.Errorf("id: 1 to %d bytes", control.IDMost))
+	if request.ID == "" || len(request.ID) > control.MaxCommandIDBytes {
+		return badRequest(fmt.Errorf("id: 1 to %d bytes", control.MaxCommandIDBytes))
 	}
 	for _, field := range []struct {
 		key, value string
 		most       int
-	}{{"author", request.Author, control.AuthorMost}, {"reason", request.Reason, control.ReasonMost}} {
+	}{{"author", request.Author, control.MaxAuthorBytes}, {"reason", request.Reason, control.MaxReasonBytes}} {
 		if field.value == "" || len(field.value) > field.most || strings.ContainsFunc(field.value, unicode.IsControl) {
 			return badRequest(fmt.Errorf("%s: one line of 1 to %d bytes", field.key, field.most))
 		}
@@ -167,7 +167,7 @@
 		return nil, control.ErrDropped
 	}
 	if !command.Apply.AtOnce {
-		command.Apply.Canaries = s.guard.Canaries(s.view.Connected(), command.Apply.Scope)
+		command.Apply.Canaries = s.guard.SelectCanaries(s.view.ConnectedIdentities(), command.Apply.Scope)
 	}
 	if err := s.node.Propose(command); err != nil {
 		return nil, err
@@ -199,7 +199,7 @@
 	answer := &controlapi.Error{Kind: controlapi.KindRefused, Message: strings.Join(strings.Fields(err.Error()), " ")}
 	var conflict *control.ConflictError
 	var unknown *control.UnknownRevisionError
-	var bad *control.BadCommandError
+	var bad *control.InvalidCommandError
 	switch {
 	case errors.As(err, &answer):
 	case errors.As(err, &conflict):
@@ -228,7 +228,7 @@
 
 // readBody decodes a request's body, whose size is bounded.
 func readBody(w http.ResponseWriter, r *http.Request, into any) error {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, controlapi.BodyMost))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, controlapi.MaxBodyBytes))
 	if err := decoder.Decode(into); err != nil {
 		return badRequest(fmt.Errorf("body: %w", err))
 	}
--- a/internal/controlserver/boltstorage.go
+++ b/internal/controlserver/boltstorage.go
@@ -121,7 +121,7 @@
 }
 
 // Load reads all records and checks each.
-func (s *BoltStorage) Load() (saved control.Persisted, err error) {
+func (s *BoltStorage) Load() (saved control.PersistedState, err error) {
 	debug.SetPanicOnFault(true)
 	defer nameDamage(s.db.Path(), &err)
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -154,7 +154,7 @@
 }
 
 // checkPersisted finds a gap between records that are whole. The core checks how they follow from the snapshot.
-func checkPersisted(saved control.Persisted) error {
+func checkPersisted(saved control.PersistedState) error {
 	for i := 1; i < len(saved.Entries); i++ {
 		if before, index := saved.Entries[i-1].GetIndex(), saved.Entries[i].GetIndex(); index != before+1 {
 			return fmt.Errorf("it is damaged: entry %d follows entry %d", index, before)
@@ -177,7 +177,7 @@
 			}
 		}
 		if work.Compaction != nil {
-			if err := saveSnapshot(meta, entries, work.Compaction.Snapshot, work.Compaction.FirstKept); err != nil {
+			if err := saveSnapshot(meta, entries, work.Compaction.Snapshot, work.Compaction.FirstRetainedIndex); err != nil {
 				return err
 			}
 		}
--- a/internal/controlserver/check.go
+++ b/internal/controlserver/check.go
@@ -16,7 +16,7 @@
 	"limits":{"memory_mb":192,"sockets":1024},"settings":{"me":0,"siblings":1,"tier":0,"zone":0}}`
 
 // newChecker makes `sandpass check` over a base configuration; path may be empty.
-func newChecker(path string) (control.Checker, error) {
+func newChecker(path string) (control.ConfigChecker, error) {
 	text := []byte(placeholder)
 	if path != "" {
 		var err error
@@ -87,10 +87,10 @@
 }
 
 // mergeAll passes each merged document that the change gives to the checker.
-func (s *Server) mergeAll(apply control.ApplyCommand, check control.Checker) error {
+func (s *Server) mergeAll(apply control.ApplyCommand, check control.ConfigChecker) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.node.State().CheckApply(apply, s.view.Connected(), check)
+	return s.node.State().CheckApply(apply, s.view.ConnectedIdentities(), check)
 }
 
 // foundDocuments are the distinct documents that a change gives.
@@ -112,7 +112,7 @@
 const checkersMost = 4
 
 // check fills in the results.
-func (f *foundDocuments) check(check control.Checker) {
+func (f *foundDocuments) check(check control.ConfigChecker) {
 	var done sync.WaitGroup
 	var mu sync.Mutex
 	places := make(chan struct{}, checkersMost)
--- a/internal/controlserver/cluster_test.go
+++ b/internal/controlserver/cluster_test.go
@@ -141,7 +141,7 @@
 	defer fleet.stop()
 	await(t, electTime, "all proxies watch", func() (string, bool) {
 		status, err := client.Status(context.Background(), 0, false)
-		return fmt.Sprint(status.Summary.Concerned, err), status.Summary.Concerned == len(fleet.proxies)
+		return fmt.Sprint(status.Summary.Targeted, err), status.Summary.Targeted == len(fleet.proxies)
 	})
 	for n := range 5 {
 		begin := time.Now()
--- a/internal/controlserver/config.go
+++ b/internal/controlserver/config.go
@@ -13,7 +13,7 @@
 )
 
 // ReplicasMost is the largest number of replicas in a fleet.
-const ReplicasMost = 9
+const MaxReplicas = 9
 
 // Peer is one replica as all of them know it.
 type Peer struct {
@@ -72,8 +72,8 @@
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if len(c.Replicas) == 0 || len(c.Replicas) > ReplicasMost {
-		return fmt.Errorf("%d replicas are named, 1 to %d can be", len(c.Replicas), ReplicasMost)
+	if len(c.Replicas) == 0 || len(c.Replicas) > MaxReplicas {
+		return fmt.Errorf("%d replicas are named, 1 to %d can be", len(c.Replicas), MaxReplicas)
 	}
 	return c.checkPeers()
 }
--- a/internal/controlserver/cutoff_test.go
+++ b/internal/controlserver/cutoff_test.go
@@ -14,11 +14,11 @@
 	fleet := c.startProxies(24)
 	defer fleet.stop()
 	await(t, electTime, "all proxies watch", allWatch(client, len(fleet.proxies)))
-	c.cutRegion("ap", faultnet.Weather{Cut: true})
+	c.cutRegion("ap", faultnet.Conditions{Blocked: true})
 	await(t, electTime, "those of the region are taken for gone", func() (string, bool) {
 		status, err := client.Status(context.Background(), 0, false)
-		return "all are counted", err == nil && status.Summary.Concerned < len(fleet.proxies)
+		return "all are counted", err == nil && status.Summary.Targeted < len(fleet.proxies)
 	})
-	c.cutRegion("ap", faultnet.Weather{})
+	c.cutRegion("ap", faultnet.Conditions{})
 	await(t, electTime, "all are counted again", allWatch(client, len(fleet.proxies)))
 }
--- a/internal/controlserver/defects_test.go
+++ b/internal/controlserver/defects_test.go
@@ -88,7 +88,7 @@
 			return fmt.Sprint(err), false
 		}
 		entry, count = history.Revisions[0], fleet.refused(accepted.Number)
-		return fmt.Sprintf("%s, refused by %d", entry.Stage, count), entry.Stage == control.Held || count == len(fleet.proxies)
+		return fmt.Sprintf("%s, refused by %d", entry.Stage, count), entry.Stage == control.StageHeld || count == len(fleet.proxies)
 	})
 	time.Sleep(time.Second) // whoever is still to get it has it now
 	for _, proxy := range fleet.proxies {
@@ -103,7 +103,7 @@
 func allWatch(client *controlclient.Client, count int) func() (string, bool) {
 	return func() (string, bool) {
 		status, err := client.Status(context.Background(), 0, false)
-		return fmt.Sprint(status.Summary.Concerned, " ", err), status.Summary.Concerned == count
+		return fmt.Sprint(status.Summary.Targeted, " ", err), status.Summary.Targeted == count
 	}
 }
 
@@ -132,7 +132,7 @@
 func TestARefusedRevisionStopsAtItsCanaries(t *testing.T) {
 	t.Parallel()
 	count, entry := refusedBy(t, false)
-	if count == 0 || count > canariesMost || entry.Stage != control.Held || entry.HeldReason == "" {
+	if count == 0 || count > canariesMost || entry.Stage != control.StageHeld || entry.HeldReason == "" {
 		t.Errorf("refused by %d, %+v", count, entry)
 	}
 }
--- a/internal/controlserver/driver.go
+++ b/internal/controlserver/driver.go
@@ -43,15 +43,15 @@
 		s.leading = leading
 		log.Printf("msg=control_leading leads=%t term=%d", leading, s.node.Term())
 		if leading {
-			s.guard.Learn(s.now(), s.view)
+			s.guard.ResetFromFleet(s.now(), s.view)
 		}
 	}
 	if s.leading {
 		for _, name := range silent {
-			s.view.ReplicaGone(now, name)
+			s.view.RecordReplicaLost(now, name)
 		}
 	}
-	s.view.Forget(now)
+	s.view.RemoveExpired(now)
 }
 
 // proposeDue proposes what follows from the proxies' reports, on the leader.
@@ -61,7 +61,7 @@
 	if !s.node.IsLeader() {
 		return
 	}
-	for _, command := range s.guard.Due(s.now(), s.node.State()) {
+	for _, command := range s.guard.PendingCommands(s.now(), s.node.State()) {
 		if err := s.node.Propose(command); err != nil {
 			log.Printf("msg=control_guard_not_proposed error=%q", err)
 		}
@@ -117,13 +117,13 @@
 	for _, id := range progress.Undecided {
 		s.resolve(id, control.Outcome{Err: errUndecided})
 	}
-	for _, context := range progress.Reads {
+	for _, context := range progress.ReadContexts {
 		if read := s.reads[string(context)]; read != nil {
 			close(read)
 			delete(s.reads, string(context))
 		}
 	}
-	if len(progress.Applied) > 0 || progress.Restored {
+	if len(progress.Applied) > 0 || progress.StateReplaced {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
--- a/internal/controlserver/faults_test.go
+++ b/internal/controlserver/faults_test.go
@@ -223,9 +223,9 @@
 
 func cutting(region string) func(*scene) func() {
 	return func(s *scene) func() {
-		s.cutRegion(region, faultnet.Weather{Cut: true})
+		s.cutRegion(region, faultnet.Conditions{Blocked: true})
 		time.Sleep(2 * faultTime)
-		return func() { s.cutRegion(region, faultnet.Weather{Delay: regionDelay}) }
+		return func() { s.cutRegion(region, faultnet.Conditions{Delay: regionDelay}) }
 	}
 }
 
@@ -233,25 +233,25 @@
 func oneWay(toLeader bool) func(*scene) func() {
 	return func(s *scene) func() {
 		leader := s.awaitLeader(s.operator)
-		set := func(there faultnet.Weather) {
+		set := func(there faultnet.Conditions) {
 			for i := range s.replicas {
 				if i == leader {
 					continue
 				}
-				back := faultnet.Weather{Delay: regionDelay}
+				back := faultnet.Conditions{Delay: regionDelay}
 				to, from := s.ways[[2]int{i, leader}], s.ways[[2]int{leader, i}]
 				if toLeader { // also what answers on connections that the leader made
-					to.Set(there, back)
-					from.Set(back, there)
+					to.SetConditions(there, back)
+					from.SetConditions(back, there)
 				} else {
-					to.Set(back, there)
-					from.Set(there, back)
+					to.SetConditions(back, there)
+					from.SetConditions(there, back)
 				}
 			}
 		}
-		set(faultnet.Weather{Cut: true})
+		set(faultnet.Conditions{Blocked: true})
 		time.Sleep(2 * faultTime)
-		return func() { set(faultnet.Weather{Delay: regionDelay}) }
+		return func() { set(faultnet.Conditions{Delay: regionDelay}) }
 	}
 }
 
@@ -397,7 +397,7 @@
 	for _, replica := range s.replicas {
 		await(s.t, electTime, replica.name+" knows all", func() (string, bool) {
 			client := operatorOf(s.t, replica.address)
-			client.Stale = true
+			client.AllowStale = true
 			own, err := historyOf(client)
 			return fmt.Sprintf("%d of %d revisions, %v", len(own), len(history), err), fmt.Sprint(own) == fmt.Sprint(history)
 		})
--- a/internal/controlserver/join_test.go
+++ b/internal/controlserver/join_test.go
@@ -39,7 +39,7 @@
 	}
 	c.awaitJoined(lost)
 	own := operatorOf(t, c.replicas[lost].address)
-	own.Stale = true
+	own.AllowStale = true
 	await(t, electTime, "it knows all", func() (string, bool) {
 		mine, err := historyOf(own)
 		return fmt.Sprint(len(mine), err), len(mine) == 5
--- a/internal/controlserver/process_test.go
+++ b/internal/controlserver/process_test.go
@@ -148,8 +148,8 @@
 type cluster struct {
 	t        *testing.T
 	replicas []*replicaProcess
-	ways     map[[2]int]*faultnet.Stream   // from a replica to another
-	doors    map[string][]*faultnet.Stream // from a region's proxies to the replicas
+	ways     map[[2]int]*faultnet.StreamForwarder   // from a replica to another
+	doors    map[string][]*faultnet.StreamForwarder // from a region's proxies to the replicas
 }
 
 var replicaRegions = []string{"eu", "eu", "us", "us", "ap"}
@@ -173,7 +173,7 @@
 // startCluster starts five replicas and ends them with the test.
 func startCluster(t *testing.T, seed uint64, defect string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, ways: map[[2]int]*faultnet.Stream{}, doors: map[string][]*faultnet.Stream{}}
+	c := &cluster{t: t, ways: map[[2]int]*faultnet.StreamForwarder{}, doors: map[string][]*faultnet.StreamForwarder{}}
 	folder := t.TempDir()
 	for i, region := range replicaRegions {
 		name := fmt.Sprintf("c%d", i+1)
@@ -196,8 +196,8 @@
 	return c
 }
 
-func (c *cluster) stream(target string, seed uint64) *faultnet.Stream {
-	stream, err := faultnet.NewStream(target, seed)
+func (c *cluster) stream(target string, seed uint64) *faultnet.StreamForwarder {
+	stream, err := faultnet.NewStreamForwarder(target, seed)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -284,20 +284,20 @@
 }
 
 // setWays changes the weather between two replicas, in both directions.
-func (c *cluster) setWays(i, j int, weather faultnet.Weather) {
-	c.ways[[2]int{i, j}].Set(weather, weather)
-	c.ways[[2]int{j, i}].Set(weather, weather)
+func (c *cluster) setWays(i, j int, weather faultnet.Conditions) {
+	c.ways[[2]int{i, j}].SetConditions(weather, weather)
+	c.ways[[2]int{j, i}].SetConditions(weather, weather)
 }
 
 // delayRegions puts a delay between the regions, in seconds one way.
 func (c *cluster) delayRegions(delay float64) {
 	for _, region := range []string{"eu", "us", "ap"} {
-		c.cutRegion(region, faultnet.Weather{Delay: delay})
+		c.cutRegion(region, faultnet.Conditions{Delay: delay})
 	}
 }
 
 // cutRegion changes the weather between a region and the others, for replicas and proxies.
-func (c *cluster) cutRegion(region string, weather faultnet.Weather) {
+func (c *cluster) cutRegion(region string, weather faultnet.Conditions) {
 	for i := range c.replicas {
 		for j := range i {
 			if (c.replicas[i].region == region) != (c.replicas[j].region == region) {
@@ -306,7 +306,7 @@
 		}
 		for from, doors := range c.doors {
 			if (c.replicas[i].region == region) != (from == region) {
-				doors[i].Set(weather, weather)
+				doors[i].SetConditions(weather, weather)
 			}
 		}
 	}
--- a/internal/controlserver/reads.go
+++ b/internal/controlserver/reads.go
@@ -179,11 +179,11 @@
 // showProxy merges what a proxy has. Where it is connected it said itself where it stands.
 func (s *Server) showProxy(identity revision.Identity, freshness controlapi.Freshness) (response controlapi.ShowResponse,
 	err error) {
-	if status, known := s.view.Proxy(identity.Proxy); known && identity.Region+identity.Zone+identity.Service == "" {
+	if status, known := s.view.Status(identity.Proxy); known && identity.Region+identity.Zone+identity.Service == "" {
 		identity = status.Identity
 	}
 	state := s.node.State()
-	held, err := state.Effective(identity)
+	held, err := state.ReleasedDocuments(identity)
 	if err != nil {
 		return response, err
 	}
@@ -195,7 +195,7 @@
 		response.Number = max(response.Number, one.Number)
 	}
 	response.Checksum = revision.Checksum(response.Document)
-	response.Origins, err = state.Explain(identity)
+	response.Origins, err = state.ValueOrigins(identity)
 	return response, err
 }
 
@@ -238,7 +238,7 @@
 	}
 	apply := control.ApplyCommand{Scope: request.Scope, Base: newest.Number, Document: request.Document}
 	if refusal := s.checkApply(apply); refusal != nil {
-		response.Check = refusal.Error()
+		response.Refusal = refusal.Error()
 	}
 	return response, nil
 }
@@ -292,13 +292,13 @@
 	freshness controlapi.Freshness) (controlapi.StatusResponse, error) {
 	state := s.node.State()
 	response := controlapi.StatusResponse{Fleet: s.config.Fleet, Replica: s.config.Name, Leader: s.peers[s.node.Leader()].Name,
-		Newest: state.Newest(), Replicas: replicas, Freshness: freshness}
+		Newest: state.NewestNumber(), Replicas: replicas, Freshness: freshness}
 	for i := range replicas {
 		replicas[i].Leader = replicas[i].Name == response.Leader
-		replicas[i].Proxies = s.view.ConnectedAt(replicas[i].Name)
+		replicas[i].Proxies = s.view.CountConnectedAt(replicas[i].Name)
 	}
-	for _, status := range s.view.All() {
-		if status.Refused != 0 {
+	for _, status := range s.view.Statuses() {
+		if status.RefusedNumber != 0 {
 			response.Refusing = append(response.Refusing, status)
 		}
 		if proxies {
@@ -314,7 +314,7 @@
 		return response, apiError(&control.UnknownRevisionError{Number: number}, "")
 	}
 	entry.Document = nil
-	response.Asked = &entry
+	response.Requested = &entry
 	var err error
 	response.Summary, err = s.view.RevisionSummary(state, number)
 	return response, err
--- a/internal/controlserver/reports.go
+++ b/internal/controlserver/reports.go
@@ -44,7 +44,7 @@
 
 // noteOpen has the view show that a watch is open here.
 func (s *Server) noteOpen(session *control.Session) {
-	s.view.Opened(time.Now(), s.config.Name, session.Hello())
+	s.view.RecordWatchOpened(time.Now(), s.config.Name, session.Hello())
 	s.dirty[session.Identity().Proxy] = true
 }
 
@@ -57,7 +57,7 @@
 		return
 	}
 	delete(s.open, proxy)
-	s.view.Closed(time.Now(), s.config.Name, proxy)
+	s.view.RecordWatchClosed(time.Now(), s.config.Name, proxy)
 	s.dirty[proxy] = true
 }
 
@@ -66,15 +66,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	session := watch.session
-	if !session.Reported(report) {
+	if !session.HandleReport(report) {
 		return
 	}
 	watch.answers++
 	proxy := session.Identity().Proxy
-	s.view.Reported(time.Now(), s.config.Name, session.Hello(), report)
+	s.view.RecordReport(time.Now(), s.config.Name, session.Hello(), report)
 	s.dirty[proxy] = true
 	if s.node.IsLeader() {
-		s.guard.Reported(s.now(), proxy, report)
+		s.guard.RecordReport(s.now(), proxy, report)
 		s.rouse()
 	}
 }
@@ -124,7 +124,7 @@
 			break
 		}
 		delete(s.dirty, proxy)
-		if status, known := s.view.Proxy(proxy); known && status.Replica == s.config.Name {
+		if status, known := s.view.Status(proxy); known && status.Replica == s.config.Name {
 			batch.Statuses = append(batch.Statuses, status)
 		}
 	}
@@ -133,15 +133,15 @@
 
 // markAllDirty has all statuses of this replica's proxies told anew.
 func (s *Server) markAllDirty() {
-	s.view.Confirm(time.Now(), s.config.Name)
-	for _, status := range s.view.All() {
+	s.view.RefreshConnected(time.Now(), s.config.Name)
+	for _, status := range s.view.Statuses() {
 		if status.Replica == s.config.Name {
 			s.dirty[status.Identity.Proxy] = true
 		}
 	}
 }
 
-func (s *Server) connectedHere() int { return s.view.ConnectedAt(s.config.Name) }
+func (s *Server) connectedHere() int { return s.view.CountConnectedAt(s.config.Name) }
 
 // reportsLost has all be told anew.
 func (s *Server) reportsLost() {
@@ -188,7 +188,7 @@
 		return err
 	}
 	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, controlapi.BodyMost))
+	text, err := io.ReadAll(io.LimitReader(answer.Body, controlapi.MaxBodyBytes))
 	if err != nil {
 		return err
 	}
@@ -232,11 +232,11 @@
 			s.noteOpen(session) // it has ended there only: the other replica had a late word of it
 		}
 		for _, report := range reportsOf(status) {
-			s.guard.Reported(s.now(), status.Identity.Proxy, report)
+			s.guard.RecordReport(s.now(), status.Identity.Proxy, report)
 		}
 	}
 	s.rouse()
-	return reportsAnswer{Connected: s.view.ConnectedAt(replica)}
+	return reportsAnswer{Connected: s.view.CountConnectedAt(replica)}
 }
 
 // reportsOf gives the reports that a status came from.
@@ -244,8 +244,8 @@
 	if status.InForce != 0 {
 		reports = append(reports, revision.Report{Revision: status.InForce, Verdict: revision.InForce, Checksum: status.Checksum})
 	}
-	if status.Refused != 0 {
-		reports = append(reports, revision.Report{Revision: status.Refused, Verdict: revision.Refused, Reason: status.Reason})
+	if status.RefusedNumber != 0 {
+		reports = append(reports, revision.Report{Revision: status.RefusedNumber, Verdict: revision.Refused, Reason: status.RefusalReason})
 	}
 	return reports
 }
--- a/internal/controlserver/reports_test.go
+++ b/internal/controlserver/reports_test.go
@@ -23,7 +23,7 @@
 func showsOpen(server *Server) bool {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	status, known := server.view.Proxy("p1")
+	status, known := server.view.Status("p1")
 	return known && status.Connected && status.Replica == "c1"
 }
 
@@ -44,10 +44,10 @@
 	server, _ := startAlone(t, nil)
 	session := watchOf(t)
 	server.opened(session)
-	elsewhere := control.ProxyStatus{Identity: session.Identity(), Replica: "c2", Connected: true, At: time.Now().Add(time.Second)}
+	elsewhere := control.ProxyStatus{Identity: session.Identity(), Replica: "c2", Connected: true, UpdatedAt: time.Now().Add(time.Second)}
 	server.mergeReports("c2", []control.ProxyStatus{elsewhere})
 	elsewhere.Connected = false
-	elsewhere.At = elsewhere.At.Add(time.Second)
+	elsewhere.UpdatedAt = elsewhere.UpdatedAt.Add(time.Second)
 	server.mergeReports("c2", []control.ProxyStatus{elsewhere})
 	if !showsOpen(server) {
 		t.Error("the proxy counts as gone though its watch is open here")
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -26,13 +26,13 @@
 
 const (
 	// WatchesMost is how many proxies may watch one replica.
-	WatchesMost = 4096
+	MaxWatches = 4096
 	// WholeBytesRate is how many bytes a second of whole configurations a replica sends, over all its watches.
-	WholeBytesRate = 8 << 20
+	FullUpdateBytesPerSecond = 8 << 20
 	// WholeBytesBurst is how many of them it sends at once after a pause.
-	WholeBytesBurst = 2 << 20
+	FullUpdateBurstBytes = 2 << 20
 
-	connectionsMost = WatchesMost + 512
+	connectionsMost = MaxWatches + 512
 	headerMost      = 16 << 10         // bytes of a request's header
 	headerTime      = 5 * time.Second  // for a request's header to come
 	bodyTime        = 10 * time.Second // for a request's body to come
@@ -49,7 +49,7 @@
 	id        uint64
 	peers     map[uint64]Peer // by identifier, this replica too
 	storage   Storage
-	check     control.Checker
+	check     control.ConfigChecker
 	listener  net.Listener
 	http      *http.Server
 	transport *transport
@@ -58,8 +58,8 @@
 	mu       sync.Mutex // guards what follows
 	node     *control.Node
 	view     *control.FleetView
-	guard    *control.Guard
-	pacer    *control.Pacer
+	guard    *control.CanaryController
+	pacer    *control.TokenBucket
 	changed  chan struct{}                   // closed at each change of the state
 	outcomes map[string]chan control.Outcome // of commands that were proposed here, by ID
 	reads    map[string]chan struct{}        // of linearizable reads, by context
@@ -97,10 +97,10 @@
 }
 
 // newServer makes a replica on a storage.
-func newServer(config *Config, storage Storage, check control.Checker) (*Server, error) {
+func newServer(config *Config, storage Storage, check control.ConfigChecker) (*Server, error) {
 	s := &Server{config: config, id: replicaID(config.Fleet, config.Name), peers: map[uint64]Peer{}, storage: storage, check: check,
-		started: time.Now(), led: time.Now(), view: control.NewFleetView(), guard: control.NewGuard(control.GuardConfig{}),
-		pacer: control.NewPacer(WholeBytesRate, WholeBytesBurst), changed: make(chan struct{}),
+		started: time.Now(), led: time.Now(), view: control.NewFleetView(), guard: control.NewCanaryController(control.CanaryConfig{}),
+		pacer: control.NewTokenBucket(FullUpdateBytesPerSecond, FullUpdateBurstBytes), changed: make(chan struct{}),
 		outcomes: map[string]chan control.Outcome{}, reads: map[string]chan struct{}{}, dirty: map[string]bool{},
 		open: map[string]*control.Session{},
 		wake: make(chan struct{}, 1), failed: make(chan error, 1), stop: make(chan struct{})}
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -163,7 +163,7 @@
 	server, client := startAlone(t, nil)
 	awaitReady(t, client)
 	server.mu.Lock()
-	server.watches = WatchesMost
+	server.watches = MaxWatches
 	server.mu.Unlock()
 	if answer, _ := openWatch(t, server, goodHello); answer.StatusCode != http.StatusServiceUnavailable {
 		t.Error(answer.Status)
@@ -208,7 +208,7 @@
 func TestBadMessagesBetweenReplicasChangeNothing(t *testing.T) {
 	t.Parallel()
 	server, client := startAlone(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
-	client.Stale = true
+	client.AllowStale = true
 	awaitReady(t, client)
 	stranger, err := proto.Marshal(&raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: proto.Uint64(99), Term: proto.Uint64(9)})
 	if err != nil {
@@ -247,7 +247,7 @@
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if leader, proxies := server.node.Leader(), server.view.All(); leader != 0 || len(proxies) != 0 {
+	if leader, proxies := server.node.Leader(), server.view.Statuses(); leader != 0 || len(proxies) != 0 {
 		t.Errorf("leader %d, %v", leader, proxies)
 	}
 }
@@ -264,7 +264,7 @@
 		fmt.Sprintf(good, "2", `[]`):         controlapi.KindBadRequest,
 		strings.Replace(fmt.Sprintf(good, "3", "{}"), "fleet", "rack:1", 1):             controlapi.KindBadRequest,
 		strings.Replace(fmt.Sprintf(good, "4", "{}"), `"r"`, `"r\nr"`, 1):               controlapi.KindBadRequest,
-		strings.Repeat(" ", controlapi.BodyMost+1) + "{}":                               controlapi.KindBadRequest,
+		strings.Repeat(" ", controlapi.MaxBodyBytes+1) + "{}":                           controlapi.KindBadRequest,
 		fmt.Sprintf(good, "5", `{"listen":"127.0.0.1:1"}`):                              controlapi.KindRefused,
 		fmt.Sprintf(good, "6", `{"settings":{"tick_ms":"soon"}}`):                       controlapi.KindRefused,
 		strings.Replace(fmt.Sprintf(good, "7", "{}"), `"base":0`, `"base":3`, 1):        controlapi.KindNotFound,
@@ -316,7 +316,7 @@
 	if _, err := client.Apply(ctx, request); kindOf(err) != controlapi.KindNoQuorum {
 		t.Errorf("%v", err)
 	}
-	client.Stale = true
+	client.AllowStale = true
 	status, err := client.Status(context.Background(), 0, false)
 	if err != nil || !status.Stale || status.AgeSeconds < 0.5 || len(status.Replicas) != 3 {
 		t.Errorf("%+v, %v", status, err)
@@ -381,7 +381,7 @@
 			t.Fatal(err)
 		}
 	}
-	if newest := node.State().Newest(); int(newest) < accepted {
+	if newest := node.State().NewestNumber(); int(newest) < accepted {
 		t.Errorf("after %d: %d accepted, %d are on the disk", after, accepted, newest)
 	}
 	again.Close()
--- a/internal/controlserver/storage.go
+++ b/internal/controlserver/storage.go
@@ -15,7 +15,7 @@
 // on the disk is then not known.
 type Storage interface {
 	// Load reads all that was saved. An error means that the record is damaged or belongs to somebody else.
-	Load() (control.Persisted, error)
+	Load() (control.PersistedState, error)
 	// Save writes a work's snapshot, compaction, hard state and entries, all of them or none; once it returns nil they
 	// outlive the machine's power.
 	Save(control.Work) error
--- a/internal/controlserver/storage_test.go
+++ b/internal/controlserver/storage_test.go
@@ -50,7 +50,7 @@
 	save(t, storage,
 		control.Work{HardState: hardState(1, 0), Entries: []*raftpb.Entry{entry(1, 1, "a"), entry(1, 2, "b"), entry(1, 3, "c")}},
 		control.Work{HardState: hardState(2, 2), Entries: []*raftpb.Entry{entry(2, 3, "d"), entry(2, 4, "e")}}, // 3 is replaced
-		control.Work{Compaction: &control.Compaction{Snapshot: snapshot(1, 2, "state"), FirstKept: 3}})
+		control.Work{Compaction: &control.Compaction{Snapshot: snapshot(1, 2, "state"), FirstRetainedIndex: 3}})
 	storage.Close()
 	saved, err := openStorage(t, folder).Load()
 	if err != nil {
@@ -105,14 +105,14 @@
 }
 
 // loadText opens and loads a file with the text.
-func loadText(t testing.TB, text []byte) (control.Persisted, error) {
+func loadText(t testing.TB, text []byte) (control.PersistedState, error) {
 	folder := t.TempDir()
 	if err := os.WriteFile(filepath.Join(folder, storageFile), text, fileMode); err != nil {
 		t.Fatal(err)
 	}
 	storage, err := OpenStorage(folder, "shop", "c1")
 	if err != nil {
-		return control.Persisted{}, err
+		return control.PersistedState{}, err
 	}
 	defer storage.Close()
 	return storage.Load()
--- a/internal/controlserver/transport.go
+++ b/internal/controlserver/transport.go
@@ -101,9 +101,9 @@
 func (t *transport) lost(link *peerLink, message *raftpb.Message) {
 	t.server.mu.Lock()
 	defer t.server.mu.Unlock()
-	t.server.node.Unreachable(link.id)
+	t.server.node.ReportUnreachable(link.id)
 	if message != nil && message.GetType() == raftpb.MsgSnap {
-		t.server.node.SnapshotSent(link.id, false)
+		t.server.node.ReportSnapshot(link.id, false)
 	}
 	t.server.rouse()
 }
@@ -211,7 +211,7 @@
 	}
 	if message.GetType() == raftpb.MsgSnap {
 		t.server.mu.Lock()
-		t.server.node.SnapshotSent(link.id, err == nil)
+		t.server.node.ReportSnapshot(link.id, err == nil)
 		t.server.mu.Unlock()
 	}
 	return err
--- a/internal/controlserver/watch.go
+++ b/internal/controlserver/watch.go
@@ -74,7 +74,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.watches >= WatchesMost {
+	if s.watches >= MaxWatches {
 		return false
 	}
 	s.watches++
@@ -97,7 +97,7 @@
 		return hello, nil, fmt.Errorf("hello: %w", err)
 	}
 	if hello.Identity.Fleet != s.config.Fleet {
-		return hello, nil, &control.FleetError{Fleet: fmt.Sprintf("%.128s", hello.Identity.Fleet), Want: s.config.Fleet}
+		return hello, nil, &control.FleetMismatchError{Fleet: fmt.Sprintf("%.128s", hello.Identity.Fleet), Want: s.config.Fleet}
 	}
 	hello.Protocol = min(hello.Protocol, revision.Protocol) // a newer proxy is answered as this replica can
 	session, err = control.NewSession(hello)
@@ -204,11 +204,11 @@
 func (w *watch) next() (*revision.Update, <-chan struct{}, error) {
 	w.server.mu.Lock()
 	defer w.server.mu.Unlock()
-	update, err := w.session.Next(w.server.node.State())
+	update, err := w.session.NextUpdate(w.server.node.State())
 	if update != nil {
 		w.sent++
 	}
-	var ahead *control.AheadError
+	var ahead *control.ReplicaBehindError
 	if errors.As(err, &ahead) {
 		err = nil // this replica learns of it in a moment, or is cut off
 	}
@@ -246,11 +246,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if s.pacer.Take(now, bytes) {
+	if s.pacer.TryTake(now, bytes) {
 		return 0, true
 	}
 	const least = time.Millisecond
-	return max(least, time.Duration((s.pacer.Next(now, bytes)-now)*float64(time.Second))), false
+	return max(least, time.Duration((s.pacer.EarliestTime(now, bytes)-now)*float64(time.Second))), false
 }
 
 // write sends one line, nil for an empty one. A proxy that does not take it in time is dropped.
--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -16,7 +16,7 @@
 
 // burden is what a backend bears: of faults, and of a machine that has fallen silent.
 type burden struct {
-	faults.Burden
+	faults.Impairment
 	silent bool
 }
 
@@ -69,19 +69,19 @@
 	return r
 }
 
-func (d *Day) newBackend(tier, place int, speed float64) *backend {
+func (d *Simulation) newBackend(tier, place int, speed float64) *backend {
 	t := &d.w.Tiers[tier]
 	zone := place % d.w.Zones
 	b := &backend{serial: len(d.backends), tier: tier, place: place, zone: zone,
 		cell: place/d.w.Zones/t.CellSize*d.w.Zones + zone, speed: speed, alive: true, next: math.Inf(1), doneAt: d.now}
-	b.size = t.Cores * (1 + t.Nominal*(speed-1))
+	b.size = t.Cores * (1 + t.WeightFidelity*(speed-1))
 	binary.BigEndian.PutUint32(b.id[:4], uint32(b.serial))
 	b.id[4], b.id[5] = byte(tier), 1
 	d.backends = append(d.backends, b)
 	return b
 }
 
-func (d *Day) named(id balance.BackendID) *backend {
+func (d *Simulation) named(id balance.BackendID) *backend {
 	n := int(binary.BigEndian.Uint32(id[:4]))
 	if n <= 0 || n >= len(d.backends) {
 		return nil
@@ -97,19 +97,19 @@
 	return b
 }
 
-func (d *Day) tierOf(b *backend) *Tier { return &d.w.Tiers[b.tier] }
+func (d *Simulation) tierOf(b *backend) *Tier { return &d.w.Tiers[b.tier] }
 
 // warmth is the part of its capacity that it has, and whether that still grows.
-func (d *Day) warmth(b *backend) (float64, bool) {
+func (d *Simulation) warmth(b *backend) (float64, bool) {
 	r := &d.w.Rules
-	if b.started <= 0 || d.now-b.started >= r.ColdSpan {
+	if b.started <= 0 || d.now-b.started >= r.WarmUp {
 		return 1, false
 	}
-	return r.ColdShare + (1-r.ColdShare)*(d.now-b.started)/r.ColdSpan, true
+	return r.ColdShare + (1-r.ColdShare)*(d.now-b.started)/r.WarmUp, true
 }
 
 // retake counts what was done until now, takes the rate anew and asks for the next end.
-func (d *Day) retake(b *backend) {
+func (d *Simulation) retake(b *backend) {
 	b.done += b.rate * (d.now - b.doneAt)
 	b.doneAt = d.now
 	n, t := len(b.jobs), d.tierOf(b)
@@ -119,7 +119,7 @@
 	}
 	warm, grows := d.warmth(b)
 	held := float64(n+b.calling+len(b.waiting)) / t.Cores
-	b.rate = b.speed * min(1, t.Cores/float64(n)) * warm * (1 - b.burden.Slow) / (1 + t.Choke*max(0, held-t.ChokeFrom))
+	b.rate = b.speed * min(1, t.Cores/float64(n)) * warm * (1 - b.burden.Slow) / (1 + t.OverloadLoss*max(0, held-t.OverloadFrom))
 	if b.burden.Hang || !b.alive {
 		b.rate = 0
 	}
@@ -138,13 +138,13 @@
 	}
 }
 
-func (d *Day) refreshed(b *backend) {
+func (d *Simulation) refreshed(b *backend) {
 	b.refreshing = false
 	d.retake(b)
 }
 
 // finished ends the part of work that is due, if it is.
-func (d *Day) finished(b *backend) {
+func (d *Simulation) finished(b *backend) {
 	if b.next > d.now { // an older one, overtaken
 		return
 	}
@@ -158,11 +158,11 @@
 }
 
 // through is called when a part of a command's work is done: a call follows, or the end.
-func (d *Day) through(b *backend, r *relay) {
+func (d *Simulation) through(b *backend, r *relay) {
 	v := &d.w.Verbs[r.verb]
 	if b.own != nil && b.tier < len(v.Calls) && r.calls < v.Calls[b.tier] {
 		if d.now >= r.expires { // nobody waits any more, though word of that has not come
-			r.blame, r.blamed = checker.Loss{Where: checker.Work, Tier: b.tier}, true
+			r.blame, r.blamed = checker.Loss{Place: checker.Work, Tier: b.tier}, true
 			d.leave(b, r, balance.Errored)
 			return
 		}
@@ -174,32 +174,32 @@
 	}
 	d.ran(b, r)
 	result := balance.Answered
-	if r.breaks || b.burden.Spoil > 0 && draw(r.seed, 3) < b.burden.Spoil {
+	if r.breaks || b.burden.LoseAnswers > 0 && draw(r.seed, 3) < b.burden.LoseAnswers {
 		result = balance.Reset
 	}
 	d.leave(b, r, result)
 }
 
-func (d *Day) ran(b *backend, r *relay) {
+func (d *Simulation) ran(b *backend, r *relay) {
 	v := &d.verbs[r.verb]
 	r.made = true
-	d.judge.Executed(d.now, r.sent, r.op, checker.Effect(v.Effect), checker.Scope(v.Scope), v.DedupWindow, b.zone, b.cell)
+	d.judge.EffectExecuted(d.now, r.sent, r.op, checker.Effect(v.Effect), checker.Scope(v.Scope), v.DedupWindow, b.zone, b.cell)
 }
 
 // leave sends a command's outcome back and lets in the next that waits.
-func (d *Day) leave(b *backend, r *relay, result balance.Result) {
+func (d *Simulation) leave(b *backend, r *relay, result balance.Result) {
 	r.state = returning
 	d.back(r, result)
 	d.letIn(b)
 	d.release(r)
 }
 
-func (d *Day) letIn(b *backend) {
+func (d *Simulation) letIn(b *backend) {
 	for len(b.waiting) > 0 && len(b.jobs)+b.calling < d.tierOf(b).Slots {
 		r := b.waiting[0]
 		copy(b.waiting, b.waiting[1:])
 		b.waiting = b.waiting[:len(b.waiting)-1]
-		if d.now >= r.expires && d.tierOf(b).MindsLimit {
+		if d.now >= r.expires && d.tierOf(b).RejectsExpired {
 			r.state = returning
 			d.back(r, balance.Full)
 			d.release(r)
@@ -210,7 +210,7 @@
 }
 
 // connect is a new connection at its backend's machine.
-func (d *Day) connect(r *relay) {
+func (d *Simulation) connect(r *relay) {
 	if r.told { // closed before it was up: nothing was sent
 		r.state = over
 		return
@@ -219,8 +219,8 @@
 	r.b = b
 	switch {
 	case b.burden.silent:
-		d.answerAt(r, max(d.now, r.sent+d.w.Rules.Connect), balance.ConnectFailed)
-	case !b.alive, float64(b.conns) >= float64(d.tierOf(b).Connections)*(1-b.burden.Table):
+		d.answerAt(r, max(d.now, r.sent+d.w.Rules.ConnectTimeout), balance.ConnectFailed)
+	case !b.alive, float64(b.conns) >= float64(d.tierOf(b).Connections)*(1-b.burden.TableFull):
 		d.back(r, balance.ConnectFailed)
 	default:
 		b.conns++
@@ -231,7 +231,7 @@
 }
 
 // arrive is a command whose last byte is at its backend.
-func (d *Day) arrive(r *relay) {
+func (d *Simulation) arrive(r *relay) {
 	if r.dropped { // word that it is not wanted came first
 		r.state = over
 		return
@@ -278,9 +278,9 @@
 }
 
 // spoilt tells that a command fails wherever it is sent.
-func (d *Day) spoilt(b *backend, r *relay) bool {
-	for _, f := range d.during(faults.Spoilt) {
-		if f.Tier == b.tier && f.Keyed(r.key) {
+func (d *Simulation) spoilt(b *backend, r *relay) bool {
+	for _, f := range d.during(faults.FailingKeys) {
+		if f.Tier == b.tier && f.HitsKey(r.key) {
 			return true
 		}
 	}
@@ -288,10 +288,10 @@
 }
 
 // unable tells that a backend fails a command for its verb, which others do.
-func (d *Day) unable(b *backend, r *relay) bool {
-	for i, f := range d.during(faults.Unable) {
+func (d *Simulation) unable(b *backend, r *relay) bool {
+	for i, f := range d.during(faults.FailingVerb) {
 		if uint64(r.verb) == f.Seed%uint64(len(d.w.Verbs)) &&
-			slices.Contains(d.targets[i], b) && draw(r.seed, 21) < f.At(d.now) {
+			slices.Contains(d.targets[i], b) && draw(r.seed, 21) < f.SeverityAt(d.now) {
 			return true
 		}
 	}
@@ -299,12 +299,12 @@
 }
 
 // begin takes a command into work. Work is cut evenly by the calls that it makes.
-func (d *Day) begin(b *backend, r *relay) {
+func (d *Simulation) begin(b *backend, r *relay) {
 	r.began = d.now
-	if t := d.tierOf(b); t.KeySaves > 0 && r.key != 0 {
+	if t := d.tierOf(b); t.CacheSaving > 0 && r.key != 0 {
 		k := warmKey{b.tier, b.cell, r.key}
-		if met, ok := d.met[k]; ok && d.now < met+t.KeyLife {
-			r.work *= 1 - t.KeySaves
+		if met, ok := d.met[k]; ok && d.now < met+t.CacheLifetime {
+			r.work *= 1 - t.CacheSaving
 		}
 		d.met[k] = d.now
 	}
@@ -320,10 +320,10 @@
 }
 
 // turn is when a command may go on that has to wait for a lock behind its tier, or now.
-func (d *Day) turn(b *backend, r *relay) float64 {
+func (d *Simulation) turn(b *backend, r *relay) float64 {
 	at := d.now
-	for i, f := range d.during(faults.Lock) {
-		if f.Tier == b.tier && f.Keyed(r.key) {
+	for i, f := range d.during(faults.LockedKeys) {
+		if f.Tier == b.tier && f.HitsKey(r.key) {
 			at = max(at, d.turns[i])
 			d.turns[i] = at + f.Hard
 		}
@@ -332,14 +332,14 @@
 }
 
 // unlocked has a command go on whose turn has come, unless it was dropped meanwhile.
-func (d *Day) unlocked(b *backend, r *relay) {
+func (d *Simulation) unlocked(b *backend, r *relay) {
 	if r.state == locked && d.unlock(b, r) {
 		d.goOn(b, r)
 	}
 }
 
 // unlock takes a command out of those that wait in their slots, if its backend still holds it.
-func (d *Day) unlock(b *backend, r *relay) bool {
+func (d *Simulation) unlock(b *backend, r *relay) bool {
 	for i, x := range b.locked {
 		if x == r {
 			b.locked = append(b.locked[:i], b.locked[i+1:]...)
@@ -350,7 +350,7 @@
 	return false
 }
 
-func (d *Day) goOn(b *backend, r *relay) {
+func (d *Simulation) goOn(b *backend, r *relay) {
 	b.done += b.rate * (d.now - b.doneAt)
 	b.doneAt = d.now
 	parts := 1
@@ -364,7 +364,7 @@
 
 // push counts the work that reaches a cold backend, and has it fall where that is too much. Each command counts as the
 // mean of its verb: nobody can know that one is a hundred times as heavy, and one is no crowd.
-func (d *Day) push(b *backend, r *relay) {
+func (d *Simulation) push(b *backend, r *relay) {
 	warm, cold := d.warmth(b)
 	if !cold {
 		return
@@ -375,7 +375,7 @@
 	if r.to != b { // it named who was there before: nobody could know
 		from = -1
 	}
-	d.judge.ReachedWarmingUp(d.now, b.serial, from, work, capacity, b.started)
+	d.judge.ColdBackendReached(d.now, b.serial, from, work, capacity, b.started)
 	b.recent = append(b.recent, arrived{d.now, work})
 	b.pushed += work
 	for b.recent[0].at < d.now-rules.ColdWindow {
@@ -389,7 +389,7 @@
 }
 
 // cancelled is word at a backend that nobody waits for a command any more: its connection has closed.
-func (d *Day) cancelled(r *relay) {
+func (d *Simulation) cancelled(r *relay) {
 	b := r.b
 	r.dropped = true
 	if r.conn != nil {
@@ -401,12 +401,12 @@
 	}
 	switch r.state {
 	case inQueue:
-		if !b.burden.Deaf {
+		if !b.burden.IgnoresCancels {
 			d.unqueue(b, r)
 			d.release(r)
 		}
 	case working:
-		if d.tierOf(b).CancelStops && !b.burden.Deaf {
+		if d.tierOf(b).CancelStops && !b.burden.IgnoresCancels {
 			b.done += b.rate * (d.now - b.doneAt)
 			b.doneAt = d.now
 			heap.Remove(&b.jobs, r.index)
@@ -416,13 +416,13 @@
 			d.release(r)
 		}
 	case locked:
-		if d.tierOf(b).CancelStops && !b.burden.Deaf && d.unlock(b, r) {
+		if d.tierOf(b).CancelStops && !b.burden.IgnoresCancels && d.unlock(b, r) {
 			r.state = over
 			d.letIn(b)
 			d.release(r)
 		}
 	case calling:
-		if d.tierOf(b).CancelStops && !b.burden.Deaf {
+		if d.tierOf(b).CancelStops && !b.burden.IgnoresCancels {
 			b.calling--
 			r.state = over
 			d.hangUp(b.own, r.callID)
@@ -433,7 +433,7 @@
 	}
 }
 
-func (d *Day) unqueue(b *backend, r *relay) {
+func (d *Simulation) unqueue(b *backend, r *relay) {
 	for i, x := range b.waiting {
 		if x == r {
 			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
@@ -444,7 +444,7 @@
 }
 
 // die ends a backend's process, or takes its machine off the network without a word.
-func (d *Day) die(b *backend, silent bool) {
+func (d *Simulation) die(b *backend, silent bool) {
 	if !b.alive {
 		return
 	}
@@ -480,7 +480,7 @@
 }
 
 // liveRelays are those that wait for the next tier, in the order in which they were sent.
-func (d *Day) liveRelays(b *backend) []*relay {
+func (d *Simulation) liveRelays(b *backend) []*relay {
 	var all []*relay
 	if b.own == nil {
 		return nil
@@ -494,7 +494,7 @@
 }
 
 // revive starts a backend's process again: cold, under its own name.
-func (d *Day) revive(b *backend) {
+func (d *Simulation) revive(b *backend) {
 	if b.alive || b.gone {
 		return
 	}
@@ -513,7 +513,7 @@
 }
 
 // replace puts a new backend in the place of one, that one being drained first or not; at its address where takeover.
-func (d *Day) replace(b *backend, takeover bool) {
+func (d *Simulation) replace(b *backend, takeover bool) {
 	if b.gone || d.tiers[b.tier][b.place] != b {
 		return
 	}
@@ -537,7 +537,7 @@
 		return
 	}
 	d.announce(b, balance.Draining)
-	d.later(d.now+d.w.Rules.Drain, func() {
+	d.later(d.now+d.w.Rules.DrainTime, func() {
 		d.die(b, false)
 		b.gone = true
 		d.announceGone(b)
@@ -545,14 +545,14 @@
 	})
 }
 
-func (d *Day) announceGone(b *backend) {
+func (d *Simulation) announceGone(b *backend) {
 	if !b.alive {
 		d.announce(b, balance.Gone)
 	}
 }
 
 // Look is Sight: it shows the true state to the policy that is to be the oracle.
-func (x *instance) Look(to balance.BackendID) (open bool, wait, speed, crowd float64) {
+func (x *instance) BackendState(to balance.BackendID) (open bool, wait, speed, crowd float64) {
 	d := x.d
 	b := d.named(to)
 	if b == nil {
@@ -566,14 +566,14 @@
 	if !b.alive || b.burden.silent || b.burden.Hang {
 		return false, 0, 0, 0
 	}
-	open = speed > 0 && b.burden.Errors+b.burden.Refuse+b.burden.Spoil < 0.5 &&
+	open = speed > 0 && b.burden.Errors+b.burden.Refuse+b.burden.LoseAnswers < 0.5 &&
 		(len(b.waiting) < t.Queue || len(b.jobs)+b.calling < t.Slots)
-	open = open && (float64(b.conns) < float64(t.Connections)*(1-b.burden.Table) || x.link(b).idle > 0)
+	open = open && (float64(b.conns) < float64(t.Connections)*(1-b.burden.TableFull) || x.link(b).idle > 0)
 	open = open && d.passes(x.zone, b.zone) && d.passes(b.zone, x.zone)
 	work := 0.0
 	for i := range d.w.Verbs {
 		work += d.w.Verbs[i].Work[b.tier]
 	}
 	work /= float64(len(d.w.Verbs))
-	return open, float64(held) * work / (t.Cores * max(speed, 1e-6)), speed, float64(held) / t.Cores / max(t.ChokeFrom, 1e-6)
+	return open, float64(held) * work / (t.Cores * max(speed, 1e-6)), speed, float64(held) / t.Cores / max(t.OverloadFrom, 1e-6)
 }
--- a/internal/emulator/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -11,7 +11,7 @@
 // day is a day of the size that the page on the emulator names: 300 instances, some thousand commands a second.
 func bigDay() emulator.World {
 	w := emulator.Default()
-	w.Length, w.Instances, w.Rate = 45, 60, 3000
+	w.Duration, w.Instances, w.Rate = 45, 60, 3000
 	w.Tiers[0].Backends, w.Tiers[1].Backends = 240, 60
 	return w
 }
@@ -26,7 +26,7 @@
 			b.Run(fmt.Sprintf("%s/peers=%v", name, peers), func(b *testing.B) {
 				w := bigDay()
 				w.Rules.Peers = peers
-				plan := faults.Draw(1, 3, w.Extent())
+				plan := faults.Random(1, 3, w.Bounds())
 				b.ReportAllocs()
 				events := uint64(0)
 				for b.Loop() {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -94,7 +94,7 @@
 }
 
 // openDoors starts the arrivals of each zone.
-func (d *Day) openDoors() {
+func (d *Simulation) openDoors() {
 	for range d.w.Customers {
 		d.accounts = append(d.accounts, bucket{})
 	}
@@ -105,30 +105,30 @@
 }
 
 // rate is how many commands a second come in a zone now, in all and of floods alone.
-func (d *Day) rate(zone int) (all, flood float64) {
+func (d *Simulation) rate(zone int) (all, flood float64) {
 	base := d.w.CommandRate() / float64(d.w.Zones)
-	level, shift, gets := 1+d.w.Swing*math.Sin(2*math.Pi*d.now/d.w.Wave), 1.0, 0.0
+	level, shift, gets := 1+d.w.LoadSwing*math.Sin(2*math.Pi*d.now/d.w.SwingPeriod), 1.0, 0.0
 	for i, f := range d.plan {
 		if !d.active[i] {
 			continue
 		}
-		switch hard := f.At(d.now); f.Kind {
-		case faults.Burst:
+		switch hard := f.SeverityAt(d.now); f.Kind {
+		case faults.LoadBurst:
 			level += hard
-		case faults.Shift:
+		case faults.ZoneShift:
 			if f.Zone == zone {
 				gets += hard * float64(d.w.Zones-1)
 			} else {
 				shift *= 1 - hard
 			}
-		case faults.Flood:
+		case faults.CustomerFlood:
 			flood += base * hard * d.share(f.Zone)
 		}
 	}
 	return base*level*(shift+gets) + flood, flood
 }
 
-func (d *Day) share(customer int) float64 {
+func (d *Simulation) share(customer int) float64 {
 	sum := 0.0
 	for _, c := range d.w.Customers {
 		sum += c.Share
@@ -137,8 +137,8 @@
 }
 
 // arrival is one command coming from a zone, or a moment to look at the rate again.
-func (d *Day) arrival(zone int) {
-	if d.now >= d.w.Length {
+func (d *Simulation) arrival(zone int) {
+	if d.now >= d.w.Duration {
 		return
 	}
 	chance := d.arrivals[zone]
@@ -150,7 +150,7 @@
 	}
 	at := d.now + gap
 	d.queue.push(onArrival, event{at: at, n: uint64(zone)})
-	if at >= d.w.Length {
+	if at >= d.w.Duration {
 		return
 	}
 	o := d.newOperation()
@@ -169,16 +169,16 @@
 	if len(d.w.Customers) > 0 {
 		rate := d.w.Customers[o.customer].Allowance * d.w.CommandRate()
 		if !d.accounts[o.customer].take(at, rate, max(1, rate)) {
-			o.worth *= d.w.Clients.Over
+			o.worth *= d.w.Clients.OverageUtility
 		}
 	}
 	if o.counts = at >= d.w.Warmup; o.counts {
-		d.judge.Asked(at, o.customer, o.worth)
+		d.judge.OperationRequested(at, o.customer, o.worth)
 	}
 	o.holds++
 	d.queue.push(onTry, event{at: at, o: o})
-	early := d.w.Clients.Early
-	for _, f := range d.during(faults.Rude) {
+	early := d.w.Clients.EarlyLeaveShare
+	for _, f := range d.during(faults.ClientsLeave) {
 		early += f.Hard
 	}
 	if draw(o.seed, 15) < early {
@@ -204,16 +204,16 @@
 }
 
 // flooder is the customer of a command that a flood has brought.
-func (d *Day) flooder(u float64) int {
+func (d *Simulation) flooder(u float64) int {
 	var who []int
 	var hard []float64
-	for _, f := range d.during(faults.Flood) {
-		who, hard = append(who, f.Zone), append(hard, f.At(d.now)*d.share(f.Zone))
+	for _, f := range d.during(faults.CustomerFlood) {
+		who, hard = append(who, f.Zone), append(hard, f.SeverityAt(d.now)*d.share(f.Zone))
 	}
 	return who[weighted(u, len(who), func(i int) float64 { return hard[i] })]
 }
 
-func (d *Day) newOperation() *operation {
+func (d *Simulation) newOperation() *operation {
 	d.opsMade++
 	if n := len(d.ops); n > 0 {
 		o := d.ops[n-1]
@@ -224,20 +224,20 @@
 	return &operation{holds: 1}
 }
 
-func (d *Day) drop(o *operation) {
+func (d *Simulation) drop(o *operation) {
 	if o.holds--; o.holds == 0 {
 		d.ops = append(d.ops, o)
 	}
 }
 
 // client schedules something with an operation.
-func (d *Day) client(k kind, at float64, o *operation, a int32, n uint64) {
+func (d *Simulation) client(k kind, at float64, o *operation, a int32, n uint64) {
 	o.holds++
 	d.queue.push(k, event{at: at, o: o, gen: o.try, a: a, n: n})
 }
 
 // try sends an operation to an instance, as a new command.
-func (d *Day) try(o *operation) {
+func (d *Simulation) try(o *operation) {
 	if o.done {
 		return
 	}
@@ -249,23 +249,23 @@
 		x = d.fronts[(o.zone+z)%len(d.fronts)].choose(d.clientChance.Float64())
 	}
 	if x == nil {
-		o.loss = checker.Loss{How: checker.Unreached}
+		o.loss = checker.Loss{Cause: checker.Unreached}
 		d.client(onReply, d.now+d.w.Net.Client, o, int32(unreached), 0)
 		return
 	}
 	v := &d.w.Verbs[o.verb]
 	at := min(d.now+d.w.Clients.TryShare*v.Limit, o.due+v.Limit)
 	d.client(onAccept, d.now+d.w.Net.Client, o, int32(x.serial), 0)
-	d.client(onGiveUp, at+2*d.w.Net.Client+d.w.Rules.Slack, o, 0, 0)
+	d.client(onGiveUp, at+2*d.w.Net.Client+d.w.Rules.AnswerSlack, o, 0, 0)
 }
 
 // accept is a try at its instance.
-func (d *Day) accept(o *operation, try uint32, x *instance) {
+func (d *Simulation) accept(o *operation, try uint32, x *instance) {
 	if o.done || o.try != try {
 		return
 	}
 	if !x.alive {
-		o.loss = checker.Loss{How: checker.Unreached}
+		o.loss = checker.Loss{Cause: checker.Unreached}
 		d.client(onReply, d.now+d.w.Net.Client, o, int32(unreached), 0)
 		return
 	}
@@ -284,14 +284,14 @@
 }
 
 // answerClient sends a final answer on its way to the client.
-func (d *Day) answerClient(c *command, a answer, comeBack float64) {
+func (d *Simulation) answerClient(c *command, a answer, comeBack float64) {
 	o := c.op
 	o.holds++
 	d.queue.push(onReply, event{at: d.now + d.w.Net.Client, o: o, gen: c.try, a: int32(a), n: uint64(1000 * comeBack)})
 }
 
 // reply is an answer at the client. That of a try which was given up crosses the next one, and is not read.
-func (d *Day) reply(o *operation, try uint32, a answer, comeBack float64) {
+func (d *Simulation) reply(o *operation, try uint32, a answer, comeBack float64) {
 	if o.done || o.try != try {
 		return
 	}
@@ -303,32 +303,32 @@
 		}
 		worth := o.worth
 		if d.now-o.due > v.Goal {
-			worth *= v.Late
-			d.judge.Lost(o.loss, o.worth-worth)
+			worth *= v.LateShare
+			d.judge.OperationLost(o.loss, o.worth-worth)
 		}
-		d.judge.Answered(o.due, d.now, o.customer, worth)
+		d.judge.OperationAnswered(o.due, d.now, o.customer, worth)
 		return
 	}
 	d.again(o, a, comeBack)
 }
 
 // giveUp ends a try that had no answer, or the whole where the client leaves early.
-func (d *Day) giveUp(o *operation, try uint32, leaves bool) {
+func (d *Simulation) giveUp(o *operation, try uint32, leaves bool) {
 	if o.done || !leaves && o.try != try {
 		return
 	}
 	if c := d.command(o.command); c != nil && c.op == o && !c.done {
 		if o.loss = d.where(c); leaves {
-			o.loss.How = checker.Left
+			o.loss.Cause = checker.ClientLeft
 		} else {
-			o.loss.How = checker.Limit
+			o.loss.Cause = checker.TimedOut
 		}
 		if c.inst.alive && leaves {
 			d.hangUp(c.inst, c.id)
 		}
 	}
 	if leaves {
-		o.loss.How = checker.Left
+		o.loss.Cause = checker.ClientLeft
 		d.end(o)
 		return
 	}
@@ -336,17 +336,17 @@
 }
 
 // again has the client try once more, if the rules and its patience let it.
-func (d *Day) again(o *operation, a answer, comeBack float64) {
+func (d *Simulation) again(o *operation, a answer, comeBack float64) {
 	v, w := &d.verbs[o.verb], &d.w.Clients
-	most, backoff := w.Retries, w.Backoff*math.Pow(2, float64(o.tries-1))*(0.5+draw(o.seed, uint64(20+o.tries)))
-	for _, f := range d.during(faults.Storm) {
+	most, backoff := w.Retries, w.RetryBackoff*math.Pow(2, float64(o.tries-1))*(0.5+draw(o.seed, uint64(20+o.tries)))
+	for _, f := range d.during(faults.RetryStorm) {
 		most += int(math.Ceil(f.Hard))
 		backoff /= 1 + f.Hard
 	}
 	o.mayHaveRun = o.mayHaveRun || a == failed || a == died || a == unheard
 	allowed := v.Effect == balance.Pure || !o.mayHaveRun ||
 		v.Effect == balance.Receipted && v.Scope == balance.ScopeAll && d.now < o.first+v.DedupWindow
-	if a == declined && draw(o.seed, uint64(40+o.tries)) < w.Follow {
+	if a == declined && draw(o.seed, uint64(40+o.tries)) < w.RetryAfterShare {
 		backoff = max(backoff, comeBack)
 	}
 	if !allowed || o.tries > most || d.now+backoff+least > o.due+v.TimeLimit {
@@ -357,10 +357,10 @@
 	d.client(onTry, d.now+backoff, o, 0, 0)
 }
 
-func (d *Day) end(o *operation) {
+func (d *Simulation) end(o *operation) {
 	o.done = true
 	if o.counts {
-		d.judge.Lost(o.loss, o.worth)
+		d.judge.OperationLost(o.loss, o.worth)
 	}
 }
 
@@ -370,14 +370,14 @@
 	Zone           int
 	Verb, Customer int
 	Seed, Key      uint64
-	Worth          float64
-	Counts         bool    // it comes after the warm-up
-	Leaves         float64 // when its client leaves early, 0 if it does not
+	Utility        float64
+	Measured       bool    // it comes after the warm-up
+	LeavesAt       float64 // when its client leaves early, 0 if it does not
 }
 
 // Arrivals are all operations of a day in the order in which they are due: the very ones that Run plays.
 func Arrivals(w World, plan faults.Plan, seed uint64) []Arrival {
-	d := &Day{w: w, plan: plan, seed: seed, active: make([]bool, len(plan)), judge: checker.New(checker.Terms{Length: w.Length})}
+	d := &Simulation{w: w, plan: plan, seed: seed, active: make([]bool, len(plan)), judge: checker.New(checker.Config{Duration: w.Duration})}
 	for i, f := range plan {
 		d.queue.push(onFault, event{at: f.From, n: uint64(i), a: 1})
 		d.queue.push(onFault, event{at: f.From + f.For, n: uint64(i)})
@@ -395,7 +395,7 @@
 		case onTry:
 			o := e.o
 			all = append(all, Arrival{Due: o.due, Zone: o.zone, Verb: o.verb, Customer: o.customer, Seed: o.seed, Key: o.key,
-				Worth: o.worth, Counts: o.counts, Leaves: o.leaves})
+				Utility: o.worth, Measured: o.counts, LeavesAt: o.leaves})
 		}
 	}
 	return all
