--- a/internal/emulator/day.go
+++ b/internal/emulator/day.go
@@ -36,21 +36,21 @@
 }
 
 // Sight is the true state of backends, for a policy that is to show what could be reached.
-type Sight interface {
+type TrueState interface {
 	// Look tells of a backend whether a command sent now would get in, the seconds of work before it, the
 	// backend's speed for one command (0 where what is there will never be done), and how crowded it is: from 1 on
 	// it gets less efficient.
-	Look(to balance.BackendID) (open bool, wait, speed, crowd float64)
+	BackendState(to balance.BackendID) (open bool, wait, speed, crowd float64)
 }
 
 // Maker starts the policy of one instance.
-type Maker func(host balance.Host, sight Sight, seed uint64, now float64) Policy
+type PolicyFactory func(host balance.Host, sight TrueState, seed uint64, now float64) Policy
 
 // Day is one world being played.
-type Day struct {
+type Simulation struct {
 	w      World
 	plan   faults.Plan
-	maker  Maker
+	maker  PolicyFactory
 	seed   uint64
 	now    float64
 	queue  queue
@@ -89,7 +89,7 @@
 }
 
 // stream is the source of chance of one part. A draw more in one changes nothing in the others.
-func (d *Day) stream(part string, n int) *rand.Rand {
+func (d *Simulation) stream(part string, n int) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(part))
 	return rand.New(rand.NewPCG(d.seed, h.Sum64()+uint64(n)))
@@ -97,35 +97,35 @@
 
 // Run plays a day and gives the judge's account and the number of events. The world and the plan must have been
 // checked.
-func Run(w World, plan faults.Plan, maker Maker, seed uint64) (*checker.Account, uint64) {
+func Run(w World, plan faults.Plan, maker PolicyFactory, seed uint64) (*checker.Report, uint64) {
 	d := New(w, plan, maker, seed)
-	return d.Play()
+	return d.Run()
 }
 
 // New makes a day ready to play.
-func New(w World, plan faults.Plan, maker Maker, seed uint64) *Day {
-	d := &Day{met: map[warmKey]float64{}, w: w, plan: plan, maker: maker, seed: seed, backends: []*backend{nil},
+func New(w World, plan faults.Plan, maker PolicyFactory, seed uint64) *Simulation {
+	d := &Simulation{met: map[warmKey]float64{}, w: w, plan: plan, maker: maker, seed: seed, backends: []*backend{nil},
 		targets: make([][]*backend, len(plan)), active: make([]bool, len(plan)), turns: make([]float64, len(plan))}
 	d.netChance, d.worldChance = d.stream("net", 0), d.stream("world", 0)
 	d.clientChance, d.listChance, d.lifeChance = d.stream("clients", 0), d.stream("list", 0), d.stream("life", 0)
-	d.judge = checker.New(checker.Terms{Slack: w.Rules.Slack, Grace: w.Rules.Grace, Multiple: w.Rules.ColdMultiple,
-		Window: w.Rules.ColdWindow, Hedges: w.Rules.Copies, AttemptPrice: w.Prices.Relay, MessagePrice: w.Prices.Message,
-		CrossingPrice: w.Prices.Crossing, LateRejectionPrice: w.Prices.LateNo, Length: w.Length, Tenants: len(w.Customers),
-		DeadlineError: w.Rules.LimitOff, FreeRetries: w.Rules.Free, RetryRatio: w.Rules.FreeShare, BudgetWindow: w.Rules.FreeSpan})
+	d.judge = checker.New(checker.Config{AnswerSlack: w.Rules.AnswerSlack, DrainGrace: w.Rules.DrainGrace, ColdMultiple: w.Rules.ColdMultiple,
+		ColdWindow: w.Rules.ColdWindow, SecondCopies: w.Rules.SecondCopies, RelayPrice: w.Prices.Relay, MessagePrice: w.Prices.Message,
+		CrossingPrice: w.Prices.ZoneCrossing, LateDeclinePrice: w.Prices.LateDecline, Duration: w.Duration, Customers: len(w.Customers),
+		DeadlineError: w.Rules.DeadlineError, FreeRelays: w.Rules.FreeRelays, FreeRelayRatio: w.Rules.FreeRelayRatio, BudgetWindow: w.Rules.BudgetWindow})
 	for _, v := range w.Verbs {
-		d.verbs = append(d.verbs, balance.Verb{Effect: effects[v.Effect], Scope: scopes[v.Scope], DedupWindow: v.Window,
-			Goal: v.Goal, TimeLimit: v.Limit, Utility: v.Utility, LateUtility: v.Late, PreviousIndex: -1})
+		d.verbs = append(d.verbs, balance.Verb{Effect: effects[v.Effect], Scope: scopes[v.Scope], DedupWindow: v.DedupWindow,
+			Goal: v.Goal, TimeLimit: v.Limit, Utility: v.Utility, LateUtility: v.LateShare, PreviousIndex: -1})
 	}
-	d.limits = balance.Limits{MaxRelays: w.Rules.Relays, SecondCopies: w.Rules.Copies, CancelRelays: w.Rules.Cancel,
-		MaxRetryAfter: w.Rules.ComeBack, PeerMessages: w.Rules.Peers, KeyAffinity: w.Tiers[0].KeySaves > 0, CrossZonePriced: w.Prices.Crossing > 0,
-		MaxUnreadAnswers: w.Rules.Answers, DeadlineError: w.Rules.LimitOff,
-		ExtraRelays: balance.RelayBudget{Free: w.Rules.Free, PerCommand: w.Rules.FreeShare, Span: w.Rules.FreeSpan}}
+	d.limits = balance.Limits{MaxRelays: w.Rules.MaxRelays, SecondCopies: w.Rules.SecondCopies, CancelRelays: w.Rules.CancelRelays,
+		MaxRetryAfter: w.Rules.MaxRetryAfter, PeerMessages: w.Rules.Peers, KeyAffinity: w.Tiers[0].CacheSaving > 0, CrossZonePriced: w.Prices.ZoneCrossing > 0,
+		MaxUnreadAnswers: w.Rules.AnswerSlots, DeadlineError: w.Rules.DeadlineError,
+		ExtraRelays: balance.RelayBudget{Free: w.Rules.FreeRelays, PerCommand: w.Rules.FreeRelayRatio, Span: w.Rules.BudgetWindow}}
 	d.build()
 	return d
 }
 
 // build sets up the fleet, from the last tier to the first, and who calls it.
-func (d *Day) build() {
+func (d *Simulation) build() {
 	d.tiers, d.places = make([][]*backend, len(d.w.Tiers)), make([][]*instance, len(d.w.Tiers))
 	d.logs = make([][]change, len(d.w.Tiers))
 	for k, t := range d.w.Tiers {
@@ -149,7 +149,7 @@
 		skew := d.stream("skew", 0)
 		for i := range d.w.Instances {
 			x := d.newInstance(0, i, i%d.w.Zones)
-			x.weight = math.Exp(d.w.Skew * skew.NormFloat64())
+			x.weight = math.Exp(d.w.InstanceSkew * skew.NormFloat64())
 			d.fronts[x.zone].add(x)
 		}
 	}
@@ -160,10 +160,10 @@
 }
 
 // Play runs the day to its end.
-func (d *Day) Play() (*checker.Account, uint64) {
-	end := d.w.Length + tail
+func (d *Simulation) Run() (*checker.Report, uint64) {
+	end := d.w.Duration + tail
 	for _, v := range d.w.Verbs {
-		end = max(end, d.w.Length+v.Limit+tail)
+		end = max(end, d.w.Duration+v.Limit+tail)
 	}
 	for len(d.queue.all) > 0 && d.queue.all[0].at <= end {
 		e := d.queue.pop()
@@ -174,7 +174,7 @@
 	return d.judge.Close(d.now), d.events
 }
 
-func (d *Day) handle(e *event) {
+func (d *Simulation) handle(e *event) {
 	if x := d.whose(e); x != nil && x.alive && x.still > d.now {
 		e.at = x.still // with what holds it: it is told when its instance goes on
 		d.queue.push(e.kind(), *e)
@@ -233,7 +233,7 @@
 }
 
 // whose is the instance that an event is told to, nil where it is told to none.
-func (d *Day) whose(e *event) *instance {
+func (d *Simulation) whose(e *event) *instance {
 	switch e.kind() {
 	case onList:
 		return d.instances[e.n]
@@ -252,13 +252,13 @@
 }
 
 // later does something at a time to come; for what is rare.
-func (d *Day) later(at float64, what func()) {
+func (d *Simulation) later(at float64, what func()) {
 	d.todo = append(d.todo, what)
 	d.queue.push(onLife, event{at: at, n: uint64(len(d.todo) - 1)})
 }
 
 // Mix stirs two numbers into one that looks drawn.
-func Mix(a, b uint64) uint64 {
+func MixSeeds(a, b uint64) uint64 {
 	x := a ^ (b+0x9e3779b97f4a7c15)*0xbf58476d1ce4e5b9
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -266,11 +266,11 @@
 }
 
 // draw is a number in [0, 1) that belongs to a command, the same whoever carries it.
-func draw(seed, n uint64) float64 { return float64(Mix(seed, n)>>11) / (1 << 53) }
+func draw(seed, n uint64) float64 { return float64(MixSeeds(seed, n)>>11) / (1 << 53) }
 
 // Work is what a command of the verb costs at a tier, in seconds of a core of speed 1: lognormal, and drawn from the
 // command's own seed, so that it is the same whoever carries it.
-func Work(v *Verb, seed uint64, tier int) float64 {
+func DrawWork(v *Verb, seed uint64, tier int) float64 {
 	if v.Spread == 0 {
 		return v.Work[tier]
 	}
@@ -281,4 +281,6 @@
 }
 
 // Meaning is a verb's effect and scope as the module and the judge know them.
-func Meaning(v *Verb) (balance.Effect, balance.Scope) { return effects[v.Effect], scopes[v.Scope] }
+func EffectAndScope(v *Verb) (balance.Effect, balance.Scope) {
+	return effects[v.Effect], scopes[v.Scope]
+}
--- a/internal/emulator/day_test.go
+++ b/internal/emulator/day_test.go
@@ -13,9 +13,9 @@
 	"sandpass/internal/faults"
 )
 
-func maker(t testing.TB, name string) emulator.Maker {
+func maker(t testing.TB, name string) emulator.PolicyFactory {
 	t.Helper()
-	m, err := baseline.Maker(name)
+	m, err := baseline.Factory(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,33 +25,33 @@
 // small is a day that takes well under a second.
 func small() emulator.World {
 	w := emulator.Default()
-	w.Length, w.Instances = 15, 6
+	w.Duration, w.Instances = 15, 6
 	w.Tiers[0].Backends, w.Tiers[1].Backends = 12, 9
 	return w
 }
 
 // text is all that an account says.
-func text(a *checker.Account, events uint64) string {
-	return fmt.Sprintln(events, a.G(true), a.Worst(), a.Ops, a.Answered, a.Relays, a.Copies, a.Messages, a.Losses, a.Broken,
-		a.AskedBy, a.ServedBy, a.Quantile(0.5), a.Quantile(0.999))
+func text(a *checker.Report, events uint64) string {
+	return fmt.Sprintln(events, a.Score(true), a.WorstTenSeconds(), a.Operations, a.Answered, a.Relays, a.FurtherRelays, a.Messages, a.Losses, a.Violations,
+		a.OfferedBySecond, a.ServedBySecond, a.Quantile(0.5), a.Quantile(0.999))
 }
 
 // The same seed has to give the same bytes, however many days are played beside it; else nothing can be shrunk,
 // replayed or compared.
 func TestSameSeedSameDay(t *testing.T) {
 	w := small()
-	w.Length = 10
-	w.Rules.Peers, w.Clients.Keys, w.Discovery.Asked = true, 500, true
+	w.Duration = 10
+	w.Rules.Peers, w.Clients.Keys, w.Discovery.OnRequest = true, 500, true
 	alone := make([]string, 6)
 	for i := range alone {
-		alone[i] = text(emulator.Run(w, faults.Draw(uint64(i), 4, w.Extent()), maker(t, "module"), uint64(i)))
+		alone[i] = text(emulator.Run(w, faults.Random(uint64(i), 4, w.Bounds()), maker(t, "module"), uint64(i)))
 	}
 	var wait sync.WaitGroup
 	for i := range alone {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			if got := text(emulator.Run(w, faults.Draw(uint64(i), 4, w.Extent()), maker(t, "module"), uint64(i))); got != alone[i] {
+			if got := text(emulator.Run(w, faults.Random(uint64(i), 4, w.Bounds()), maker(t, "module"), uint64(i))); got != alone[i] {
 				t.Errorf("seed %d differs beside others:\n%s%s", i, alone[i], got)
 			}
 		}()
@@ -65,15 +65,15 @@
 // All policies have to meet the same clients, or differences by seed would be chance.
 func TestPoliciesMeetTheSameClients(t *testing.T) {
 	w := small()
-	plan := faults.Draw(11, 3, w.Extent())
-	var first *checker.Account
+	plan := faults.Random(11, 3, w.Bounds())
+	var first *checker.Report
 	for _, name := range baseline.Names() {
 		a, _ := emulator.Run(w, plan, maker(t, name), 3)
 		if first == nil {
 			first = a
 		}
-		if a.Ops != first.Ops || a.Asked != first.Asked {
-			t.Errorf("%s met %d operations worth %v, the first %d worth %v", name, a.Ops, a.Asked, first.Ops, first.Asked)
+		if a.Operations != first.Operations || a.OfferedUtility != first.OfferedUtility {
+			t.Errorf("%s met %d operations worth %v, the first %d worth %v", name, a.Operations, a.OfferedUtility, first.Operations, first.OfferedUtility)
 		}
 	}
 }
@@ -90,13 +90,13 @@
 
 func trouble(t *testing.T, i int, k faults.Kind) {
 	w := small()
-	w.Length = 12
-	e := w.Extent()
+	w.Duration = 12
+	e := w.Bounds()
 	f := faults.Fault{Kind: k, Tier: i % 2, Zone: -1, To: -1, Share: 0.4, From: 4, For: 5, Seed: uint64(i)}
-	if k.Hard() > 0 {
+	if k.MaxSeverity() > 0 {
 		f.Hard = 0.5
 	}
-	if k == faults.Cut || k == faults.Zone || k == faults.Shift || k == faults.Flood {
+	if k == faults.Partition || k == faults.ZoneLoss || k == faults.ZoneShift || k == faults.CustomerFlood {
 		f.Zone = 1
 	}
 	plan := faults.Plan{f}
@@ -104,8 +104,8 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"module", "two", "top"} {
-		if a, _ := emulator.Run(w, plan, maker(t, name), 5); a.Count() > 0 {
-			t.Errorf("%s with %s: %v", name, k, a.Broken[0])
+		if a, _ := emulator.Run(w, plan, maker(t, name), 5); a.ViolationCount() > 0 {
+			t.Errorf("%s with %s: %v", name, k, a.Violations[0])
 		}
 	}
 }
@@ -122,13 +122,13 @@
 
 func drawn(t *testing.T, seed uint64) {
 	w := small()
-	w.Length = 12
-	plan := faults.Draw(seed, 1+int(seed%5), w.Extent())
+	w.Duration = 12
+	plan := faults.Random(seed, 1+int(seed%5), w.Bounds())
 	x := w
-	x.Rules.Peers, x.Discovery.Asked = seed%2 == 0, seed%3 == 0
+	x.Rules.Peers, x.Discovery.OnRequest = seed%2 == 0, seed%3 == 0
 	x.Load = 0.4 + 0.02*float64(seed)
-	if a, _ := emulator.Run(x, plan, maker(t, "module"), seed); a.Count() > 0 {
-		t.Errorf("seed %d: %v\n%v", seed, a.Broken[0], plan)
+	if a, _ := emulator.Run(x, plan, maker(t, "module"), seed); a.ViolationCount() > 0 {
+		t.Errorf("seed %d: %v\n%v", seed, a.Violations[0], plan)
 	}
 }
 
@@ -185,8 +185,8 @@
 // A judge that can't fail proves nothing: for each rule there are policies that break it, and the first offence is named.
 func TestJudgeCatches(t *testing.T) {
 	inner := maker(t, "two")
-	build := func(h func(balance.Host) *wrongHost, w wrong) emulator.Maker {
-		return func(host balance.Host, s emulator.Sight, seed uint64, now float64) emulator.Policy {
+	build := func(h func(balance.Host) *wrongHost, w wrong) emulator.PolicyFactory {
+		return func(host balance.Host, s emulator.TrueState, seed uint64, now float64) emulator.Policy {
 			x := w
 			x.host = host
 			if h != nil {
@@ -196,47 +196,47 @@
 			return &x
 		}
 	}
-	roll := faults.Plan{{Kind: faults.Roll, Zone: -1, To: -1, Share: 0.5, From: 3, For: 6}}
-	spoil := faults.Plan{{Kind: faults.Spoil, Zone: -1, To: -1, Share: 1, From: 3, For: 6, Hard: 0.3}}
+	roll := faults.Plan{{Kind: faults.RollingReplace, Zone: -1, To: -1, Share: 0.5, From: 3, For: 6}}
+	spoil := faults.Plan{{Kind: faults.LoseAnswers, Zone: -1, To: -1, Share: 1, From: 3, For: 6, Hard: 0.3}}
 	for _, c := range []struct {
 		name string
 		rule checker.Rule
 		want string
 		plan faults.Plan
-		make emulator.Maker
+		make emulator.PolicyFactory
 	}{
-		{"keeps silent instead of declining", checker.Answer, "never had a final answer",
+		{"keeps silent instead of declining", checker.OneAnswer, "never had a final answer",
 			faults.Plan{{Kind: faults.Refuse, Zone: -1, To: -1, Share: 1, From: 3, For: 3, Hard: 1}},
 			build(func(h balance.Host) *wrongHost {
 				return &wrongHost{Host: h, decline: func(balance.Host, uint64) {}}
 			}, wrong{})},
-		{"declines and relays all the same", checker.Answer, "which is not open", nil,
+		{"declines and relays all the same", checker.OneAnswer, "which is not open", nil,
 			build(func(h balance.Host) *wrongHost {
 				return &wrongHost{Host: h, relay: func(h balance.Host, id uint64, to balance.BackendID) {
 					h.Decline(id, 0)
 					h.Relay(id, to)
 				}}
 			}, wrong{})},
-		{"sends each command twice", checker.Twice, "may have run", nil,
+		{"sends each command twice", checker.NoDoubleEffect, "may have run", nil,
 			build(func(h balance.Host) *wrongHost {
 				return &wrongHost{Host: h, relay: func(h balance.Host, id uint64, to balance.BackendID) {
 					h.Relay(id, to)
 					h.Relay(id, to)
 				}}
 			}, wrong{})},
-		{"sends again after a broken connection", checker.Twice, "took place twice", spoil,
+		{"sends again after a broken connection", checker.NoDoubleEffect, "took place twice", spoil,
 			build(nil, wrong{after: func(w *wrong, id uint64, result balance.Result) {
 				if result == balance.Reset {
 					w.host.Relay(id, w.known[int(id)%len(w.known)])
 				}
 			}})},
-		{"declines what may have run", checker.Twice, "rejects request", spoil,
+		{"declines what may have run", checker.NoDoubleEffect, "rejects request", spoil,
 			build(nil, wrong{after: func(w *wrong, id uint64, result balance.Result) {
 				if result == balance.Reset {
 					w.host.Decline(id, 0)
 				}
 			}})},
-		{"takes drains for ready", checker.Drain, "after word that it drains", roll,
+		{"takes drains for ready", checker.DrainKept, "after word that it drains", roll,
 			build(nil, wrong{fleet: func(p emulator.Policy, now float64, whole bool, entries []balance.Entry) {
 				var all []balance.Entry
 				for _, e := range entries {
@@ -245,7 +245,7 @@
 				}
 				p.UpdateBackends(now, whole, all)
 			}})},
-		{"believes only the newest to be there", checker.Cold, "after its start, got", roll,
+		{"believes only the newest to be there", checker.ColdProtected, "after its start, got", roll,
 			build(nil, wrong{fleet: func(p emulator.Policy, now float64, whole bool, entries []balance.Entry) {
 				newest, only := 0.0, entries
 				for _, e := range entries {
@@ -263,15 +263,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			a, _ := emulator.Run(small(), c.plan, c.make, 9)
-			if a.Rules[c.rule] == 0 {
-				t.Fatalf("rule %d (%s) was not seen to break; seen: %v %v", c.rule, c.rule, a.Rules, a.Broken)
+			if a.RuleCounts[c.rule] == 0 {
+				t.Fatalf("rule %d (%s) was not seen to break; seen: %v %v", c.rule, c.rule, a.RuleCounts, a.Violations)
 			}
-			for _, b := range a.Broken {
+			for _, b := range a.Violations {
 				if b.Rule == c.rule && strings.Contains(b.Text, c.want) && b.At > 0 {
 					return
 				}
 			}
-			t.Errorf("no offence says %q; the first is %v", c.want, a.Broken[0])
+			t.Errorf("no offence says %q; the first is %v", c.want, a.Violations[0])
 		})
 	}
 }
@@ -286,25 +286,25 @@
 		policy string
 		plan   faults.Plan
 		change func(w *emulator.World)
-		how    checker.How
-		where  checker.Where
+		how    checker.LossCause
+		where  checker.LossPlace
 		tier   int
 	}{
-		{"nobody there", "two", faults.Plan{{Kind: faults.Kill, Zone: -1, To: -1, Share: 1, From: 3, For: 8}}, nil, checker.Unreached, checker.Instance, 0},
-		{"instances killed", "two", faults.Plan{{Kind: faults.Kill, Zone: -1, To: -1, Share: 0.5, From: 6, For: 3}},
-			func(w *emulator.World) { w.Tiers[0].Speeds, w.Rate = []float64{0.1}, 90 }, checker.Died, checker.Work, 0},
-		{"clients leave", "two", all(faults.Rude, 1), nil, checker.Left, checker.Work, 0},
-		{"turned away", "two", all(faults.Refuse, 1), nil, checker.Rejected, checker.Refused, 0},
-		{"failed below", "two", faults.Plan{{Kind: faults.Errors, Tier: 1, Zone: -1, To: -1, Share: 1, From: 3, For: 8, Hard: 1}}, nil, checker.Rejected, checker.Failed, 1},
-		{"hung", "two", all(faults.Hang, 0), nil, checker.Limit, checker.Stuck, 0},
-		{"hung below", "two", faults.Plan{{Kind: faults.Hang, Tier: 1, Zone: -1, To: -1, Share: 1, From: 3, For: 8}}, nil, checker.Limit, checker.Stuck, 1},
-		{"out of connections", "two", faults.Plan{{Kind: faults.Table, Zone: -1, Share: 1, For: 8, Hard: 1}}, nil, checker.Rejected, checker.Connecting, 0},
-		{"dead", "two", all(faults.Crash, 0), nil, checker.Rejected, checker.Connecting, 0},
-		{"broken off", "two", all(faults.Spoil, 1), nil, checker.Terminated, checker.Network, 0},
+		{"nobody there", "two", faults.Plan{{Kind: faults.KillInstances, Zone: -1, To: -1, Share: 1, From: 3, For: 8}}, nil, checker.Unreached, checker.Instance, 0},
+		{"instances killed", "two", faults.Plan{{Kind: faults.KillInstances, Zone: -1, To: -1, Share: 0.5, From: 6, For: 3}},
+			func(w *emulator.World) { w.Tiers[0].Speeds, w.Rate = []float64{0.1}, 90 }, checker.InstanceDied, checker.Work, 0},
+		{"clients leave", "two", all(faults.ClientsLeave, 1), nil, checker.ClientLeft, checker.Work, 0},
+		{"turned away", "two", all(faults.Refuse, 1), nil, checker.Declined, checker.Refused, 0},
+		{"failed below", "two", faults.Plan{{Kind: faults.Errors, Tier: 1, Zone: -1, To: -1, Share: 1, From: 3, For: 8, Hard: 1}}, nil, checker.Declined, checker.BackendFailed, 1},
+		{"hung", "two", all(faults.Hang, 0), nil, checker.TimedOut, checker.Hung, 0},
+		{"hung below", "two", faults.Plan{{Kind: faults.Hang, Tier: 1, Zone: -1, To: -1, Share: 1, From: 3, For: 8}}, nil, checker.TimedOut, checker.Hung, 1},
+		{"out of connections", "two", faults.Plan{{Kind: faults.FullTable, Zone: -1, Share: 1, For: 8, Hard: 1}}, nil, checker.Declined, checker.Connecting, 0},
+		{"dead", "two", all(faults.Crash, 0), nil, checker.Declined, checker.Connecting, 0},
+		{"broken off", "two", all(faults.LoseAnswers, 1), nil, checker.Terminated, checker.Network, 0},
 		{"slow", "two", all(faults.Slow, 0.95), nil, checker.Late, checker.Work, 0},
-		{"held", "module", nil, func(w *emulator.World) { w.Load = 3 }, checker.Rejected, checker.Instance, 0},
+		{"held", "module", nil, func(w *emulator.World) { w.Load = 3 }, checker.Declined, checker.Instance, 0},
 		{"queued", "random", nil, func(w *emulator.World) { w.Load, w.Tiers[0].Slots = 0.9, 2 }, checker.Late, checker.Queue, 0},
-		{"cut", "two", faults.Plan{{Kind: faults.Cut, Zone: 0, To: -1, From: 3, For: 8, Hard: 1}}, nil, checker.Limit, checker.Network, 0},
+		{"cut", "two", faults.Plan{{Kind: faults.Partition, Zone: 0, To: -1, From: 3, For: 8, Hard: 1}}, nil, checker.TimedOut, checker.Network, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -314,7 +314,7 @@
 			}
 			a, _ := emulator.Run(w, c.plan, maker(t, c.policy), 2)
 			for _, l := range a.Losses {
-				if l.How == c.how && l.Where == c.where && l.Tier == c.tier && l.Count >= 2 {
+				if l.Cause == c.how && l.Place == c.where && l.Tier == c.tier && l.Count >= 2 {
 					return
 				}
 			}
@@ -327,35 +327,35 @@
 // be too kind to policies that turn nothing away.
 func TestRetryStormOutlivesItsCause(t *testing.T) {
 	w := small()
-	w.Length, w.Load, w.Clients.Retries, w.Clients.Follow = 40, 0.5, 6, 0
-	w.Tiers[0].Choke, w.Tiers[0].CancelStops, w.Tiers[0].Queue = 0.5, false, 60
-	burst := faults.Plan{{Kind: faults.Burst, Zone: -1, From: 8, For: 4, Hard: 3}}
+	w.Duration, w.Load, w.Clients.Retries, w.Clients.RetryAfterShare = 40, 0.5, 6, 0
+	w.Tiers[0].OverloadLoss, w.Tiers[0].CancelStops, w.Tiers[0].Queue = 0.5, false, 60
+	burst := faults.Plan{{Kind: faults.LoadBurst, Zone: -1, From: 8, For: 4, Hard: 3}}
 	after := func(name string) float64 {
 		a, _ := emulator.Run(w, burst, maker(t, name), 4)
 		asked, served := 0.0, 0.0
 		for s := 25; s < 39; s++ { // the burst is over for 13 s and more
-			asked, served = asked+a.AskedBy[s], served+a.ServedBy[s]
+			asked, served = asked+a.OfferedBySecond[s], served+a.ServedBySecond[s]
 		}
 		return served / asked
 	}
 	if plain := after("two"); plain > 0.5 {
 		t.Errorf("the better of two has recovered to %.2f 13 s after the burst: nothing chokes here", plain)
 	}
-	if calm, _ := emulator.Run(w, nil, maker(t, "two"), 4); calm.G(true) < 0.8 {
-		t.Errorf("without the burst the better of two serves %.2f: it is not the burst that chokes", calm.G(true))
+	if calm, _ := emulator.Run(w, nil, maker(t, "two"), 4); calm.Score(true) < 0.8 {
+		t.Errorf("without the burst the better of two serves %.2f: it is not the burst that chokes", calm.Score(true))
 	}
 }
 
 // A cancelled command that a backend runs all the same takes its capacity, and its effect counts.
 func TestDeafBackendsStillRun(t *testing.T) {
 	w := small()
-	run := func(plan faults.Plan) *checker.Account {
+	run := func(plan faults.Plan) *checker.Report {
 		x := w
-		x.Clients.Early = 0.6
+		x.Clients.EarlyLeaveShare = 0.6
 		a, _ := emulator.Run(x, plan, maker(t, "two"), 6)
 		return a
 	}
-	deaf := faults.Plan{{Kind: faults.Deaf, Zone: -1, Share: 1, From: 0, For: 15}, {Kind: faults.Deaf, Tier: 1, Zone: -1, Share: 1, From: 0, For: 15}}
+	deaf := faults.Plan{{Kind: faults.IgnoreCancels, Zone: -1, Share: 1, From: 0, For: 15}, {Kind: faults.IgnoreCancels, Tier: 1, Zone: -1, Share: 1, From: 0, For: 15}}
 	if a, b := run(nil).Quantile(0.95), run(deaf).Quantile(0.95); b <= a {
 		t.Errorf("cancels that are not obeyed cost nothing: 95%% in %.4f s, %.4f s with them obeyed", b, a)
 	}
@@ -364,12 +364,12 @@
 // What a list names may be another backend by now: the command reaches who is there, and counts where it ran.
 func TestAddressTakenOver(t *testing.T) {
 	w := small()
-	plan := faults.Plan{{Kind: faults.Takeover, Zone: -1, Share: 0.6, From: 4, For: 4}, {Kind: faults.Silent, Zone: -1, From: 3, For: 9}}
+	plan := faults.Plan{{Kind: faults.Takeover, Zone: -1, Share: 0.6, From: 4, For: 4}, {Kind: faults.DiscoverySilent, Zone: -1, From: 3, For: 9}}
 	a, _ := emulator.Run(w, plan, maker(t, "module"), 3)
-	if a.Count() > 0 {
-		t.Errorf("rules: %v", a.Broken[0])
+	if a.ViolationCount() > 0 {
+		t.Errorf("rules: %v", a.Violations[0])
 	}
-	if g := a.G(true); g < 0.5 {
+	if g := a.Score(true); g < 0.5 {
 		t.Errorf("G %.2f: the backends that answer at the old addresses serve nobody", g)
 	}
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -15,7 +15,7 @@
 	started float64
 }
 
-func (d *Day) entry(c change) balance.Entry {
+func (d *Simulation) entry(c change) balance.Entry {
 	e := balance.Entry{ID: c.b.id, Zone: c.b.zone, Cell: c.b.cell, State: c.state, Capacity: c.b.size, StartedAt: c.started}
 	if c.started > 0 {
 		e.StartedAt = max(1e-9, c.started+d.drift(c.b))
@@ -24,8 +24,8 @@
 }
 
 // drift is by how much a backend's start is told wrong.
-func (d *Day) drift(b *backend) (off float64) {
-	for _, f := range d.during(faults.Drift) {
+func (d *Simulation) drift(b *backend) (off float64) {
+	for _, f := range d.during(faults.StartTimeError) {
 		if f.Tier != b.tier {
 			continue
 		}
@@ -39,12 +39,12 @@
 }
 
 // announce lets discovery know; each instance hears of it when its time has come.
-func (d *Day) announce(b *backend, state balance.State) {
+func (d *Simulation) announce(b *backend, state balance.State) {
 	d.logs[b.tier] = append(d.logs[b.tier], change{d.now, b, state, b.started})
 	d.tellAll(b.tier, false)
 }
 
-func (d *Day) tellAll(tier int, whole bool) {
+func (d *Simulation) tellAll(tier int, whole bool) {
 	for _, x := range d.places[tier] {
 		if x != nil && x.alive {
 			x.whole = x.whole || whole
@@ -54,21 +54,21 @@
 }
 
 // soon asks for word to an instance after the usual lag.
-func (d *Day) soon(x *instance) {
+func (d *Simulation) soon(x *instance) {
 	if x.due || !x.watching {
 		return
 	}
 	x.due = true
 	lag := d.w.Discovery.Lag
 	at := d.now + lag[0] + (lag[1]-lag[0])*d.listChance.Float64()
-	for _, f := range d.during(faults.Lag) {
+	for _, f := range d.during(faults.DiscoveryLag) {
 		at += f.Hard
 	}
 	d.queue.push(onList, event{at: at, n: uint64(x.serial)})
 }
 
 // inForce is the end of a fault of the kind that is in force, or 0.
-func (d *Day) inForce(k faults.Kind) (until float64, f faults.Fault) {
+func (d *Simulation) inForce(k faults.Kind) (until float64, f faults.Fault) {
 	for _, x := range d.during(k) {
 		if x.From+x.For > until {
 			until, f = x.From+x.For, x
@@ -78,12 +78,12 @@
 }
 
 // list is the time for an instance to hear what changed.
-func (d *Day) list(x *instance) {
+func (d *Simulation) list(x *instance) {
 	x.due = false
 	if !x.alive || !x.watching {
 		return
 	}
-	if until, _ := d.inForce(faults.Silent); until > d.now {
+	if until, _ := d.inForce(faults.DiscoverySilent); until > d.now {
 		x.due = true
 		d.queue.push(onList, event{at: until + d.listChance.Float64()*d.w.Discovery.Lag[1], n: uint64(x.serial)})
 		return
@@ -92,15 +92,15 @@
 }
 
 // tell gives an instance what discovery has for it now.
-func (d *Day) tell(x *instance) {
+func (d *Simulation) tell(x *instance) {
 	log := d.logs[x.tier]
 	upTo, whole := len(log), x.whole
-	if until, f := d.inForce(faults.Silent); until > d.now { // only an instance that starts: it has an old list
+	if until, f := d.inForce(faults.DiscoverySilent); until > d.now { // only an instance that starts: it has an old list
 		for upTo > 0 && log[upTo-1].at > f.From {
 			upTo--
 		}
 	}
-	if until, f := d.inForce(faults.Stale); until > 0 {
+	if until, f := d.inForce(faults.DiscoveryStale); until > 0 {
 		whole = true
 		for upTo > 0 && log[upTo-1].at > max(0, d.now-f.Hard) {
 			upTo--
@@ -114,7 +114,7 @@
 		for i, c := range log[:upTo] {
 			latest[c.b.serial] = i
 		}
-		until, f := d.inForce(faults.Partial)
+		until, f := d.inForce(faults.DiscoveryPartial)
 		for i, c := range log[:upTo] {
 			if latest[c.b.serial] != i || c.state == balance.Gone {
 				continue
@@ -132,7 +132,7 @@
 	}
 	x.at, x.whole = upTo, false
 	for i, e := range entries {
-		d.judge.EndpointReceived(d.now, x.serial, d.named(e.ID).serial, e.State == balance.Ready, starts[i])
+		d.judge.BackendUpdateReceived(d.now, x.serial, d.named(e.ID).serial, e.State == balance.Ready, starts[i])
 	}
 	if len(entries) > 0 || whole {
 		x.policy.UpdateBackends(d.now, whole, entries)
@@ -140,14 +140,14 @@
 }
 
 // listedWhole tells the judge of those that a whole list leaves out: that is word that they are gone.
-func (d *Day) listedWhole(x *instance, entries []balance.Entry) {
+func (d *Simulation) listedWhole(x *instance, entries []balance.Entry) {
 	named := make([]bool, len(d.backends))
 	for _, e := range entries {
 		named[d.named(e.ID).serial] = true
 	}
 	for _, b := range d.backends[1:] {
 		if b.tier == x.tier && !named[b.serial] {
-			d.judge.EndpointReceived(d.now, x.serial, b.serial, false, 0)
+			d.judge.BackendUpdateReceived(d.now, x.serial, b.serial, false, 0)
 		}
 	}
 }
@@ -155,12 +155,12 @@
 // Watch is the policy's word: where discovery must be asked, a call that costs it work and may fail.
 func (x *instance) WatchBackends() {
 	d := x.d
-	if !d.w.Discovery.Asked {
+	if !d.w.Discovery.OnRequest {
 		return
 	}
 	x.watching = false
 	d.judge.ListRequested(d.now, x.serial)
-	until, _ := d.inForce(faults.Silent)
+	until, _ := d.inForce(faults.DiscoverySilent)
 	if until > d.now || d.busyList > d.now+queued {
 		d.later(d.now+silence, func() {
 			if x.alive {
@@ -169,8 +169,8 @@
 		})
 		return
 	}
-	d.busyList = max(d.busyList, d.now) + 1/d.w.Discovery.Serves
-	d.later(d.busyList+d.w.Net.Same, func() {
+	d.busyList = max(d.busyList, d.now) + 1/d.w.Discovery.MaxCallRate
+	d.later(d.busyList+d.w.Net.SameZone, func() {
 		if x.alive && !x.watching {
 			x.watching, x.whole = true, true
 			d.tell(x)
@@ -179,9 +179,9 @@
 }
 
 // breakWatches ends all subscriptions, as a discovery does that goes down.
-func (d *Day) breakWatches() {
+func (d *Simulation) breakWatches() {
 	for _, x := range d.instances {
-		if x.alive && x.watching && d.w.Discovery.Asked {
+		if x.alive && x.watching && d.w.Discovery.OnRequest {
 			x.watching = false
 			x.policy.BackendListFailed(d.now)
 		}
--- a/internal/emulator/instances.go
+++ b/internal/emulator/instances.go
@@ -14,7 +14,7 @@
 
 // instance is one running policy. A restart makes a new one.
 type instance struct {
-	d                      *Day
+	d                      *Simulation
 	serial, tier, me, zone int
 	weight                 float64
 	alive, watching        bool
@@ -45,11 +45,11 @@
 	relays          []*relay
 }
 
-func (d *Day) newInstance(tier, me, zone int) *instance {
+func (d *Simulation) newInstance(tier, me, zone int) *instance {
 	x := &instance{d: d, serial: len(d.instances), tier: tier, me: me, zone: zone, weight: 1, alive: true, watching: true}
 	d.instances = append(d.instances, x)
 	d.places[tier][me] = x
-	x.policy = d.maker(x, x, Mix(d.seed, uint64(x.serial)), d.now)
+	x.policy = d.maker(x, x, MixSeeds(d.seed, uint64(x.serial)), d.now)
 	var customers []balance.Customer
 	if tier == 0 {
 		rate := d.w.CommandRate()
@@ -59,29 +59,29 @@
 	}
 	r := &d.w.Rules
 	x.policy.Configure(d.now, d.w.Tick, balance.Placement{Index: me, Instances: len(d.places[tier]), Tier: tier, Zone: zone}, d.verbs,
-		customers, d.w.Clients.Over, d.limits, balance.ColdStart{InitialCapacity: r.ColdShare, WarmUp: r.ColdSpan, OverloadMultiple: r.ColdMultiple, StartError: r.StartOff},
-		d.w.Discovery.Asked)
+		customers, d.w.Clients.OverageUtility, d.limits, balance.ColdStart{InitialCapacity: r.ColdShare, WarmUp: r.WarmUp, OverloadMultiple: r.ColdMultiple, StartError: r.StartTimeError},
+		d.w.Discovery.OnRequest)
 	x.whole = true
 	d.tell(x)
 	return x
 }
 
 // kill ends an instance at once. What it held is its clients' affair.
-func (d *Day) kill(x *instance) {
+func (d *Simulation) kill(x *instance) {
 	if !x.alive {
 		return
 	}
 	x.alive = false
 	d.judge.InstanceKilled(x.serial)
 	if x.tier == 0 {
-		d.later(d.now+d.w.Clients.Notice, func() { d.fronts[x.zone].remove(x) })
+		d.later(d.now+d.w.Clients.DeathDetection, func() { d.fronts[x.zone].remove(x) })
 	}
 	for _, c := range d.commands {
 		if c.inst != x || c.id == 0 {
 			continue
 		}
 		if !c.done && c.op != nil {
-			d.lose(c, checker.Died)
+			d.lose(c, checker.InstanceDied)
 			d.answerClient(c, died, 0)
 		}
 		c.done = true
@@ -102,7 +102,7 @@
 	x.links = nil
 }
 
-func (d *Day) newCommand(x *instance) *command {
+func (d *Simulation) newCommand(x *instance) *command {
 	var c *command
 	if n := len(d.free); n > 0 {
 		c = d.commands[d.free[n-1]]
@@ -118,7 +118,7 @@
 }
 
 // command by its id, or nil if it is no more.
-func (d *Day) command(id uint64) *command {
+func (d *Simulation) command(id uint64) *command {
 	slot := uint32(id)
 	if int(slot) >= len(d.commands) || d.commands[slot].id != id {
 		return nil
@@ -126,7 +126,7 @@
 	return d.commands[slot]
 }
 
-func (d *Day) forget(c *command) {
+func (d *Simulation) forget(c *command) {
 	if !c.done || c.out > 0 {
 		return
 	}
@@ -145,17 +145,17 @@
 }
 
 // take hands a command to its instance.
-func (d *Day) take(c *command) {
+func (d *Simulation) take(c *command) {
 	v := &d.verbs[c.verb]
-	d.judge.Accepted(d.now, checker.Request{ID: c.id, Op: c.opID, Instance: c.inst.serial, Expires: c.expires,
-		Effect: checker.Effect(v.Effect), Scope: checker.Scope(v.Scope), Window: v.DedupWindow})
+	d.judge.CommandAccepted(d.now, checker.Command{ID: c.id, Operation: c.opID, Instance: c.inst.serial, Expires: c.expires,
+		Effect: checker.Effect(v.Effect), Scope: checker.Scope(v.Scope), DedupWindow: v.DedupWindow})
 	d.queue.push(onLimit, event{at: c.expires, n: c.id})
 	c.inst.policy.CommandReceived(d.now, c.id, c.verb, c.customer, c.expires-d.skew(c.inst), c.key)
 }
 
 // skew is by how much an instance is told limits too short.
-func (d *Day) skew(x *instance) (off float64) {
-	for _, f := range d.during(faults.Skew) {
+func (d *Simulation) skew(x *instance) (off float64) {
+	for _, f := range d.during(faults.DeadlineSkew) {
 		if x.tier == f.Tier && draw(f.Seed, uint64(x.me)) < f.Share {
 			off = max(off, f.Hard)
 		}
@@ -164,17 +164,17 @@
 }
 
 // call is a backend's work asking the next tier.
-func (d *Day) call(b *backend, r *relay) {
+func (d *Simulation) call(b *backend, r *relay) {
 	c := d.newCommand(b.own)
 	c.verb, c.parent, c.opID = r.verb, r, c.id
-	c.seed, c.key, c.expires = Mix(r.seed, uint64(r.calls)), r.key, r.expires
+	c.seed, c.key, c.expires = MixSeeds(r.seed, uint64(r.calls)), r.key, r.expires
 	r.holds++
 	r.callID = c.id
 	d.take(c)
 }
 
 // called tells a backend's work what became of its call.
-func (d *Day) called(r *relay, id uint64, answered bool) {
+func (d *Simulation) called(r *relay, id uint64, answered bool) {
 	if r.state != calling || r.callID != id {
 		return
 	}
@@ -189,7 +189,7 @@
 }
 
 // hangUp takes a call back whose caller is no longer interested.
-func (d *Day) hangUp(x *instance, id uint64) {
+func (d *Simulation) hangUp(x *instance, id uint64) {
 	c := d.command(id)
 	if x == nil || !x.alive || c == nil || c.done {
 		return
@@ -199,13 +199,13 @@
 		return
 	}
 	c.done = true
-	d.judge.ClientLeft(id)
+	d.judge.ClientDisconnected(id)
 	x.policy.ClientDisconnected(d.now, id)
 	d.forget(c)
 }
 
 // limit is a command's time limit: what is still out has timed out.
-func (d *Day) limit(id uint64) {
+func (d *Simulation) limit(id uint64) {
 	if id&closing != 0 {
 		if c := d.command(id &^ closing); c != nil {
 			d.forget(c)
@@ -229,7 +229,7 @@
 }
 
 // answer is an outcome at the instance.
-func (d *Day) answer(r *relay, cancel bool) {
+func (d *Simulation) answer(r *relay, cancel bool) {
 	if r.told || !cancel && r.result == balance.Answered && d.read(r) {
 		return
 	}
@@ -262,18 +262,18 @@
 
 // read has a client read an answer where that takes it long: it holds one of its instance's places, and while all are
 // taken every answer waits. It tells whether the answer has to wait.
-func (d *Day) read(r *relay) bool {
+func (d *Simulation) read(r *relay) bool {
 	x, c := r.inst, d.command(r.command)
-	if x.tier > 0 || d.w.Rules.Answers == 0 || c == nil || c.done || !x.alive || r.read {
+	if x.tier > 0 || d.w.Rules.AnswerSlots == 0 || c == nil || c.done || !x.alive || r.read {
 		return false
 	}
-	if x.reading >= d.w.Rules.Answers {
+	if x.reading >= d.w.Rules.AnswerSlots {
 		r.holds++
 		x.unread = append(x.unread, r)
 		return true
 	}
 	long := 0.0
-	for _, f := range d.during(faults.Readers) {
+	for _, f := range d.during(faults.SlowReaders) {
 		if draw(c.seed, 20) < f.Share {
 			long = max(long, f.Hard)
 		}
@@ -294,14 +294,14 @@
 }
 
 // closeBook frees the place of an answer that has been read, or that nobody waits for any more.
-func (d *Day) closeBook(r *relay) bool {
+func (d *Simulation) closeBook(r *relay) bool {
 	if !r.reads {
 		return false
 	}
 	x := r.inst
 	r.reads = false
 	x.reading--
-	for len(x.unread) > 0 && x.alive && x.reading < d.w.Rules.Answers {
+	for len(x.unread) > 0 && x.alive && x.reading < d.w.Rules.AnswerSlots {
 		next := x.unread[0]
 		x.unread = x.unread[1:]
 		if !next.told {
@@ -315,14 +315,14 @@
 func (b *backend) hangUp() { b.conns = max(0, b.conns-1) }
 
 // outcome is told to the policy.
-func (d *Day) outcome(x *instance, c *command, r *relay, result balance.Result) {
+func (d *Simulation) outcome(x *instance, c *command, r *relay, result balance.Result) {
 	r.result = result
 	c.out--
-	d.judge.AttemptEnded(c.id, r.n, result.NeverRan())
+	d.judge.RelayEnded(c.id, r.n, result.NeverRan())
 	final := c.done
 	if result == balance.Answered && !c.done {
 		final = true
-		d.judge.RequestEnded(d.now, c.id, false, true, r.made)
+		d.judge.CommandEnded(d.now, c.id, false, true, r.made)
 		d.finish(c, answered, 0, d.slowest(c, r))
 	}
 	x.policy.RelayEnded(d.now, c.id, r.n, result, d.now-r.sent, final, balance.LoadReport{Active: -1, Waiting: -1, CPU: -1, Latency: -1})
@@ -330,7 +330,7 @@
 }
 
 // finish passes the final answer on to who waits for it.
-func (d *Day) finish(c *command, a answer, comeBack float64, l checker.Loss) {
+func (d *Simulation) finish(c *command, a answer, comeBack float64, l checker.Loss) {
 	c.done = true
 	if c.parent != nil {
 		if a != answered {
@@ -348,15 +348,15 @@
 		c.op.loss = l
 	}
 	if a == declined && len(c.relays) == 0 && d.now-c.came > (c.expires-c.came)/2 && c.op.counts {
-		d.judge.RejectedLate(c.op.worth)
+		d.judge.DeclinedLate(c.op.worth)
 	}
 	d.answerClient(c, a, comeBack)
 }
 
-func (d *Day) lose(c *command, how checker.How) {
+func (d *Simulation) lose(c *command, how checker.LossCause) {
 	if c.try == c.op.try {
 		l := d.where(c)
-		l.How = how
+		l.Cause = how
 		c.op.loss = l
 	}
 }
@@ -368,18 +368,18 @@
 	d := x.d
 	b, c := d.named(to), d.command(id)
 	if b == nil || c == nil || c.inst != x {
-		d.judge.AttemptSent(d.now, id, -1, -1, -1, false)
+		d.judge.RelaySent(d.now, id, -1, -1, -1, false)
 		return
 	}
-	d.judge.AttemptSent(d.now, id, b.serial, b.zone, b.cell, b.zone != x.zone)
+	d.judge.RelaySent(d.now, id, b.serial, b.zone, b.cell, b.zone != x.zone)
 	r := d.newRelay()
 	d.opsMade++
 	r.holds, r.serial, r.command, r.n, r.inst, r.to = 1, d.opsMade, id, len(c.relays), x, b
 	r.op, r.seed, r.verb, r.sent, r.key, r.expires = c.opID, c.seed, c.verb, d.now, c.key, c.expires
-	r.work = Work(&d.w.Verbs[c.verb], c.seed, x.tier)
+	r.work = DrawWork(&d.w.Verbs[c.verb], c.seed, x.tier)
 	c.relays = append(c.relays, r)
 	c.out++
-	if c.done || len(c.relays) > d.w.Rules.Relays || d.now >= c.expires {
+	if c.done || len(c.relays) > d.w.Rules.MaxRelays || d.now >= c.expires {
 		r.state = over
 		d.answerAt(r, d.now, balance.NotSent)
 		return
@@ -422,15 +422,15 @@
 	if c == nil || c.done || c.inst != x {
 		return
 	}
-	d.judge.RequestEnded(d.now, id, a == declined, false, false)
+	d.judge.CommandEnded(d.now, id, a == declined, false, false)
 	l := d.where(c)
 	switch {
 	case a == declined:
-		l.How = checker.Rejected
+		l.Cause = checker.Declined
 	case d.now >= c.expires-2*d.w.Tick:
-		l.How = checker.Limit
+		l.Cause = checker.TimedOut
 	default:
-		l.How = checker.Terminated
+		l.Cause = checker.Terminated
 	}
 	d.finish(c, a, comeBack, l)
 	if c.out == 0 {
@@ -456,14 +456,14 @@
 		return
 	}
 	at := d.way(x.zone, y.zone)
-	if at >= d.w.Net.Again { // a datagram that is lost does not come again
+	if at >= d.w.Net.RetransmitDelay { // a datagram that is lost does not come again
 		return
 	}
-	if _, f := d.inForce(faults.Muddle); f.Hard > 0 {
-		if d.netChance.Float64() < f.At(d.now) {
+	if _, f := d.inForce(faults.ReorderMessages); f.Hard > 0 {
+		if d.netChance.Float64() < f.SeverityAt(d.now) {
 			d.carryNote(x, y, text, at+muddled*d.netChance.Float64()) // as well
 		}
-		if d.netChance.Float64() < f.At(d.now) {
+		if d.netChance.Float64() < f.SeverityAt(d.now) {
 			at += muddled
 		}
 	}
@@ -473,7 +473,7 @@
 const muddled = 0.02 // seconds by which a message comes later that lets others pass
 
 // carryNote has a message arrive after a while.
-func (d *Day) carryNote(x, y *instance, text []byte, after float64) {
+func (d *Simulation) carryNote(x, y *instance, text []byte, after float64) {
 	n := len(d.notes)
 	if k := len(d.spare); k > 0 {
 		n, d.spare = d.spare[k-1], d.spare[:k-1]
@@ -490,7 +490,7 @@
 	to   *instance
 }
 
-func (d *Day) noted(n int) {
+func (d *Simulation) noted(n int) {
 	w := d.noteTo[n]
 	if w.to.alive {
 		w.to.policy.MessageReceived(d.now, w.from, d.notes[n])
@@ -500,8 +500,8 @@
 
 // ---- Where a command is, or was lost.
 
-func (d *Day) where(c *command) checker.Loss {
-	l := checker.Loss{Where: checker.Instance, Tier: c.inst.tier}
+func (d *Simulation) where(c *command) checker.Loss {
+	l := checker.Loss{Place: checker.Instance, Tier: c.inst.tier}
 	if len(c.relays) == 0 {
 		return l
 	}
@@ -518,64 +518,64 @@
 }
 
 // at is where a relay that is out is just now.
-func (d *Day) at(r *relay) checker.Loss {
+func (d *Simulation) at(r *relay) checker.Loss {
 	l := checker.Loss{Tier: r.to.tier}
 	switch r.state {
 	case connecting:
-		l.Where = checker.Connecting
+		l.Place = checker.Connecting
 	case inQueue:
-		l.Where = checker.Queue
+		l.Place = checker.Queue
 	case working:
-		if l.Where = checker.Work; r.b.burden.Hang {
-			l.Where = checker.Stuck
+		if l.Place = checker.Work; r.b.burden.Hang {
+			l.Place = checker.Hung
 		}
 	case calling:
 		if c := d.command(r.callID); c != nil {
 			return d.where(c)
 		}
-		l.Where = checker.Work
+		l.Place = checker.Work
 	case stranded:
-		if l.Where = checker.Stuck; r.cut {
-			l.Where = checker.Network
+		if l.Place = checker.Hung; r.cut {
+			l.Place = checker.Network
 		}
 	default:
-		l.Where = checker.Network
+		l.Place = checker.Network
 	}
 	return l
 }
 
 // because is why a relay that has ended did not answer.
-func (d *Day) because(r *relay) checker.Loss {
+func (d *Simulation) because(r *relay) checker.Loss {
 	if r.blamed {
 		return r.blame
 	}
 	l := checker.Loss{Tier: r.to.tier}
 	switch r.result {
 	case balance.Full:
-		l.Where = checker.Refused
+		l.Place = checker.Refused
 	case balance.ConnectFailed:
-		l.Where = checker.Connecting
+		l.Place = checker.Connecting
 	case balance.Errored:
-		l.Where = checker.Failed
+		l.Place = checker.BackendFailed
 	default:
-		l.Where = checker.Network
+		l.Place = checker.Network
 	}
 	return l
 }
 
 // slowest is where a command that was answered by r spent the most of its time.
-func (d *Day) slowest(c *command, r *relay) checker.Loss {
-	l := checker.Loss{How: checker.Late, Where: checker.Instance, Tier: c.inst.tier}
+func (d *Simulation) slowest(c *command, r *relay) checker.Loss {
+	l := checker.Loss{Cause: checker.Late, Place: checker.Instance, Tier: c.inst.tier}
 	most := r.sent - c.came
 	for _, x := range []struct {
 		took  float64
-		where checker.Where
+		where checker.LossPlace
 	}{
 		{r.arrived - r.sent, checker.Connecting}, {r.began - r.arrived, checker.Queue}, {r.ended - r.began, checker.Work},
 		{d.now - r.ended, checker.Network},
 	} {
 		if x.took > most {
-			most, l.Where = x.took, x.where
+			most, l.Place = x.took, x.where
 		}
 	}
 	return l
--- a/internal/emulator/living_test.go
+++ b/internal/emulator/living_test.go
@@ -14,15 +14,15 @@
 // many is a day of so many proxies that each has little to do, before backends that have room.
 func many(load float64, messages bool) emulator.World {
 	w := emulator.Default()
-	w.Length, w.Instances, w.Load, w.Rules.Peers = 16, 30, load, messages
+	w.Duration, w.Instances, w.Load, w.Rules.Peers = 16, 30, load, messages
 	w.Tiers[0].Backends, w.Tiers[1].Backends = 60, 60
 	return w
 }
 
-func part(a *checker.Account, from, to int) float64 {
+func part(a *checker.Report, from, to int) float64 {
 	asked, served := 0.0, 0.0
 	for s := from; s < to; s++ {
-		asked, served = asked+a.AskedBy[s], served+a.ServedBy[s]
+		asked, served = asked+a.OfferedBySecond[s], served+a.ServedBySecond[s]
 	}
 	return served / asked
 }
@@ -32,11 +32,11 @@
 // that were no more.
 func TestThoseThatAreLeftServeAll(t *testing.T) {
 	for _, messages := range []bool{false, true} {
-		plan := faults.Plan{{Kind: faults.Kill, Zone: -1, To: -1, Share: 0.9, From: 8, For: 20, Seed: 5}}
+		plan := faults.Plan{{Kind: faults.KillInstances, Zone: -1, To: -1, Share: 0.9, From: 8, For: 20, Seed: 5}}
 		a, _ := emulator.Run(many(0.6, messages), plan, maker(t, "module"), 3)
 		b, _ := emulator.Run(many(0.6, messages), plan, maker(t, "fixed"), 3)
-		if a.Count() > 0 {
-			t.Errorf("messages %t: a rule broke: %v", messages, a.Broken[0])
+		if a.ViolationCount() > 0 {
+			t.Errorf("messages %t: a rule broke: %v", messages, a.Violations[0])
 		}
 		if now, before := part(a, 11, 16), part(b, 11, 16); now < 0.93 || !messages && now < before+0.1 {
 			t.Errorf("messages %t: %.3f served by three of thirty, %.3f where shares stay", messages, now, before)
@@ -50,15 +50,15 @@
 		t.Run(fmt.Sprintf("%.0f times more", times), func(t *testing.T) {
 			t.Parallel()
 			w := many(0.6, false)
-			w.Length, w.Instances, w.Tiers[0].Backends, w.Tiers[1].Backends = 13, 15, 30, 30
-			plan := faults.Plan{{Kind: faults.Burst, Zone: -1, To: -1, From: 7, For: 4, Hard: times}}
+			w.Duration, w.Instances, w.Tiers[0].Backends, w.Tiers[1].Backends = 13, 15, 30, 30
+			plan := faults.Plan{{Kind: faults.LoadBurst, Zone: -1, To: -1, From: 7, For: 4, Hard: times}}
 			sum := [2]float64{}
 			for seed := range uint64(3) {
 				for i, policy := range []string{"module", "fixed"} {
 					a, _ := emulator.Run(w, plan, maker(t, policy), seed)
 					sum[i] += part(a, 7, 13) / 3
-					if a.Count() > 0 {
-						t.Errorf("%s: a rule broke: %v", policy, a.Broken[0])
+					if a.ViolationCount() > 0 {
+						t.Errorf("%s: a rule broke: %v", policy, a.Violations[0])
 					}
 				}
 			}
@@ -78,10 +78,10 @@
 		plan  faults.Plan
 		least float64
 	}{
-		{"half stand still", faults.Plan{{Kind: faults.Stall, Share: 0.5, From: 4, For: 3}}, 0.45},
-		{"one in three, through a roll", faults.Plan{{Kind: faults.Stall, Share: 0.3, From: 4, For: 6}, {Kind: faults.Roll, Share: 0.5, From: 5, For: 2}}, 0.45},
-		{"a crash loop of a fifth", faults.Plan{{Kind: faults.Loop, Share: 0.2, From: 3, For: 8, Hard: 0.7}}, 0.8},
-		{"messages muddled", faults.Plan{{Kind: faults.Muddle, From: 2, For: 12, Hard: 0.2}}, 0.9},
+		{"half stand still", faults.Plan{{Kind: faults.StallInstances, Share: 0.5, From: 4, For: 3}}, 0.45},
+		{"one in three, through a roll", faults.Plan{{Kind: faults.StallInstances, Share: 0.3, From: 4, For: 6}, {Kind: faults.RollingReplace, Share: 0.5, From: 5, For: 2}}, 0.45},
+		{"a crash loop of a fifth", faults.Plan{{Kind: faults.CrashLoop, Share: 0.2, From: 3, For: 8, Hard: 0.7}}, 0.8},
+		{"messages muddled", faults.Plan{{Kind: faults.ReorderMessages, From: 2, For: 12, Hard: 0.2}}, 0.9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -90,22 +90,22 @@
 			for i := range c.plan {
 				c.plan[i].Zone, c.plan[i].To, c.plan[i].Seed = -1, -1, 7
 			}
-			if err := c.plan.Check(w.Extent()); err != nil {
+			if err := c.plan.Check(w.Bounds()); err != nil {
 				t.Fatal(err)
 			}
 			for seed := range uint64(3) {
 				a, _ := emulator.Run(w, c.plan, maker(t, "module"), seed)
-				if a.Count() > 0 {
-					t.Errorf("seed %d: a rule broke: %v", seed, a.Broken[0])
+				if a.ViolationCount() > 0 {
+					t.Errorf("seed %d: a rule broke: %v", seed, a.Violations[0])
 				}
-				if part := a.Served / a.Asked; part < c.least {
+				if part := a.ServedUtility / a.OfferedUtility; part < c.least {
 					t.Errorf("seed %d: %.3f served", seed, part)
 				}
 			}
 			calm, _ := emulator.Run(w, nil, maker(t, "module"), 0)
 			hit, _ := emulator.Run(w, c.plan, maker(t, "module"), 0)
-			if c.plan[0].Kind != faults.Muddle && hit.Served/hit.Asked > calm.Served/calm.Asked-0.005 {
-				t.Errorf("%.3f served, %.3f without the fault: it hit nobody", hit.Served/hit.Asked, calm.Served/calm.Asked)
+			if c.plan[0].Kind != faults.ReorderMessages && hit.ServedUtility/hit.OfferedUtility > calm.ServedUtility/calm.OfferedUtility-0.005 {
+				t.Errorf("%.3f served, %.3f without the fault: it hit nobody", hit.ServedUtility/hit.OfferedUtility, calm.ServedUtility/calm.OfferedUtility)
 			}
 		})
 	}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -51,7 +51,7 @@
 	serial              uint64 // number among all relays
 }
 
-func (d *Day) newRelay() *relay {
+func (d *Simulation) newRelay() *relay {
 	if n := len(d.relays); n > 0 {
 		r := d.relays[n-1]
 		d.relays = d.relays[:n-1]
@@ -61,21 +61,21 @@
 	return &relay{index: -1}
 }
 
-func (d *Day) release(r *relay) {
+func (d *Simulation) release(r *relay) {
 	if r.holds--; r.holds == 0 {
 		d.relays = append(d.relays, r)
 	}
 }
 
-func (d *Day) send(k kind, at float64, r *relay) {
+func (d *Simulation) send(k kind, at float64, r *relay) {
 	r.holds++
 	d.queue.push(k, event{at: at, r: r})
 }
 
 // passes tells whether anything gets from one zone to another.
-func (d *Day) passes(from, to int) bool {
+func (d *Simulation) passes(from, to int) bool {
 	for i, f := range d.plan {
-		if d.active[i] && f.Cuts(from, to) {
+		if d.active[i] && f.Blocks(from, to) {
 			return false
 		}
 	}
@@ -83,30 +83,30 @@
 }
 
 // way is how long something takes from one zone to another.
-func (d *Day) way(from, to int) float64 {
-	base := d.w.Net.Same
+func (d *Simulation) way(from, to int) float64 {
+	base := d.w.Net.SameZone
 	if from != to {
-		base = d.w.Net.Cross
+		base = d.w.Net.CrossZone
 	}
 	t := base * (1 + d.w.Net.Jitter*d.netChance.ExpFloat64())
 	for i, f := range d.plan {
-		if !d.active[i] || f.Kind != faults.Delay && f.Kind != faults.Loss {
+		if !d.active[i] || f.Kind != faults.Delay && f.Kind != faults.PacketLoss {
 			continue
 		}
-		if !f.Touches(from, to) {
+		if !f.AffectsPath(from, to) {
 			continue
 		}
-		if hard := f.At(d.now); f.Kind == faults.Delay {
+		if hard := f.SeverityAt(d.now); f.Kind == faults.Delay {
 			t += hard
 		} else if d.netChance.Float64() < hard {
-			t += d.w.Net.Again
+			t += d.w.Net.RetransmitDelay
 		}
 	}
 	return t
 }
 
 // forth sends a relay on to its backend, so many ways.
-func (d *Day) forth(r *relay, k kind, ways int) {
+func (d *Simulation) forth(r *relay, k kind, ways int) {
 	at := d.now
 	for range ways {
 		at += d.way(r.inst.zone, r.to.zone)
@@ -119,7 +119,7 @@
 		return
 	}
 	if k == onConnect {
-		d.answerAt(r, d.now+d.w.Rules.Connect, balance.ConnectFailed)
+		d.answerAt(r, d.now+d.w.Rules.ConnectTimeout, balance.ConnectFailed)
 		return
 	}
 	r.cut = true
@@ -127,14 +127,14 @@
 }
 
 // strand leaves a relay without a word, until something on the way changes.
-func (d *Day) strand(r *relay) {
+func (d *Simulation) strand(r *relay) {
 	r.state = stranded
 	r.holds++
 	d.lost = append(d.lost, r)
 }
 
 // unstrand has the connections break that can be heard of again.
-func (d *Day) unstrand(which func(*relay) bool) {
+func (d *Simulation) unstrand(which func(*relay) bool) {
 	kept := d.lost[:0]
 	for _, r := range d.lost {
 		switch {
@@ -152,11 +152,11 @@
 }
 
 // back sends an outcome from a backend to the instance.
-func (d *Day) back(r *relay, result balance.Result) {
+func (d *Simulation) back(r *relay, result balance.Result) {
 	r.ended = d.now
 	if !d.passes(r.to.zone, r.inst.zone) {
 		if r.conn == nil && result == balance.ConnectFailed {
-			d.answerAt(r, max(d.now, r.sent+d.w.Rules.Connect), result)
+			d.answerAt(r, max(d.now, r.sent+d.w.Rules.ConnectTimeout), result)
 			return
 		}
 		r.cut = true
@@ -166,7 +166,7 @@
 	d.answerAt(r, d.now+d.way(r.to.zone, r.inst.zone), result)
 }
 
-func (d *Day) answerAt(r *relay, at float64, result balance.Result) {
+func (d *Simulation) answerAt(r *relay, at float64, result balance.Result) {
 	r.result = result
 	d.send(onAnswer, at, r)
 }
@@ -193,7 +193,7 @@
 }
 
 // rest puts a connection back that can be used again.
-func (d *Day) rest(r *relay) {
+func (d *Simulation) rest(r *relay) {
 	b := r.conn
 	r.conn = nil
 	if b == nil || !b.alive {
@@ -204,13 +204,13 @@
 	l.since = d.now
 	if !l.watched {
 		l.watched = true
-		d.queue.push(onIdle, event{at: d.now + d.tierOf(b).Idle, a: int32(r.inst.serial), n: uint64(b.serial)})
+		d.queue.push(onIdle, event{at: d.now + d.tierOf(b).IdleTimeout, a: int32(r.inst.serial), n: uint64(b.serial)})
 	}
 }
 
 // reaped tells that what stands between has dropped the connection at rest, which neither end was told.
-func (d *Day) reaped(l *link) bool {
-	for _, f := range d.during(faults.Reap) {
+func (d *Simulation) reaped(l *link) bool {
+	for _, f := range d.during(faults.IdleReset) {
 		if d.now-l.since > f.Hard {
 			return true
 		}
@@ -219,7 +219,7 @@
 }
 
 // idle closes what has rested too long.
-func (d *Day) idle(x *instance, serial int) {
+func (d *Simulation) idle(x *instance, serial int) {
 	if !x.alive {
 		return
 	}
@@ -229,7 +229,7 @@
 	if l.idle == 0 {
 		return
 	}
-	if due := l.since + d.tierOf(b).Idle; d.now < due {
+	if due := l.since + d.tierOf(b).IdleTimeout; d.now < due {
 		l.watched = true
 		d.queue.push(onIdle, event{at: due, a: int32(x.serial), n: uint64(serial)})
 		return
@@ -241,7 +241,7 @@
 }
 
 // closeConn ends a relay's connection from the instance's side: its backend hears of it a way later.
-func (d *Day) closeConn(r *relay) {
+func (d *Simulation) closeConn(r *relay) {
 	if d.passes(r.inst.zone, r.to.zone) {
 		d.send(onCancel, d.now+d.way(r.inst.zone, r.to.zone), r)
 	} else if r.conn != nil { // never heard of: the machine gives the connection up by itself
--- a/internal/emulator/places_test.go
+++ b/internal/emulator/places_test.go
@@ -15,8 +15,8 @@
 func keyed() emulator.World {
 	w := small()
 	w.Clients.Keys = 300
-	w.Rules.Free, w.Rules.FreeShare, w.Rules.FreeSpan = 3, 0.1, 5
-	w.Rules.Answers, w.Rules.LimitOff = 12, 1.2
+	w.Rules.FreeRelays, w.Rules.FreeRelayRatio, w.Rules.BudgetWindow = 3, 0.1, 5
+	w.Rules.AnswerSlots, w.Rules.DeadlineError = 12, 1.2
 	return w
 }
 
@@ -26,12 +26,12 @@
 		fault faults.Fault
 		least float64 // of the worth that must be served
 	}{
-		{faults.Fault{Kind: faults.Lock, Tier: 1, Share: 0.1, Hard: 0.2}, 0.80},
-		{faults.Fault{Kind: faults.Spoilt, Tier: 0, Share: 0.2}, 0.75},
-		{faults.Fault{Kind: faults.Readers, Share: 0.12, Hard: 4}, 0.80},
-		{faults.Fault{Kind: faults.Skew, Share: 0.6, Hard: 1}, 0.95},
-		{faults.Fault{Kind: faults.Reap, Hard: 0.05}, 0.80},
-		{faults.Fault{Kind: faults.Unable, Tier: 0, Share: 0.4, Hard: 1}, 0.80},
+		{faults.Fault{Kind: faults.LockedKeys, Tier: 1, Share: 0.1, Hard: 0.2}, 0.80},
+		{faults.Fault{Kind: faults.FailingKeys, Tier: 0, Share: 0.2}, 0.75},
+		{faults.Fault{Kind: faults.SlowReaders, Share: 0.12, Hard: 4}, 0.80},
+		{faults.Fault{Kind: faults.DeadlineSkew, Share: 0.6, Hard: 1}, 0.95},
+		{faults.Fault{Kind: faults.IdleReset, Hard: 0.05}, 0.80},
+		{faults.Fault{Kind: faults.FailingVerb, Tier: 0, Share: 0.4, Hard: 1}, 0.80},
 	} {
 		t.Run(string(c.fault.Kind), func(t *testing.T) {
 			t.Parallel()
@@ -39,16 +39,16 @@
 			f.Zone, f.To, f.From, f.For, f.Seed = -1, -1, 4, 8, 7
 			plan := faults.Plan{f}
 			w := keyed()
-			if err := plan.Check(w.Extent()); err != nil {
+			if err := plan.Check(w.Bounds()); err != nil {
 				t.Fatal(err)
 			}
 			a, _ := emulator.Run(w, plan, maker(t, "module"), 3)
-			if a.Count() > 0 {
-				t.Errorf("a rule broke: %v", a.Broken[0])
+			if a.ViolationCount() > 0 {
+				t.Errorf("a rule broke: %v", a.Violations[0])
 			}
 			b, _ := emulator.Run(w, nil, maker(t, "module"), 3)
-			if part := a.Served / a.Asked; part < c.least || c.least < 0.9 && part >= b.Served/b.Asked {
-				t.Errorf("%.3f served, at least %.2f wanted; %.3f without the fault", part, c.least, b.Served/b.Asked)
+			if part := a.ServedUtility / a.OfferedUtility; part < c.least || c.least < 0.9 && part >= b.ServedUtility/b.OfferedUtility {
+				t.Errorf("%.3f served, at least %.2f wanted; %.3f without the fault", part, c.least, b.ServedUtility/b.OfferedUtility)
 			}
 		})
 	}
@@ -56,13 +56,13 @@
 
 // A limit told short has to cost a module that takes it for the truth: else the day above shows nothing.
 func TestLimitsToldShortCostWhoBelievesThem(t *testing.T) {
-	plan := faults.Plan{{Kind: faults.Skew, Share: 0.6, Hard: 1.5, Zone: -1, To: -1, From: 4, For: 8, Seed: 7}}
+	plan := faults.Plan{{Kind: faults.DeadlineSkew, Share: 0.6, Hard: 1.5, Zone: -1, To: -1, From: 4, For: 8, Seed: 7}}
 	w := keyed()
-	w.Rules.LimitOff = 1.5
+	w.Rules.DeadlineError = 1.5
 	knows, _ := emulator.Run(w, plan, maker(t, "module"), 3)
-	w.Rules.LimitOff = 0
+	w.Rules.DeadlineError = 0
 	believes, _ := emulator.Run(w, plan, maker(t, "module"), 3)
-	if a, b := knows.Served/knows.Asked, believes.Served/believes.Asked; a < b+0.02 {
+	if a, b := knows.ServedUtility/knows.OfferedUtility, believes.ServedUtility/believes.OfferedUtility; a < b+0.02 {
 		t.Errorf("%.3f served by who knows that limits may be wrong, %.3f by who does not", a, b)
 	}
 }
@@ -72,7 +72,7 @@
 	w := keyed()
 	inner := maker(t, "two")
 	plan := faults.Plan{{Kind: faults.Refuse, Zone: -1, To: -1, Share: 0.5, From: 3, For: 8, Hard: 0.8}}
-	again := func(host balance.Host, s emulator.Sight, seed uint64, now float64) emulator.Policy {
+	again := func(host balance.Host, s emulator.TrueState, seed uint64, now float64) emulator.Policy {
 		x := &wrong{host: host, after: func(w *wrong, id uint64, result balance.Result) {
 			if result == balance.Full {
 				w.host.Relay(id, w.known[int(id)%len(w.known)])
@@ -81,11 +81,11 @@
 		x.Policy = inner(host, s, seed, now)
 		return x
 	}
-	if a, _ := emulator.Run(w, plan, again, 9); a.Rules[checker.Budget] == 0 {
-		t.Errorf("a storm of retries broke no budget: %v", a.Rules)
+	if a, _ := emulator.Run(w, plan, again, 9); a.RuleCounts[checker.RelayBudget] == 0 {
+		t.Errorf("a storm of retries broke no budget: %v", a.RuleCounts)
 	}
-	if a, _ := emulator.Run(w, plan, maker(t, "module"), 9); a.Count() > 0 {
-		t.Errorf("the module broke a rule: %v", a.Broken[0])
+	if a, _ := emulator.Run(w, plan, maker(t, "module"), 9); a.ViolationCount() > 0 {
+		t.Errorf("the module broke a rule: %v", a.Violations[0])
 	}
 }
 
@@ -94,18 +94,18 @@
 func TestStartsToldWrongPushNoColdBackendOver(t *testing.T) {
 	w := keyed()
 	w.Load, w.Rules.ColdShare, w.Rules.ColdMultiple = 0.9, 0.1, 1.2
-	w.OneTier()
+	w.KeepFirstTier()
 	plan := faults.Plan{
-		{Kind: faults.Roll, Zone: -1, To: -1, Share: 0.5, From: 2, For: 4, Seed: 3},
-		{Kind: faults.Drift, Zone: -1, To: -1, Share: 0.3, From: 0, For: 20, Hard: 6, Seed: 7},
+		{Kind: faults.RollingReplace, Zone: -1, To: -1, Share: 0.5, From: 2, For: 4, Seed: 3},
+		{Kind: faults.StartTimeError, Zone: -1, To: -1, Share: 0.3, From: 0, For: 20, Hard: 6, Seed: 7},
 	}
 	fell := func(off float64) (fell int) {
-		w.Rules.StartOff = off
+		w.Rules.StartTimeError = off
 		for seed := range uint64(6) {
 			a, _ := emulator.Run(w, plan, maker(t, "module"), seed)
-			fell += a.Rules[checker.Cold]
-			if off > 0 && a.Count() > 0 {
-				t.Errorf("seed %d: a rule broke: %v", seed, a.Broken[0])
+			fell += a.RuleCounts[checker.ColdProtected]
+			if off > 0 && a.ViolationCount() > 0 {
+				t.Errorf("seed %d: a rule broke: %v", seed, a.Violations[0])
 			}
 		}
 		return fell
--- a/internal/emulator/troubles.go
+++ b/internal/emulator/troubles.go
@@ -17,13 +17,13 @@
 )
 
 // fault begins (1), steps (2) or ends (0) one of the plan.
-func (d *Day) fault(n int, what int32) {
+func (d *Simulation) fault(n int, what int32) {
 	f := d.plan[n]
 	switch what {
 	case 1:
 		d.active[n] = true
 		d.begins(n, f)
-		if f.Ramps() || f.Kind == faults.Flicker {
+		if f.Ramps() || f.Kind == faults.NoisyNeighbor {
 			d.queue.push(onFault, event{at: d.now + d.stepOf(f), n: uint64(n), a: 2})
 		}
 		d.queue.push(onFault, event{at: f.From + f.For, n: uint64(n)})
@@ -38,15 +38,15 @@
 	}
 }
 
-func (d *Day) stepOf(f faults.Fault) float64 {
-	if f.Kind == faults.Flicker {
+func (d *Simulation) stepOf(f faults.Fault) float64 {
+	if f.Kind == faults.NoisyNeighbor {
 		return flicks
 	}
 	return ramped
 }
 
 // during walks over the faults of a kind that are in force, by their number in the plan.
-func (d *Day) during(k faults.Kind) iter.Seq2[int, faults.Fault] {
+func (d *Simulation) during(k faults.Kind) iter.Seq2[int, faults.Fault] {
 	return func(yield func(int, faults.Fault) bool) {
 		for i, f := range d.plan {
 			if d.active[i] && f.Kind == k && !yield(i, f) {
@@ -56,13 +56,13 @@
 	}
 }
 
-func (d *Day) hit(f faults.Fault) []*backend {
-	return faults.Hit(f, d.tiers[f.Tier], func(b *backend) int { return b.zone })
+func (d *Simulation) hit(f faults.Fault) []*backend {
+	return faults.PickBackends(f, d.tiers[f.Tier], func(b *backend) int { return b.zone })
 }
 
-func (d *Day) begins(n int, f faults.Fault) {
+func (d *Simulation) begins(n int, f faults.Fault) {
 	switch f.Kind {
-	case faults.Crash, faults.Zone:
+	case faults.Crash, faults.ZoneLoss:
 		d.targets[n] = d.hit(f)
 		for _, b := range d.targets[n] {
 			d.die(b, false)
@@ -74,13 +74,13 @@
 			d.die(b, true)
 			d.later(d.now+2*detect, func() { d.announceGone(b) })
 		}
-	case faults.Roll, faults.Takeover:
+	case faults.RollingReplace, faults.Takeover:
 		hit := d.hit(f)
 		for i, b := range hit {
 			d.later(d.now+f.For*float64(i)/float64(len(hit)), func() { d.replace(b, f.Kind == faults.Takeover) })
 		}
-	case faults.Kill:
-		hit := f.Places(len(d.places[0]))
+	case faults.KillInstances:
+		hit := f.PickIndexes(len(d.places[0]))
 		for _, me := range hit {
 			d.kill(d.places[0][me])
 		}
@@ -89,23 +89,23 @@
 				d.startFront(me)
 			}
 		})
-	case faults.Stall:
-		for _, me := range f.Places(len(d.places[0])) {
+	case faults.StallInstances:
+		for _, me := range f.PickIndexes(len(d.places[0])) {
 			x := d.places[0][me]
 			x.still = max(x.still, f.From+f.For)
 			d.later(f.From+f.For, func() {
-				d.judge.Stalled(x.serial, f.From, d.now)
+				d.judge.InstanceStalled(x.serial, f.From, d.now)
 				if s, ok := x.policy.(interface{ Stalled(float64) }); ok && x.alive {
 					s.Stalled(d.now)
 				}
 			})
 		}
-	case faults.Loop:
-		for _, me := range f.Places(len(d.places[0])) {
+	case faults.CrashLoop:
+		for _, me := range f.PickIndexes(len(d.places[0])) {
 			d.crash(me, f)
 		}
-	case faults.Restart:
-		hit := f.Places(len(d.places[0]))
+	case faults.RestartInstances:
+		hit := f.PickIndexes(len(d.places[0]))
 		longest := 0.0
 		for _, v := range d.w.Verbs {
 			longest = max(longest, v.Limit)
@@ -117,43 +117,43 @@
 				d.later(d.now+longest+1, func() { d.kill(x); d.startFront(me) })
 			})
 		}
-	case faults.Silent:
+	case faults.DiscoverySilent:
 		d.breakWatches()
-	case faults.Stale:
+	case faults.DiscoveryStale:
 		for k := range d.w.Tiers {
 			d.tellAll(k, true)
 		}
-	case faults.Partial:
+	case faults.DiscoveryPartial:
 		d.tellAll(f.Tier, true)
-	case faults.Slow, faults.Flicker, faults.Errors, faults.Refuse, faults.Table, faults.Deaf, faults.Spoil, faults.Reset, faults.Hang,
-		faults.Unable:
+	case faults.Slow, faults.NoisyNeighbor, faults.Errors, faults.Refuse, faults.FullTable, faults.IgnoreCancels, faults.LoseAnswers, faults.Reset, faults.Hang,
+		faults.FailingVerb:
 		d.targets[n] = d.hit(f)
 		d.burdenAll(n)
 	}
 }
 
-func (d *Day) ends(n int, f faults.Fault) {
+func (d *Simulation) ends(n int, f faults.Fault) {
 	switch f.Kind {
-	case faults.Crash, faults.Zone, faults.Vanish:
+	case faults.Crash, faults.ZoneLoss, faults.Vanish:
 		for _, b := range d.targets[n] {
 			d.revive(b)
 		}
-	case faults.Cut:
+	case faults.Partition:
 		d.unstrand(func(r *relay) bool {
 			return r.cut && d.passes(r.inst.zone, r.to.zone) && d.passes(r.to.zone, r.inst.zone)
 		})
-	case faults.Stale:
+	case faults.DiscoveryStale:
 		for k := range d.w.Tiers {
 			d.tellAll(k, true)
 		}
-	case faults.Partial:
+	case faults.DiscoveryPartial:
 		d.tellAll(f.Tier, true)
 	}
 	d.burdenAll(n)
 }
 
 // crash kills an instance and starts it anew, again and again while the fault is in force.
-func (d *Day) crash(me int, f faults.Fault) {
+func (d *Simulation) crash(me int, f faults.Fault) {
 	d.kill(d.places[0][me])
 	d.later(d.now+reborn, func() {
 		d.startFront(me)
@@ -163,7 +163,7 @@
 	})
 }
 
-func (d *Day) startFront(me int) {
+func (d *Simulation) startFront(me int) {
 	old := d.places[0][me]
 	if old.alive {
 		return
@@ -174,9 +174,9 @@
 }
 
 // burdenAll takes anew what the backends of a fault have to bear, from all faults in force.
-func (d *Day) burdenAll(n int) {
+func (d *Simulation) burdenAll(n int) {
 	for _, b := range d.targets[n] {
-		b.burden.Burden = faults.Burden{}
+		b.burden.Impairment = faults.Impairment{}
 		for i, f := range d.plan {
 			if !d.active[i] || !slices.Contains(d.targets[i], b) {
 				continue
--- a/internal/emulator/work_test.go
+++ b/internal/emulator/work_test.go
@@ -11,7 +11,7 @@
 	for v := range w.Verbs {
 		n, sum, squares, most := 400000, 0.0, 0.0, 0.0
 		for i := range n {
-			x := Work(&w.Verbs[v], Mix(9, uint64(i)), 0) / w.Verbs[v].Work[0]
+			x := DrawWork(&w.Verbs[v], MixSeeds(9, uint64(i)), 0) / w.Verbs[v].Work[0]
 			sum, squares, most = sum+x, squares+x*x, max(most, x)
 		}
 		mean := sum / float64(n)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -17,60 +17,60 @@
 // World describes the systems in which a day is played. Times are in seconds, work in seconds of a core of speed 1.
 // Default gives one; a file changes what it names.
 type World struct {
-	Length    float64    `toml:"length"`
-	Warmup    float64    `toml:"warmup"`    // seconds from the start that are played and not counted
-	Zones     int        `toml:"zones"`     //
-	Instances int        `toml:"instances"` // of the first tier
-	Skew      float64    `toml:"skew"`      // spread (sigma of a lognormal) of what instances of the first tier get
-	Tick      float64    `toml:"tick"`
-	Load      float64    `toml:"load"` // part of the true capacity of the tier that runs out first
-	Rate      float64    `toml:"rate"` // commands a second in its place, where above 0
-	Swing     float64    `toml:"swing"`
-	Wave      float64    `toml:"wave"` // seconds of a swing
-	Tiers     []Tier     `toml:"tiers"`
-	Verbs     []Verb     `toml:"verbs"`
-	Customers []Customer `toml:"customers"`
-	Net       Net        `toml:"net"`
-	Discovery Discovery  `toml:"discovery"`
-	Clients   Clients    `toml:"clients"`
-	Rules     Rules      `toml:"rules"`
-	Prices    Prices     `toml:"prices"`
+	Duration     float64    `toml:"length"`
+	Warmup       float64    `toml:"warmup"`    // seconds from the start that are played and not counted
+	Zones        int        `toml:"zones"`     //
+	Instances    int        `toml:"instances"` // of the first tier
+	InstanceSkew float64    `toml:"skew"`      // spread (sigma of a lognormal) of what instances of the first tier get
+	Tick         float64    `toml:"tick"`
+	Load         float64    `toml:"load"` // part of the true capacity of the tier that runs out first
+	Rate         float64    `toml:"rate"` // commands a second in its place, where above 0
+	LoadSwing    float64    `toml:"swing"`
+	SwingPeriod  float64    `toml:"wave"` // seconds of a swing
+	Tiers        []Tier     `toml:"tiers"`
+	Verbs        []Verb     `toml:"verbs"`
+	Customers    []Customer `toml:"customers"`
+	Net          Network    `toml:"net"`
+	Discovery    Discovery  `toml:"discovery"`
+	Clients      Clients    `toml:"clients"`
+	Rules        Rules      `toml:"rules"`
+	Prices       Prices     `toml:"prices"`
 }
 
 // Tier is a group of like backends; those of each but the last call the next tier.
 type Tier struct {
-	Backends    int       `toml:"backends"`
-	Cores       float64   `toml:"cores"`
-	Slots       int       `toml:"slots"`        // commands in work at once
-	Queue       int       `toml:"queue"`        // and waiting, beyond which they are turned away
-	Speeds      []float64 `toml:"speeds"`       // classes, dealt out in turn by chance
-	Nominal     float64   `toml:"nominal"`      // how far the listed weight follows the speed: 0 not at all, 1 wholly
-	Connections int       `toml:"connections"`  // held at once, beyond which new ones are refused
-	Handshake   float64   `toml:"handshake"`    // work of a new connection
-	Idle        float64   `toml:"idle"`         // seconds after which an idle connection is closed
-	ChokeFrom   float64   `toml:"choke_from"`   // commands a core held, from which it gets less efficient
-	Choke       float64   `toml:"choke"`        // part of its efficiency lost for each more a core, as 1/(1+choke*more)
-	CancelStops bool      `toml:"cancel_stops"` // cancelled work stops
-	MindsLimit  bool      `toml:"minds_limit"`  // what waited until its time was up is turned away, not begun
-	CellSize    int       `toml:"cell_size"`    // backends in a cell
-	KeySaves    float64   `toml:"key_saves"`    // part of the work that a cell saves on a key that it met lately
-	KeyLife     float64   `toml:"key_life"`     // seconds for which that holds
+	Backends       int       `toml:"backends"`
+	Cores          float64   `toml:"cores"`
+	Slots          int       `toml:"slots"`        // commands in work at once
+	Queue          int       `toml:"queue"`        // and waiting, beyond which they are turned away
+	Speeds         []float64 `toml:"speeds"`       // classes, dealt out in turn by chance
+	WeightFidelity float64   `toml:"nominal"`      // how far the listed weight follows the speed: 0 not at all, 1 wholly
+	Connections    int       `toml:"connections"`  // held at once, beyond which new ones are refused
+	Handshake      float64   `toml:"handshake"`    // work of a new connection
+	IdleTimeout    float64   `toml:"idle"`         // seconds after which an idle connection is closed
+	OverloadFrom   float64   `toml:"choke_from"`   // commands a core held, from which it gets less efficient
+	OverloadLoss   float64   `toml:"choke"`        // part of its efficiency lost for each more a core, as 1/(1+choke*more)
+	CancelStops    bool      `toml:"cancel_stops"` // cancelled work stops
+	RejectsExpired bool      `toml:"minds_limit"`  // what waited until its time was up is turned away, not begun
+	CellSize       int       `toml:"cell_size"`    // backends in a cell
+	CacheSaving    float64   `toml:"key_saves"`    // part of the work that a cell saves on a key that it met lately
+	CacheLifetime  float64   `toml:"key_life"`     // seconds for which that holds
 }
 
 // Verb is a kind of command.
 type Verb struct {
-	Name    string    `toml:"name"`
-	Effect  string    `toml:"effect"` // pure, receipted, effectful
-	Scope   string    `toml:"scope"`  // all, zone, cell
-	Window  float64   `toml:"window"`
-	Goal    float64   `toml:"goal"`
-	Limit   float64   `toml:"limit"`
-	Utility float64   `toml:"utility"`
-	Late    float64   `toml:"late"` // part of the utility of an answer past the goal
-	Share   float64   `toml:"share"`
-	Work    []float64 `toml:"work"`   // mean, at each tier
-	Spread  float64   `toml:"spread"` // coefficient of variation, lognormal
-	Calls   []int     `toml:"calls"`  // one after another, from each tier to the next
+	Name        string    `toml:"name"`
+	Effect      string    `toml:"effect"` // pure, receipted, effectful
+	Scope       string    `toml:"scope"`  // all, zone, cell
+	DedupWindow float64   `toml:"window"`
+	Goal        float64   `toml:"goal"`
+	Limit       float64   `toml:"limit"`
+	Utility     float64   `toml:"utility"`
+	LateShare   float64   `toml:"late"` // part of the utility of an answer past the goal
+	Share       float64   `toml:"share"`
+	Work        []float64 `toml:"work"`   // mean, at each tier
+	Spread      float64   `toml:"spread"` // coefficient of variation, lognormal
+	Calls       []int     `toml:"calls"`  // one after another, from each tier to the next
 }
 
 // Customer shares the service with others.
@@ -80,97 +80,97 @@
 }
 
 // Net is the way between zones; times are one way.
-type Net struct {
-	Same   float64 `toml:"same"`
-	Cross  float64 `toml:"cross"`
-	Client float64 `toml:"client"`
-	Jitter float64 `toml:"jitter"` // mean of what comes on top, as a part
-	Again  float64 `toml:"again"`  // seconds after which what was lost is sent again
+type Network struct {
+	SameZone        float64 `toml:"same"`
+	CrossZone       float64 `toml:"cross"`
+	Client          float64 `toml:"client"`
+	Jitter          float64 `toml:"jitter"` // mean of what comes on top, as a part
+	RetransmitDelay float64 `toml:"again"`  // seconds after which what was lost is sent again
 }
 
 // Discovery tells each instance what changed.
 type Discovery struct {
-	Lag    [2]float64 `toml:"lag"` // drawn for each instance and word
-	Asked  bool       `toml:"asked"`
-	Serves float64    `toml:"serves"` // calls a second that it answers, where it must be asked
+	Lag         [2]float64 `toml:"lag"` // drawn for each instance and word
+	OnRequest   bool       `toml:"asked"`
+	MaxCallRate float64    `toml:"serves"` // calls a second that it answers, where it must be asked
 }
 
 // Clients come by themselves, whatever becomes of those before.
 type Clients struct {
-	Retries  int     `toml:"retries"`   // at most, by the rules
-	TryShare float64 `toml:"try_share"` // part of the limit after which one try is given up
-	Backoff  float64 `toml:"backoff"`   // seconds before another try, doubling, with jitter
-	Follow   float64 `toml:"follow"`    // part of the clients that follow when to come back
-	Notice   float64 `toml:"notice"`    // seconds until the front notices a dead instance
-	Early    float64 `toml:"early"`     // part that leaves early
-	Over     float64 `toml:"over"`      // worth of what a customer sends over its allowance, as a part
-	Keys     int     `toml:"keys"`
+	Retries         int     `toml:"retries"`   // at most, by the rules
+	TryShare        float64 `toml:"try_share"` // part of the limit after which one try is given up
+	RetryBackoff    float64 `toml:"backoff"`   // seconds before another try, doubling, with jitter
+	RetryAfterShare float64 `toml:"follow"`    // part of the clients that follow when to come back
+	DeathDetection  float64 `toml:"notice"`    // seconds until the front notices a dead instance
+	EarlyLeaveShare float64 `toml:"early"`     // part that leaves early
+	OverageUtility  float64 `toml:"over"`      // worth of what a customer sends over its allowance, as a part
+	Keys            int     `toml:"keys"`
 }
 
 // Rules are what instances may do, and the figures of the four rules.
 type Rules struct {
-	Relays       int     `toml:"relays"`
-	Copies       bool    `toml:"copies"`
-	Cancel       bool    `toml:"cancel"`
-	Peers        bool    `toml:"peers"`
-	ComeBack     float64 `toml:"come_back"`
-	Slack        float64 `toml:"slack"`
-	Grace        float64 `toml:"grace"`
-	Drain        float64 `toml:"drain"` // seconds from the word of a drain until the backend ends
-	Connect      float64 `toml:"connect"`
-	ColdShare    float64 `toml:"cold_share"`
-	ColdSpan     float64 `toml:"cold_span"`
-	ColdMultiple float64 `toml:"cold_multiple"`
-	ColdWindow   float64 `toml:"cold_window"`
-	Answers      int     `toml:"answers"`   // places of a first-tier instance for answers that clients read, 0: no bound
-	LimitOff     float64 `toml:"limit_off"` // seconds by which a limit may be told wrong
-	Free         float64 `toml:"free"`      // further relays of one instance in any span
-	FreeShare    float64 `toml:"free_share"`
-	FreeSpan     float64 `toml:"free_span"` // seconds, 0: no budget
-	StartOff     float64 `toml:"start_off"` // seconds by which the time of a start may be told wrong
+	MaxRelays      int     `toml:"relays"`
+	SecondCopies   bool    `toml:"copies"`
+	CancelRelays   bool    `toml:"cancel"`
+	Peers          bool    `toml:"peers"`
+	MaxRetryAfter  float64 `toml:"come_back"`
+	AnswerSlack    float64 `toml:"slack"`
+	DrainGrace     float64 `toml:"grace"`
+	DrainTime      float64 `toml:"drain"` // seconds from the word of a drain until the backend ends
+	ConnectTimeout float64 `toml:"connect"`
+	ColdShare      float64 `toml:"cold_share"`
+	WarmUp         float64 `toml:"cold_span"`
+	ColdMultiple   float64 `toml:"cold_multiple"`
+	ColdWindow     float64 `toml:"cold_window"`
+	AnswerSlots    int     `toml:"answers"`   // places of a first-tier instance for answers that clients read, 0: no bound
+	DeadlineError  float64 `toml:"limit_off"` // seconds by which a limit may be told wrong
+	FreeRelays     float64 `toml:"free"`      // further relays of one instance in any span
+	FreeRelayRatio float64 `toml:"free_share"`
+	BudgetWindow   float64 `toml:"free_span"` // seconds, 0: no budget
+	StartTimeError float64 `toml:"start_off"` // seconds by which the time of a start may be told wrong
 }
 
 // Prices come off, each as a part of the mean worth of a command.
 type Prices struct {
-	Relay    float64 `toml:"relay"`
-	Message  float64 `toml:"message"`
-	Crossing float64 `toml:"crossing"`
-	LateNo   float64 `toml:"late_no"`
+	Relay        float64 `toml:"relay"`
+	Message      float64 `toml:"message"`
+	ZoneCrossing float64 `toml:"crossing"`
+	LateDecline  float64 `toml:"late_no"`
 }
 
 // Default is a plausible small world: two tiers, three zones, four verbs of the three effects.
 func Default() World {
 	return World{
-		Length: 40, Warmup: 1, Zones: 3, Instances: 12, Skew: 0.5, Tick: 0.001, Load: 0.6, Swing: 0.15, Wave: 20,
+		Duration: 40, Warmup: 1, Zones: 3, Instances: 12, InstanceSkew: 0.5, Tick: 0.001, Load: 0.6, LoadSwing: 0.15, SwingPeriod: 20,
 		Tiers: []Tier{
-			{Backends: 24, Cores: 2, Slots: 16, Queue: 24, Speeds: []float64{0.7, 1, 1.4}, Nominal: 0.5, Connections: 64,
-				Handshake: 0.0005, Idle: 10, ChokeFrom: 5, Choke: 0.06, CancelStops: true, MindsLimit: true, CellSize: 4},
-			{Backends: 16, Cores: 2, Slots: 16, Queue: 24, Speeds: []float64{0.8, 1, 1.2}, Nominal: 0.5, Connections: 96,
-				Handshake: 0.0005, Idle: 10, ChokeFrom: 5, Choke: 0.06, CancelStops: true, MindsLimit: true, CellSize: 4},
+			{Backends: 24, Cores: 2, Slots: 16, Queue: 24, Speeds: []float64{0.7, 1, 1.4}, WeightFidelity: 0.5, Connections: 64,
+				Handshake: 0.0005, IdleTimeout: 10, OverloadFrom: 5, OverloadLoss: 0.06, CancelStops: true, RejectsExpired: true, CellSize: 4},
+			{Backends: 16, Cores: 2, Slots: 16, Queue: 24, Speeds: []float64{0.8, 1, 1.2}, WeightFidelity: 0.5, Connections: 96,
+				Handshake: 0.0005, IdleTimeout: 10, OverloadFrom: 5, OverloadLoss: 0.06, CancelStops: true, RejectsExpired: true, CellSize: 4},
 		},
 		Verbs: []Verb{
-			{Name: "look", Effect: "pure", Goal: 0.3, Limit: 1, Utility: 1, Late: 0.2, Share: 0.55,
+			{Name: "look", Effect: "pure", Goal: 0.3, Limit: 1, Utility: 1, LateShare: 0.2, Share: 0.55,
 				Work: []float64{0.012, 0.010}, Spread: 1, Calls: []int{1}},
-			{Name: "search", Effect: "pure", Goal: 0.6, Limit: 1.5, Utility: 2, Late: 0.2, Share: 0.2,
+			{Name: "search", Effect: "pure", Goal: 0.6, Limit: 1.5, Utility: 2, LateShare: 0.2, Share: 0.2,
 				Work: []float64{0.030, 0.012}, Spread: 1.2, Calls: []int{2}},
-			{Name: "keep", Effect: "receipted", Scope: "all", Window: 10, Goal: 0.5, Limit: 1.5, Utility: 3, Late: 0.3,
+			{Name: "keep", Effect: "receipted", Scope: "all", DedupWindow: 10, Goal: 0.5, Limit: 1.5, Utility: 3, LateShare: 0.3,
 				Share: 0.15, Work: []float64{0.018, 0.014}, Spread: 0.8, Calls: []int{1}},
-			{Name: "book", Effect: "effectful", Goal: 0.8, Limit: 2, Utility: 5, Late: 0.4, Share: 0.1,
+			{Name: "book", Effect: "effectful", Goal: 0.8, Limit: 2, Utility: 5, LateShare: 0.4, Share: 0.1,
 				Work: []float64{0.025, 0.018}, Spread: 0.8, Calls: []int{1}},
 		},
 		Customers: []Customer{{0.4, 0.5}, {0.3, 0.4}, {0.2, 0.3}, {0.1, 0.2}},
-		Net:       Net{Same: 0.0003, Cross: 0.0012, Client: 0.002, Jitter: 0.2, Again: 0.2},
-		Discovery: Discovery{Lag: [2]float64{0.1, 0.8}, Serves: 200},
-		Clients: Clients{Retries: 2, TryShare: 1, Backoff: 0.1, Follow: 0.7, Notice: 2, Early: 0.01, Over: 0.1,
+		Net:       Network{SameZone: 0.0003, CrossZone: 0.0012, Client: 0.002, Jitter: 0.2, RetransmitDelay: 0.2},
+		Discovery: Discovery{Lag: [2]float64{0.1, 0.8}, MaxCallRate: 200},
+		Clients: Clients{Retries: 2, TryShare: 1, RetryBackoff: 0.1, RetryAfterShare: 0.7, DeathDetection: 2, EarlyLeaveShare: 0.01, OverageUtility: 0.1,
 			Keys: 0},
-		Rules: Rules{Relays: 4, Copies: true, Cancel: true, ComeBack: 2, Slack: 0.002, Grace: 0.4, Drain: 3, Connect: 0.25,
-			ColdShare: 0.2, ColdSpan: 8, ColdMultiple: 3, ColdWindow: 1},
-		Prices: Prices{Relay: 0.02, Message: 0.002, Crossing: 0.005, LateNo: 0.3},
+		Rules: Rules{MaxRelays: 4, SecondCopies: true, CancelRelays: true, MaxRetryAfter: 2, AnswerSlack: 0.002, DrainGrace: 0.4, DrainTime: 3, ConnectTimeout: 0.25,
+			ColdShare: 0.2, WarmUp: 8, ColdMultiple: 3, ColdWindow: 1},
+		Prices: Prices{Relay: 0.02, Message: 0.002, ZoneCrossing: 0.005, LateDecline: 0.3},
 	}
 }
 
 // OneTier leaves the first tier alone, whose backends then call nobody.
-func (w *World) OneTier() {
+func (w *World) KeepFirstTier() {
 	w.Tiers = w.Tiers[:1]
 	for i := range w.Verbs {
 		w.Verbs[i].Work, w.Verbs[i].Calls = w.Verbs[i].Work[:1], nil
@@ -178,8 +178,8 @@
 }
 
 // Extent is what a fault plan for this world may name.
-func (w *World) Extent() faults.Extent {
-	e := faults.Extent{Length: w.Length, Zones: w.Zones, Customers: len(w.Customers)}
+func (w *World) Bounds() faults.Bounds {
+	e := faults.Bounds{Length: w.Duration, Zones: w.Zones, Customers: len(w.Customers)}
 	for _, t := range w.Tiers {
 		e.Backends = append(e.Backends, t.Backends)
 	}
@@ -205,27 +205,27 @@
 func (w *World) Check() error {
 	const any = 1e9
 	if err := inside("world.", []figure{
-		{"length", w.Length, 1, 86400}, {"warmup", w.Warmup, 0, w.Length}, {"zones", float64(w.Zones), 1, 64},
-		{"instances", float64(w.Instances), 1, 10000}, {"skew", w.Skew, 0, 3}, {"tick", w.Tick, 1e-5, 1},
-		{"load", w.Load, 0, 100}, {"rate", w.Rate, 0, 1e6}, {"swing", w.Swing, 0, 1}, {"wave", w.Wave, 0.1, any},
-		{"net.same", w.Net.Same, 1e-6, 10}, {"net.cross", w.Net.Cross, 1e-6, 10}, {"net.client", w.Net.Client, 1e-6, 10},
-		{"net.jitter", w.Net.Jitter, 0, 100}, {"net.again", w.Net.Again, 0.001, 100},
+		{"length", w.Duration, 1, 86400}, {"warmup", w.Warmup, 0, w.Duration}, {"zones", float64(w.Zones), 1, 64},
+		{"instances", float64(w.Instances), 1, 10000}, {"skew", w.InstanceSkew, 0, 3}, {"tick", w.Tick, 1e-5, 1},
+		{"load", w.Load, 0, 100}, {"rate", w.Rate, 0, 1e6}, {"swing", w.LoadSwing, 0, 1}, {"wave", w.SwingPeriod, 0.1, any},
+		{"net.same", w.Net.SameZone, 1e-6, 10}, {"net.cross", w.Net.CrossZone, 1e-6, 10}, {"net.client", w.Net.Client, 1e-6, 10},
+		{"net.jitter", w.Net.Jitter, 0, 100}, {"net.again", w.Net.RetransmitDelay, 0.001, 100},
 		{"discovery.lag[0]", w.Discovery.Lag[0], 0, 3600}, {"discovery.lag[1]", w.Discovery.Lag[1], w.Discovery.Lag[0], 3600},
-		{"discovery.serves", w.Discovery.Serves, 0.001, any},
+		{"discovery.serves", w.Discovery.MaxCallRate, 0.001, any},
 		{"clients.retries", float64(w.Clients.Retries), 0, 100}, {"clients.try_share", w.Clients.TryShare, 0.01, 1},
-		{"clients.backoff", w.Clients.Backoff, 0.001, 3600}, {"clients.follow", w.Clients.Follow, 0, 1},
-		{"clients.notice", w.Clients.Notice, 0, 3600}, {"clients.early", w.Clients.Early, 0, 1},
-		{"rules.answers", float64(w.Rules.Answers), 0, any}, {"rules.limit_off", w.Rules.LimitOff, 0, 3600}, {"rules.free", w.Rules.Free, 0, any},
-		{"rules.free_share", w.Rules.FreeShare, 0, any}, {"rules.free_span", w.Rules.FreeSpan, 0, 600},
-		{"rules.start_off", w.Rules.StartOff, 0, 3600},
-		{"clients.over", w.Clients.Over, 0, 1}, {"clients.keys", float64(w.Clients.Keys), 0, any},
-		{"rules.relays", float64(w.Rules.Relays), 1, 100}, {"rules.come_back", w.Rules.ComeBack, 0, 3600},
-		{"rules.slack", w.Rules.Slack, 0, 10}, {"rules.grace", w.Rules.Grace, 0, 60}, {"rules.drain", w.Rules.Drain, 0, 3600},
-		{"rules.connect", w.Rules.Connect, 0.001, 60}, {"rules.cold_share", w.Rules.ColdShare, 0.01, 1},
-		{"rules.cold_span", w.Rules.ColdSpan, 0, 3600}, {"rules.cold_multiple", w.Rules.ColdMultiple, 1, any},
+		{"clients.backoff", w.Clients.RetryBackoff, 0.001, 3600}, {"clients.follow", w.Clients.RetryAfterShare, 0, 1},
+		{"clients.notice", w.Clients.DeathDetection, 0, 3600}, {"clients.early", w.Clients.EarlyLeaveShare, 0, 1},
+		{"rules.answers", float64(w.Rules.AnswerSlots), 0, any}, {"rules.limit_off", w.Rules.DeadlineError, 0, 3600}, {"rules.free", w.Rules.FreeRelays, 0, any},
+		{"rules.free_share", w.Rules.FreeRelayRatio, 0, any}, {"rules.free_span", w.Rules.BudgetWindow, 0, 600},
+		{"rules.start_off", w.Rules.StartTimeError, 0, 3600},
+		{"clients.over", w.Clients.OverageUtility, 0, 1}, {"clients.keys", float64(w.Clients.Keys), 0, any},
+		{"rules.relays", float64(w.Rules.MaxRelays), 1, 100}, {"rules.come_back", w.Rules.MaxRetryAfter, 0, 3600},
+		{"rules.slack", w.Rules.AnswerSlack, 0, 10}, {"rules.grace", w.Rules.DrainGrace, 0, 60}, {"rules.drain", w.Rules.DrainTime, 0, 3600},
+		{"rules.connect", w.Rules.ConnectTimeout, 0.001, 60}, {"rules.cold_share", w.Rules.ColdShare, 0.01, 1},
+		{"rules.cold_span", w.Rules.WarmUp, 0, 3600}, {"rules.cold_multiple", w.Rules.ColdMultiple, 1, any},
 		{"rules.cold_window", w.Rules.ColdWindow, 0.01, 60},
 		{"prices.relay", w.Prices.Relay, 0, 1}, {"prices.message", w.Prices.Message, 0, 1},
-		{"prices.crossing", w.Prices.Crossing, 0, 1}, {"prices.late_no", w.Prices.LateNo, 0, 1},
+		{"prices.crossing", w.Prices.ZoneCrossing, 0, 1}, {"prices.late_no", w.Prices.LateDecline, 0, 1},
 		{"tiers", float64(len(w.Tiers)), 1, 7}, {"verbs", float64(len(w.Verbs)), 1, 1000},
 	}); err != nil {
 		return err
@@ -233,9 +233,9 @@
 	for i, t := range w.Tiers {
 		if err := inside(fmt.Sprintf("world.tiers[%d].", i), []figure{
 			{"backends", float64(t.Backends), 1, 100000}, {"cores", t.Cores, 0.01, 1e4}, {"slots", float64(t.Slots), 1, 1e6},
-			{"queue", float64(t.Queue), 0, 1e6}, {"nominal", t.Nominal, 0, 1}, {"connections", float64(t.Connections), 1, 1e6},
-			{"handshake", t.Handshake, 0, 10}, {"idle", t.Idle, 0.01, any}, {"choke_from", t.ChokeFrom, 0, any},
-			{"choke", t.Choke, 0, 100}, {"key_saves", t.KeySaves, 0, 1}, {"key_life", t.KeyLife, 0, any}, {"cell_size", float64(t.CellSize), 1, 65535}, {"speeds", float64(len(t.Speeds)), 1, 1000},
+			{"queue", float64(t.Queue), 0, 1e6}, {"nominal", t.WeightFidelity, 0, 1}, {"connections", float64(t.Connections), 1, 1e6},
+			{"handshake", t.Handshake, 0, 10}, {"idle", t.IdleTimeout, 0.01, any}, {"choke_from", t.OverloadFrom, 0, any},
+			{"choke", t.OverloadLoss, 0, 100}, {"key_saves", t.CacheSaving, 0, 1}, {"key_life", t.CacheLifetime, 0, any}, {"cell_size", float64(t.CellSize), 1, 65535}, {"speeds", float64(len(t.Speeds)), 1, 1000},
 		}); err != nil {
 			return err
 		}
@@ -262,7 +262,7 @@
 		}
 		all := []figure{
 			{"goal", v.Goal, 0.001, 3600}, {"limit", v.Limit, v.Goal, 3600}, {"utility", v.Utility, 0, any},
-			{"late", v.Late, 0, 1}, {"share", v.Share, 0, any}, {"spread", v.Spread, 0, 10}, {"window", v.Window, 0, 86400},
+			{"late", v.LateShare, 0, 1}, {"share", v.Share, 0, any}, {"spread", v.Spread, 0, 10}, {"window", v.DedupWindow, 0, 86400},
 		}
 		for k, x := range v.Work {
 			all = append(all, figure{fmt.Sprintf("work[%d]", k), x, 1e-6, 3600})
--- a/internal/faultnet/links.go
+++ b/internal/faultnet/links.go
@@ -19,25 +19,25 @@
 )
 
 // Weather is what one direction of a way does to what it carries. Times are in seconds, parts from 0 to 1.
-type Weather struct {
-	Delay  float64 // on the way
-	Jitter float64 // most that comes on top, drawn evenly for each piece
-	Loss   float64 // part of the datagrams that never arrive; of a stream's pieces, part that come Again later
-	Again  float64 // seconds after which what a stream lost is sent again, 0: 0.2
-	Twice  float64 // part of the datagrams that arrive twice
-	Swap   float64 // part of the datagrams that let the next one pass
-	Rate   float64 // bytes a second, 0: no bound
-	Cut    bool    // nothing passes; a stream's bytes wait, datagrams are lost
+type Conditions struct {
+	Delay           float64 // on the way
+	Jitter          float64 // most that comes on top, drawn evenly for each piece
+	Loss            float64 // part of the datagrams that never arrive; of a stream's pieces, part that come Again later
+	RetransmitDelay float64 // seconds after which what a stream lost is sent again, 0: 0.2
+	Duplicate       float64 // part of the datagrams that arrive twice
+	Reorder         float64 // part of the datagrams that let the next one pass
+	Bandwidth       float64 // bytes a second, 0: no bound
+	Blocked         bool    // nothing passes; a stream's bytes wait, datagrams are lost
 }
 
 // Check tells the first figure that no weather can have.
-func (w Weather) Check() error {
+func (w Conditions) Validate() error {
 	for _, x := range []struct {
 		name    string
 		v, most float64
 	}{
-		{"delay", w.Delay, 3600}, {"jitter", w.Jitter, 3600}, {"loss", w.Loss, 1}, {"again", w.Again, 3600},
-		{"twice", w.Twice, 1}, {"swap", w.Swap, 1}, {"rate", w.Rate, math.MaxFloat64},
+		{"delay", w.Delay, 3600}, {"jitter", w.Jitter, 3600}, {"loss", w.Loss, 1}, {"again", w.RetransmitDelay, 3600},
+		{"twice", w.Duplicate, 1}, {"swap", w.Reorder, 1}, {"rate", w.Bandwidth, math.MaxFloat64},
 	} {
 		if !(x.v >= 0 && x.v <= x.most) { // a NaN as well
 			return fmt.Errorf("weather: %s = %v is not between 0 and %v", x.name, x.v, x.most)
@@ -57,16 +57,16 @@
 type way struct {
 	mu      sync.Mutex
 	chance  *rand.Rand
-	weather Weather
+	weather Conditions
 	changed chan struct{} // closed at each change, so that who waits looks again
 	free    time.Time     // when the last byte before has passed, where there is a rate
 	carried int
 	lost    int
-	arrived Carried
+	arrived Traffic
 }
 
 // Carried is what has come to a way's end.
-type Carried struct {
+type Traffic struct {
 	Bytes    int64
 	Messages int64 // datagrams, or a stream's pieces as they were read
 }
@@ -79,7 +79,7 @@
 	y.arrived.Messages++
 }
 
-func (y *way) carriedSoFar() Carried {
+func (y *way) carriedSoFar() Traffic {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return y.arrived
@@ -89,7 +89,7 @@
 	return &way{chance: rand.New(rand.NewPCG(seed, n)), changed: make(chan struct{})}
 }
 
-func (y *way) set(w Weather) {
+func (y *way) set(w Conditions) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.weather = w
@@ -102,12 +102,12 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	w := y.weather
-	if w.Cut {
+	if w.Blocked {
 		return now, true, y.changed
 	}
 	wait := w.Delay + w.Jitter*y.chance.Float64()
 	if stream && y.chance.Float64() < w.Loss {
-		again := w.Again
+		again := w.RetransmitDelay
 		if again == 0 {
 			again = usualAgain
 		}
@@ -115,11 +115,11 @@
 		y.lost++
 	}
 	at = now
-	if w.Rate > 0 {
+	if w.Bandwidth > 0 {
 		if y.free.After(at) {
 			at = y.free
 		}
-		at = at.Add(seconds(float64(size) / w.Rate))
+		at = at.Add(seconds(float64(size) / w.Bandwidth))
 		y.free = at
 	}
 	y.carried++
@@ -132,15 +132,15 @@
 	defer y.mu.Unlock()
 	w := y.weather
 	switch {
-	case w.Cut, y.chance.Float64() < w.Loss:
+	case w.Blocked, y.chance.Float64() < w.Loss:
 		y.lost++
 		return 0, false
-	case y.chance.Float64() < w.Twice:
+	case y.chance.Float64() < w.Duplicate:
 		times = 2
 	default:
 		times = 1
 	}
-	return times, y.chance.Float64() < w.Swap
+	return times, y.chance.Float64() < w.Reorder
 }
 
 func (y *way) counts() (carried, lost int) {
--- a/internal/faultnet/links_test.go
+++ b/internal/faultnet/links_test.go
@@ -36,14 +36,14 @@
 	return l.Addr().String()
 }
 
-func stream(t *testing.T, w Weather) (*Stream, *net.TCPConn) {
+func stream(t *testing.T, w Conditions) (*StreamForwarder, *net.TCPConn) {
 	t.Helper()
-	s, err := NewStream(echo(t), 5)
+	s, err := NewStreamForwarder(echo(t), 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	s.Set(w, w)
+	s.SetConditions(w, w)
 	c, err := net.Dial("tcp4", s.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 }
 
 func TestAStreamLosesNoByteInBadWeather(t *testing.T) {
-	_, c := stream(t, Weather{Delay: 0.002, Jitter: 0.004, Loss: 0.1, Again: 0.01})
+	_, c := stream(t, Conditions{Delay: 0.002, Jitter: 0.004, Loss: 0.1, RetransmitDelay: 0.01})
 	chance := rand.New(rand.NewPCG(1, 1))
 	text := make([]byte, 400<<10)
 	for i := range text {
@@ -84,20 +84,20 @@
 }
 
 func TestACutHoldsWhatIsSentUntilItHeals(t *testing.T) {
-	for way, cut := range map[string][2]Weather{
-		"there": {{Cut: true}, {}}, "back": {{}, {Cut: true}}, "both": {{Cut: true}, {Cut: true}},
+	for way, cut := range map[string][2]Conditions{
+		"there": {{Blocked: true}, {}}, "back": {{}, {Blocked: true}}, "both": {{Blocked: true}, {Blocked: true}},
 	} {
-		s, c := stream(t, Weather{})
+		s, c := stream(t, Conditions{})
 		c.Write([]byte("a"))
 		if !arrives(c, 5*time.Second) {
 			t.Fatalf("%s: nothing came before the cut", way)
 		}
-		s.Set(cut[0], cut[1])
+		s.SetConditions(cut[0], cut[1])
 		c.Write([]byte("b"))
 		if arrives(c, 100*time.Millisecond) {
 			t.Errorf("%s: a byte passed the cut", way)
 		}
-		s.Set(Weather{}, Weather{})
+		s.SetConditions(Conditions{}, Conditions{})
 		if !arrives(c, 5*time.Second) {
 			t.Errorf("%s: what was sent in the cut never came", way)
 		}
@@ -105,7 +105,7 @@
 }
 
 func TestAConnectionMadeInACutIsSilentUntilItHeals(t *testing.T) {
-	s, _ := stream(t, Weather{Cut: true})
+	s, _ := stream(t, Conditions{Blocked: true})
 	c, err := net.Dial("tcp4", s.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -115,14 +115,14 @@
 	if arrives(c, 100*time.Millisecond) {
 		t.Fatal("a byte passed the cut")
 	}
-	s.Set(Weather{}, Weather{})
+	s.SetConditions(Conditions{}, Conditions{})
 	if !arrives(c, 5*time.Second) {
 		t.Error("nothing came once it had healed")
 	}
 }
 
 func TestAResetBreaksWhatIsOpenAndNothingElse(t *testing.T) {
-	s, c := stream(t, Weather{})
+	s, c := stream(t, Conditions{})
 	c.Write([]byte("a"))
 	if !arrives(c, 5*time.Second) {
 		t.Fatal("nothing came")
@@ -147,7 +147,7 @@
 	l, _ := net.Listen("tcp4", "127.0.0.1:0")
 	gone := l.Addr().String()
 	l.Close()
-	s, err := NewStream(gone, 1)
+	s, err := NewStreamForwarder(gone, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,28 +176,28 @@
 func addr(c *net.UDPConn) netip.AddrPort { return netip.MustParseAddrPort(c.LocalAddr().String()) }
 
 // pair gives two ends and the way between them, and reads what comes to the right one.
-func pair(t *testing.T, seed uint64, w Weather) (p *Pair, left, right *net.UDPConn) {
+func pair(t *testing.T, seed uint64, w Conditions) (p *DatagramForwarder, left, right *net.UDPConn) {
 	t.Helper()
 	left, right = socket(t), socket(t)
-	p, err := NewPair(addr(left), addr(right), seed)
+	p, err := NewDatagramForwarder(addr(left), addr(right), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
-	p.Set(w, w)
+	p.SetConditions(w, w)
 	return p, left, right
 }
 
 // cross sends so many numbered datagrams, one after another, and a last one in good weather, and gives what came.
-func cross(t *testing.T, seed uint64, w Weather, count int) (got []string) {
+func cross(t *testing.T, seed uint64, w Conditions, count int) (got []string) {
 	p, left, right := pair(t, seed, w)
-	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(p.ForLeft()))
+	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(p.AddrForLeft()))
 	for i := range count {
 		fmt.Fprint(udpTo{left, to}, i)
 		if i%20 == 19 { // no faster than a socket's buffer holds
 			for {
 				carried, lost := p.ways[0].counts()
-				if carried+lost > i-1 || w.Twice > 0 && carried+lost > i {
+				if carried+lost > i-1 || w.Duplicate > 0 && carried+lost > i {
 					break
 				}
 				time.Sleep(time.Millisecond)
@@ -211,8 +211,8 @@
 		if err != nil {
 			return got
 		}
-		if from.String() != p.ForRight() {
-			t.Fatalf("came from %v, the right end knows %s", from, p.ForRight())
+		if from.String() != p.AddrForRight() {
+			t.Fatalf("came from %v, the right end knows %s", from, p.AddrForRight())
 		}
 		got = append(got, string(text[:n]))
 	}
@@ -226,7 +226,7 @@
 func (u udpTo) Write(text []byte) (int, error) { return u.c.WriteToUDP(text, u.to) }
 
 func TestOneSeedLosesTheSameDatagrams(t *testing.T) {
-	w := Weather{Loss: 0.3}
+	w := Conditions{Loss: 0.3}
 	a, b, c := cross(t, 7, w, 200), cross(t, 7, w, 200), cross(t, 8, w, 200)
 	if fmt.Sprint(a) != fmt.Sprint(b) || fmt.Sprint(a) == fmt.Sprint(c) {
 		t.Errorf("%d, %d and, of another seed, %d came", len(a), len(b), len(c))
@@ -237,10 +237,10 @@
 }
 
 func TestDatagramsRepeatAndPass(t *testing.T) {
-	if got := cross(t, 3, Weather{Twice: 1}, 20); len(got) != 40 {
+	if got := cross(t, 3, Conditions{Duplicate: 1}, 20); len(got) != 40 {
 		t.Errorf("%d came of 20 that are all sent twice", len(got))
 	}
-	got, swapped := cross(t, 3, Weather{Swap: 0.4}, 60), 0
+	got, swapped := cross(t, 3, Conditions{Reorder: 0.4}, 60), 0
 	for i := 1; i < len(got); i++ {
 		var a, b int
 		fmt.Sscan(got[i-1], &a)
@@ -252,14 +252,14 @@
 	if len(got) != 60 || swapped < 8 {
 		t.Errorf("%d came, %d were passed by another", len(got), swapped)
 	}
-	if got := cross(t, 3, Weather{Cut: true}, 20); len(got) != 0 {
+	if got := cross(t, 3, Conditions{Blocked: true}, 20); len(got) != 0 {
 		t.Errorf("%d passed a cut", len(got))
 	}
 }
 
 func TestStrangersDoNotPass(t *testing.T) {
-	p, left, right := pair(t, 1, Weather{})
-	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(p.ForLeft()))
+	p, left, right := pair(t, 1, Conditions{})
+	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(p.AddrForLeft()))
 	fmt.Fprint(udpTo{socket(t), to}, "stranger")
 	fmt.Fprint(udpTo{left, to}, "friend")
 	_ = right.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -270,12 +270,12 @@
 }
 
 func TestWeatherThatCanNotBe(t *testing.T) {
-	for _, w := range []Weather{{Delay: -1}, {Loss: 1.1}, {Jitter: math.NaN()}, {Rate: math.Inf(1)}, {Twice: -0.1}} {
-		if w.Check() == nil {
+	for _, w := range []Conditions{{Delay: -1}, {Loss: 1.1}, {Jitter: math.NaN()}, {Bandwidth: math.Inf(1)}, {Duplicate: -0.1}} {
+		if w.Validate() == nil {
 			t.Errorf("%+v is taken", w)
 		}
 	}
-	if err := (Weather{Delay: 1, Loss: 1, Rate: 1e6, Cut: true}).Check(); err != nil {
+	if err := (Conditions{Delay: 1, Loss: 1, Bandwidth: 1e6, Blocked: true}).Validate(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/faultnet/pair.go
+++ b/internal/faultnet/pair.go
@@ -10,7 +10,7 @@
 )
 
 // Pair stands between two UDP addresses. To the left end the right one is at ForLeft, and the other way round.
-type Pair struct {
+type DatagramForwarder struct {
 	socks [2]*net.UDPConn // what the left end speaks to, what the right end speaks to
 	ends  [2]netip.AddrPort
 	ways  [2]*way // from left to right, and back
@@ -20,8 +20,8 @@
 }
 
 // NewPair begins to carry datagrams between the two addresses.
-func NewPair(left, right netip.AddrPort, seed uint64) (*Pair, error) {
-	p := &Pair{ends: [2]netip.AddrPort{left, right}, ways: [2]*way{newWay(seed, 2), newWay(seed, 3)}, over: make(chan struct{})}
+func NewDatagramForwarder(left, right netip.AddrPort, seed uint64) (*DatagramForwarder, error) {
+	p := &DatagramForwarder{ends: [2]netip.AddrPort{left, right}, ways: [2]*way{newWay(seed, 2), newWay(seed, 3)}, over: make(chan struct{})}
 	for i := range p.socks {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
@@ -40,28 +40,31 @@
 }
 
 // ForLeft is the address at which the left end finds the right one.
-func (p *Pair) ForLeft() string { return p.socks[0].LocalAddr().String() }
+func (p *DatagramForwarder) AddrForLeft() string { return p.socks[0].LocalAddr().String() }
 
 // ForRight is the address at which the right end finds the left one.
-func (p *Pair) ForRight() string { return p.socks[1].LocalAddr().String() }
+func (p *DatagramForwarder) AddrForRight() string { return p.socks[1].LocalAddr().String() }
 
 // Set changes the weather from left to right, and back.
-func (p *Pair) Set(there, back Weather) { p.ways[0].set(there); p.ways[1].set(back) }
+func (p *DatagramForwarder) SetConditions(there, back Conditions) {
+	p.ways[0].set(there)
+	p.ways[1].set(back)
+}
 
 // Lost is how many datagrams did not arrive from left to right, and back.
-func (p *Pair) Lost() (there, back int) {
+func (p *DatagramForwarder) Lost() (there, back int) {
 	_, there = p.ways[0].counts()
 	_, back = p.ways[1].counts()
 	return there, back
 }
 
 // Carried is what arrived from left to right, and back.
-func (p *Pair) Carried() (there, back Carried) {
+func (p *DatagramForwarder) Delivered() (there, back Traffic) {
 	return p.ways[0].carriedSoFar(), p.ways[1].carriedSoFar()
 }
 
 // Close ends the way; what is under way is lost.
-func (p *Pair) Close() {
+func (p *DatagramForwarder) Close() {
 	p.once.Do(func() {
 		close(p.over)
 		p.socks[0].Close()
@@ -70,7 +73,7 @@
 	p.done.Wait()
 }
 
-func (p *Pair) carry(n int) {
+func (p *DatagramForwarder) carry(n int) {
 	defer p.done.Done()
 	text := make([]byte, 64<<10)
 	var held []byte // lets the next one pass
@@ -112,7 +115,7 @@
 }
 
 // send has a datagram leave when it is due; one that is under way when the way is cut is lost.
-func (p *Pair) send(n int, text []byte) {
+func (p *DatagramForwarder) send(n int, text []byte) {
 	at, cut, _ := p.ways[n].due(time.Now(), len(text), false)
 	if cut {
 		return
--- a/internal/faultnet/stream.go
+++ b/internal/faultnet/stream.go
@@ -10,7 +10,7 @@
 )
 
 // Stream forwards what connects to its address.
-type Stream struct {
+type StreamForwarder struct {
 	listener net.Listener
 	target   string
 	ways     [2]*way // to the target, and back
@@ -22,30 +22,33 @@
 }
 
 // NewStream begins to forward connections to the target from an address of its own on loopback.
-func NewStream(target string, seed uint64) (*Stream, error) {
+func NewStreamForwarder(target string, seed uint64) (*StreamForwarder, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Stream{listener: l, target: target, ways: [2]*way{newWay(seed, 0), newWay(seed, 1)}, open: map[*joint]bool{}, known: map[string]*joint{}}
+	s := &StreamForwarder{listener: l, target: target, ways: [2]*way{newWay(seed, 0), newWay(seed, 1)}, open: map[*joint]bool{}, known: map[string]*joint{}}
 	s.done.Add(1)
 	go s.accept()
 	return s, nil
 }
 
 // Addr is where to connect.
-func (s *Stream) Addr() string { return s.listener.Addr().String() }
+func (s *StreamForwarder) Addr() string { return s.listener.Addr().String() }
 
 // Set changes the weather towards the target and back, for connections that are open too.
-func (s *Stream) Set(there, back Weather) { s.ways[0].set(there); s.ways[1].set(back) }
+func (s *StreamForwarder) SetConditions(there, back Conditions) {
+	s.ways[0].set(there)
+	s.ways[1].set(back)
+}
 
 // Carried is what arrived at the target, and back.
-func (s *Stream) Carried() (there, back Carried) {
+func (s *StreamForwarder) Delivered() (there, back Traffic) {
 	return s.ways[0].carriedSoFar(), s.ways[1].carriedSoFar()
 }
 
 // Reset breaks all connections, with what is under way on them.
-func (s *Stream) Reset() {
+func (s *StreamForwarder) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for j := range s.open {
@@ -55,7 +58,7 @@
 
 // Left tells the target when the first so many bytes of a connection had all come to the way, however long they were on it;
 // from is the connection's other end as the target sees it. What came before them is forgotten.
-func (s *Stream) Left(from net.Addr, bytes int64) (time.Time, bool) {
+func (s *StreamForwarder) ReceivedAt(from net.Addr, bytes int64) (time.Time, bool) {
 	s.mu.Lock()
 	j := s.known[from.String()]
 	s.mu.Unlock()
@@ -66,7 +69,7 @@
 }
 
 // Close ends the way and all its connections, and waits for its goroutines.
-func (s *Stream) Close() {
+func (s *StreamForwarder) Close() {
 	s.mu.Lock()
 	s.closed = true
 	for j := range s.open {
@@ -77,7 +80,7 @@
 	s.done.Wait()
 }
 
-func (s *Stream) accept() {
+func (s *StreamForwarder) accept() {
 	defer s.done.Done()
 	for {
 		near, err := s.listener.Accept()
@@ -160,7 +163,7 @@
 	return true
 }
 
-func (s *Stream) join(near net.Conn) {
+func (s *StreamForwarder) join(near net.Conn) {
 	defer s.done.Done()
 	j := &joint{ends: [2]net.Conn{near, nil}, over: make(chan struct{})}
 	defer j.end(true) // nothing is left to reset where it has ended well
@@ -187,7 +190,7 @@
 	j.end(false)
 }
 
-func (s *Stream) keep(j *joint) bool {
+func (s *StreamForwarder) keep(j *joint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closed {
@@ -196,7 +199,7 @@
 	return !s.closed
 }
 
-func (s *Stream) forget(j *joint) {
+func (s *StreamForwarder) forget(j *joint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, j)
@@ -206,7 +209,7 @@
 }
 
 // wait lets the time pass that a piece takes, and all of a cut; it is false once the connection is over.
-func (s *Stream) wait(y *way, j *joint, size int) bool {
+func (s *StreamForwarder) wait(y *way, j *joint, size int) bool {
 	for {
 		at, cut, change := y.due(time.Now(), size, true)
 		if !cut {
@@ -241,7 +244,7 @@
 }
 
 // carry takes in what one end writes and lets it out at the other in order, each piece when it is due.
-func (s *Stream) carry(j *joint, n int) {
+func (s *StreamForwarder) carry(j *joint, n int) {
 	from, to, y := j.ends[n], j.ends[1-n], s.ways[n]
 	under := make(chan piece, mostHeld/pieceSize)
 	go func() {
@@ -285,10 +288,10 @@
 }
 
 // healed holds what was under way when the way was cut: nothing passes a cut.
-func (s *Stream) healed(y *way, j *joint) bool {
+func (s *StreamForwarder) healed(y *way, j *joint) bool {
 	for {
 		y.mu.Lock()
-		cut, change := y.weather.Cut, y.changed
+		cut, change := y.weather.Blocked, y.changed
 		y.mu.Unlock()
 		if !cut {
 			return true
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -18,45 +18,45 @@
 
 // The kinds. Unless said otherwise a fault hits a share of one tier's backends, and Hard is a part from 0 to 1.
 const (
-	Crash    Kind = "crash"    // processes die, connections reset; back cold when it ends
-	Vanish   Kind = "vanish"   // machines fall silent, nothing is refused; back cold when it ends
-	Hang     Kind = "hang"     // accepts work and finishes none of it
-	Slow     Kind = "slow"     // Hard of the speed is lost
-	Flicker  Kind = "flicker"  // a neighbour takes Hard of the machine, on and off each second
-	Errors   Kind = "errors"   // Hard of the commands fail at once, having run or not
-	Refuse   Kind = "refuse"   // Hard of the commands are turned away unseen
-	Table    Kind = "table"    // Hard of the connection table is taken by others
-	Deaf     Kind = "deaf"     // cancels are not obeyed
-	Spoil    Kind = "spoil"    // Hard of the answers get lost after the command has run
-	Reset    Kind = "reset"    // Hard of the connections break under a command, before or after it ran
-	Roll     Kind = "roll"     // backends are replaced one after another: drained, gone, a new one cold
-	Takeover Kind = "takeover" // backends die and another service answers at their addresses, listed or not
-	Cut      Kind = "cut"      // nothing passes from Zone to To (To -1: to all others); Hard 1 cuts both ways
-	Delay    Kind = "delay"    // Hard seconds more on every way between Zone and the others (Zone -1: all ways)
-	Loss     Kind = "loss"     // Hard of what is sent in or out of Zone is lost once, and sent again later
-	Zone     Kind = "zone"     // all backends of the zone and tier die and return cold
-	Silent   Kind = "silent"   // discovery says nothing
-	Lag      Kind = "lag"      // discovery is Hard seconds later than usual
-	Stale    Kind = "stale"    // discovery gives whole lists that are Hard seconds old
-	Partial  Kind = "partial"  // discovery's whole lists leave out Hard of the tier
-	Kill     Kind = "kill"     // a share of the first tier's instances is killed; back when it ends
-	Restart  Kind = "restart"  // a share of the first tier's instances restarts, one after another, as planned
-	Burst    Kind = "burst"    // Hard times the load comes on top
-	Flood    Kind = "flood"    // the customer numbered Zone sends Hard times its load on top
-	Shift    Kind = "shift"    // Hard of the other zones' clients come to Zone
-	Rude     Kind = "rude"     // Hard of the clients leave early
-	Storm    Kind = "storm"    // clients try again Hard times more often, at once
+	Crash            Kind = "crash"    // processes die, connections reset; back cold when it ends
+	Vanish           Kind = "vanish"   // machines fall silent, nothing is refused; back cold when it ends
+	Hang             Kind = "hang"     // accepts work and finishes none of it
+	Slow             Kind = "slow"     // Hard of the speed is lost
+	NoisyNeighbor    Kind = "flicker"  // a neighbour takes Hard of the machine, on and off each second
+	Errors           Kind = "errors"   // Hard of the commands fail at once, having run or not
+	Refuse           Kind = "refuse"   // Hard of the commands are turned away unseen
+	FullTable        Kind = "table"    // Hard of the connection table is taken by others
+	IgnoreCancels    Kind = "deaf"     // cancels are not obeyed
+	LoseAnswers      Kind = "spoil"    // Hard of the answers get lost after the command has run
+	Reset            Kind = "reset"    // Hard of the connections break under a command, before or after it ran
+	RollingReplace   Kind = "roll"     // backends are replaced one after another: drained, gone, a new one cold
+	Takeover         Kind = "takeover" // backends die and another service answers at their addresses, listed or not
+	Partition        Kind = "cut"      // nothing passes from Zone to To (To -1: to all others); Hard 1 cuts both ways
+	Delay            Kind = "delay"    // Hard seconds more on every way between Zone and the others (Zone -1: all ways)
+	PacketLoss       Kind = "loss"     // Hard of what is sent in or out of Zone is lost once, and sent again later
+	ZoneLoss         Kind = "zone"     // all backends of the zone and tier die and return cold
+	DiscoverySilent  Kind = "silent"   // discovery says nothing
+	DiscoveryLag     Kind = "lag"      // discovery is Hard seconds later than usual
+	DiscoveryStale   Kind = "stale"    // discovery gives whole lists that are Hard seconds old
+	DiscoveryPartial Kind = "partial"  // discovery's whole lists leave out Hard of the tier
+	KillInstances    Kind = "kill"     // a share of the first tier's instances is killed; back when it ends
+	RestartInstances Kind = "restart"  // a share of the first tier's instances restarts, one after another, as planned
+	LoadBurst        Kind = "burst"    // Hard times the load comes on top
+	CustomerFlood    Kind = "flood"    // the customer numbered Zone sends Hard times its load on top
+	ZoneShift        Kind = "shift"    // Hard of the other zones' clients come to Zone
+	ClientsLeave     Kind = "rude"     // Hard of the clients leave early
+	RetryStorm       Kind = "storm"    // clients try again Hard times more often, at once
 	// Not drawn at random, so that plans drawn before are the same; Share is of the keys, or of what the line says.
-	Lock    Kind = "lock"    // commands with these keys take turns, Hard seconds each, in their slots, behind the whole tier
-	Spoilt  Kind = "spoilt"  // commands with these keys fail at once at any backend of the tier
-	Readers Kind = "readers" // answers to this share of commands are read for Hard seconds, and hold a place meanwhile
-	Skew    Kind = "skew"    // at this share of the first tier's instances limits are told Hard seconds too short
-	Reap    Kind = "reap"    // connections that rested for Hard seconds are dropped unseen: the next command on one is reset
-	Drift   Kind = "drift"   // of this share of a tier's backends starts are told Hard seconds too early, of as many too late
-	Stall   Kind = "stall"   // a share of the first tier's instances stands still, nothing of it closed, and goes on when it ends
-	Loop    Kind = "loop"    // a share of the first tier's instances is killed again and again, Hard seconds after it serves
-	Muddle  Kind = "muddle"  // Hard of the messages between siblings come twice, and as many let the next one pass
-	Unable  Kind = "unable"  // this share of a tier's backends fails Hard of the commands of one verb, which Seed draws
+	LockedKeys      Kind = "lock"    // commands with these keys take turns, Hard seconds each, in their slots, behind the whole tier
+	FailingKeys     Kind = "spoilt"  // commands with these keys fail at once at any backend of the tier
+	SlowReaders     Kind = "readers" // answers to this share of commands are read for Hard seconds, and hold a place meanwhile
+	DeadlineSkew    Kind = "skew"    // at this share of the first tier's instances limits are told Hard seconds too short
+	IdleReset       Kind = "reap"    // connections that rested for Hard seconds are dropped unseen: the next command on one is reset
+	StartTimeError  Kind = "drift"   // of this share of a tier's backends starts are told Hard seconds too early, of as many too late
+	StallInstances  Kind = "stall"   // a share of the first tier's instances stands still, nothing of it closed, and goes on when it ends
+	CrashLoop       Kind = "loop"    // a share of the first tier's instances is killed again and again, Hard seconds after it serves
+	ReorderMessages Kind = "muddle"  // Hard of the messages between siblings come twice, and as many let the next one pass
+	FailingVerb     Kind = "unable"  // this share of a tier's backends fails Hard of the commands of one verb, which Seed draws
 )
 
 // form says which figures a kind takes, and between what.
@@ -74,26 +74,26 @@
 var forms = []form{
 	{kind: Crash, backends: true}, {kind: Vanish, backends: true}, {kind: Hang, backends: true},
 	{kind: Slow, backends: true, hard: 0.99, most: 0.95, ramp: true},
-	{kind: Flicker, backends: true, hard: 0.99, most: 0.9},
+	{kind: NoisyNeighbor, backends: true, hard: 0.99, most: 0.9},
 	{kind: Errors, backends: true, hard: 1, most: 1, ramp: true},
 	{kind: Refuse, backends: true, hard: 1, most: 1, ramp: true},
-	{kind: Table, backends: true, hard: 1, most: 0.95},
-	{kind: Deaf, backends: true},
-	{kind: Spoil, backends: true, hard: 1, most: 0.5, ramp: true},
+	{kind: FullTable, backends: true, hard: 1, most: 0.95},
+	{kind: IgnoreCancels, backends: true},
+	{kind: LoseAnswers, backends: true, hard: 1, most: 0.5, ramp: true},
 	{kind: Reset, backends: true, hard: 1, most: 0.3, ramp: true},
-	{kind: Roll, backends: true}, {kind: Takeover, backends: true},
-	{kind: Cut, zone: true, hard: 1, most: 1},
-	{kind: Delay, hard: 10, most: 0.3, ramp: true}, {kind: Loss, hard: 0.9, most: 0.2, ramp: true},
-	{kind: Zone, zone: true},
-	{kind: Silent}, {kind: Lag, hard: 60, most: 8}, {kind: Stale, hard: 60, most: 15}, {kind: Partial, hard: 1, most: 0.6},
-	{kind: Kill, fronts: true}, {kind: Restart, fronts: true},
-	{kind: Burst, hard: 100, most: 1.5, ramp: true}, {kind: Flood, hard: 100, most: 6, ramp: true},
-	{kind: Shift, zone: true, hard: 1, most: 0.8, ramp: true},
-	{kind: Rude, hard: 1, most: 0.4}, {kind: Storm, hard: 20, most: 5},
-	{kind: Lock, hard: 60, share: true}, {kind: Spoilt, share: true}, {kind: Readers, hard: 60, share: true},
-	{kind: Skew, hard: 60, share: true},
-	{kind: Reap, hard: 600}, {kind: Drift, hard: 60, share: true}, {kind: Unable, backends: true, hard: 1},
-	{kind: Stall, fronts: true}, {kind: Loop, fronts: true, hard: 60}, {kind: Muddle, hard: 1},
+	{kind: RollingReplace, backends: true}, {kind: Takeover, backends: true},
+	{kind: Partition, zone: true, hard: 1, most: 1},
+	{kind: Delay, hard: 10, most: 0.3, ramp: true}, {kind: PacketLoss, hard: 0.9, most: 0.2, ramp: true},
+	{kind: ZoneLoss, zone: true},
+	{kind: DiscoverySilent}, {kind: DiscoveryLag, hard: 60, most: 8}, {kind: DiscoveryStale, hard: 60, most: 15}, {kind: DiscoveryPartial, hard: 1, most: 0.6},
+	{kind: KillInstances, fronts: true}, {kind: RestartInstances, fronts: true},
+	{kind: LoadBurst, hard: 100, most: 1.5, ramp: true}, {kind: CustomerFlood, hard: 100, most: 6, ramp: true},
+	{kind: ZoneShift, zone: true, hard: 1, most: 0.8, ramp: true},
+	{kind: ClientsLeave, hard: 1, most: 0.4}, {kind: RetryStorm, hard: 20, most: 5},
+	{kind: LockedKeys, hard: 60, share: true}, {kind: FailingKeys, share: true}, {kind: SlowReaders, hard: 60, share: true},
+	{kind: DeadlineSkew, hard: 60, share: true},
+	{kind: IdleReset, hard: 600}, {kind: StartTimeError, hard: 60, share: true}, {kind: FailingVerb, backends: true, hard: 1},
+	{kind: StallInstances, fronts: true}, {kind: CrashLoop, fronts: true, hard: 60}, {kind: ReorderMessages, hard: 1},
 }
 
 const byHand = 10 // of these, at the end, which are not drawn
@@ -116,7 +116,7 @@
 }
 
 // Hard is the largest Hard that the kind takes, 0 if it takes none.
-func (k Kind) Hard() float64 {
+func (k Kind) MaxSeverity() float64 {
 	f, _ := formOf(k)
 	return f.hard
 }
@@ -136,7 +136,7 @@
 }
 
 // At is how hard the fault is at a time, ramps counted, or 0.
-func (f Fault) At(t float64) float64 {
+func (f Fault) SeverityAt(t float64) float64 {
 	if t < f.From || t >= f.From+f.For {
 		return 0
 	}
@@ -174,7 +174,7 @@
 type Plan []Fault
 
 // Extent is what a plan may name: the world that it is for.
-type Extent struct {
+type Bounds struct {
 	Length    float64 // seconds
 	Backends  []int   // of each tier
 	Zones     int
@@ -182,7 +182,7 @@
 }
 
 // Check tells the first thing in the plan that the world lacks or that is no sensible figure.
-func (p Plan) Check(e Extent) error {
+func (p Plan) Check(e Bounds) error {
 	for i, f := range p {
 		if err := f.check(e); err != nil {
 			return fmt.Errorf("fault[%d] (%s): %w", i, f.Kind, err)
@@ -191,7 +191,7 @@
 	return nil
 }
 
-func (f Fault) check(e Extent) error {
+func (f Fault) check(e Bounds) error {
 	form, ok := formOf(f.Kind)
 	if !ok {
 		return fmt.Errorf("kind %q is unknown; known are %s", f.Kind, names())
@@ -208,14 +208,14 @@
 			return fmt.Errorf("%s = %v is not between %v and %v", x.name, x.v, x.least, x.most)
 		}
 	}
-	if (form.backends || f.Kind == Partial || f.Kind == Zone || form.share) && (f.Tier < 0 || f.Tier >= len(e.Backends)) {
+	if (form.backends || f.Kind == DiscoveryPartial || f.Kind == ZoneLoss || form.share) && (f.Tier < 0 || f.Tier >= len(e.Backends)) {
 		return fmt.Errorf("tier %d is not one of %d", f.Tier, len(e.Backends))
 	}
 	zones, what := e.Zones, "zone"
-	if f.Kind == Flood {
+	if f.Kind == CustomerFlood {
 		zones, what = e.Customers, "customer"
 	}
-	if f.Zone < -1 || f.Zone >= zones || f.Zone < 0 && (form.zone || f.Kind == Flood) {
+	if f.Zone < -1 || f.Zone >= zones || f.Zone < 0 && (form.zone || f.Kind == CustomerFlood) {
 		return fmt.Errorf("%s %d is not one of %d", what, f.Zone, zones)
 	}
 	if f.To < -1 || f.To >= e.Zones {
@@ -234,7 +234,7 @@
 
 // Draw is a plan of so many faults from a seed, sensible for the world; the later half of the day is left for
 // what the faults set off.
-func Draw(seed uint64, count int, e Extent) Plan {
+func Random(seed uint64, count int, e Bounds) Plan {
 	r := rand.New(rand.NewPCG(seed, 0x706c616e))
 	var p Plan
 	for len(p) < count {
@@ -250,7 +250,7 @@
 		if f.ramp && ramp < 0.3 {
 			x.Ramp = round(x.For * ramp)
 		}
-		if f.kind == Flood {
+		if f.kind == CustomerFlood {
 			if e.Customers == 0 {
 				continue
 			}
@@ -270,7 +270,7 @@
 
 // Smaller are the plans one step less than p: each fault left out, then each made shorter, then milder. The
 // order is fixed.
-func (p Plan) Smaller() []Plan {
+func (p Plan) Reductions() []Plan {
 	var all []Plan
 	for i := range p {
 		all = append(all, slices.Delete(slices.Clone(p), i, i+1))
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-var extent = Extent{Length: 40, Backends: []int{20, 10}, Zones: 3, Customers: 4}
+var extent = Bounds{Length: 40, Backends: []int{20, 10}, Zones: 3, Customers: 4}
 
 func TestDrawnPlansAreSensibleAndTheSame(t *testing.T) {
 	seen := map[Kind]bool{}
 	for seed := range uint64(300) {
-		p, q := Draw(seed, 3, extent), Draw(seed, 3, extent)
+		p, q := Random(seed, 3, extent), Random(seed, 3, extent)
 		if err := p.Check(extent); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -37,10 +37,10 @@
 		{Fault{Kind: Slow, Tier: 2, Zone: -1}, "tier 2 is not one of 2"},
 		{Fault{Kind: Slow, Hard: 2, Zone: -1}, "hard = 2 is not between"},
 		{Fault{Kind: Crash, From: -1, Zone: -1}, "from = -1 is not between"},
-		{Fault{Kind: Cut, Zone: 3}, "zone 3 is not one of 3"},
-		{Fault{Kind: Cut, Zone: -1}, "zone -1 is not one of 3"},
-		{Fault{Kind: Cut, To: 7}, "to 7 is not one of 3 zones"},
-		{Fault{Kind: Flood, Zone: 9, Hard: 1}, "customer 9 is not one of 4"},
+		{Fault{Kind: Partition, Zone: 3}, "zone 3 is not one of 3"},
+		{Fault{Kind: Partition, Zone: -1}, "zone -1 is not one of 3"},
+		{Fault{Kind: Partition, To: 7}, "to 7 is not one of 3 zones"},
+		{Fault{Kind: CustomerFlood, Zone: 9, Hard: 1}, "customer 9 is not one of 4"},
 	} {
 		err := Plan{{Kind: Crash, Zone: -1}, c.f}.Check(extent)
 		if err == nil || !strings.Contains(err.Error(), "fault[1]") || !strings.Contains(err.Error(), c.want) {
@@ -52,27 +52,27 @@
 func TestRamp(t *testing.T) {
 	f := Fault{Kind: Slow, From: 10, For: 10, Ramp: 2, Hard: 0.8}
 	for at, want := range map[float64]float64{9: 0, 10: 0, 11: 0.4, 12: 0.8, 18: 0.8, 19: 0.4, 20: 0} {
-		if got := f.At(at); got != want {
+		if got := f.SeverityAt(at); got != want {
 			t.Errorf("at %v: %v, want %v", at, got, want)
 		}
 	}
 }
 
 func TestSmallerPlansEnd(t *testing.T) {
-	p := Draw(5, 4, extent)
+	p := Random(5, 4, extent)
 	for steps := 0; len(p) > 0; steps++ {
 		if steps > 4 {
 			t.Fatal("the first of the smaller plans has no fault less")
 		}
-		p = p.Smaller()[0]
+		p = p.Reductions()[0]
 	}
-	if len(p.Smaller()) != 0 {
+	if len(p.Reductions()) != 0 {
 		t.Fatal("an empty plan can't be smaller")
 	}
 	// The mildest of all is reached too.
 	p = Plan{{Kind: Slow, Share: 1, For: 20, Ramp: 1, Hard: 0.9}}
 	for steps := 0; ; steps++ {
-		s := p.Smaller()
+		s := p.Reductions()
 		if len(s) == 1 {
 			break
 		}
--- a/internal/lab/charts.go
+++ b/internal/lab/charts.go
@@ -24,18 +24,18 @@
 
 // Charts draws the folder's charts as PNG files and names them: latency curves and served over time of a cell (the
 // first), and the figure over each numeric axis with its spread over seeds.
-func Charts(dir string, cell int, figure string) ([]string, error) {
-	s, rows, err := Load(dir)
+func DrawCharts(dir string, cell int, figure string) ([]string, error) {
+	s, rows, err := LoadResults(dir)
 	if err != nil {
 		return nil, err
 	}
-	if !slices.Contains(Figures(), figure) {
-		return nil, fmt.Errorf("figure %q is unknown; known are %s", figure, strings.Join(Figures(), ", "))
+	if !slices.Contains(Metrics(), figure) {
+		return nil, fmt.Errorf("figure %q is unknown; known are %s", figure, strings.Join(Metrics(), ", "))
 	}
 	if cell < 0 || cell >= len(s.Cells) {
 		return nil, fmt.Errorf("cell %d is not one of %d", cell, len(s.Cells))
 	}
-	courses, err := Courses(dir)
+	courses, err := LoadTimeSeries(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	l.Color, l.Dashes, l.Width = plotutil.Color(i), plotutil.Dashes(i/7), vg.Points(1.5)
 }
 
-func title(s *Sheet, r Row) string {
+func title(s *ExpandedExperiment, r Row) string {
 	t := s.Name
 	for i, a := range s.Grid {
 		t += fmt.Sprintf(", %s = %s", a.Path, r.Cell[i])
@@ -101,7 +101,7 @@
 }
 
 // latency is the share answered within a time, all seeds of a policy together.
-func latency(s *Sheet, rows []Row, courses map[int]Course) (*plot.Plot, error) {
+func latency(s *ExpandedExperiment, rows []Row, courses map[int]TimeSeries) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title(s, rows[0])
 	p.X.Label.Text, p.Y.Label.Text = "answered within, seconds", "share of what was answered"
@@ -146,7 +146,7 @@
 }
 
 // overTime is the part served of what was asked, second by second, with the faults as bars below.
-func overTime(s *Sheet, rows []Row, courses map[int]Course, seed uint64) (*plot.Plot, error) {
+func overTime(s *ExpandedExperiment, rows []Row, courses map[int]TimeSeries, seed uint64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, seed %d", title(s, rows[0]), seed)
 	p.X.Label.Text, p.Y.Label.Text = "seconds of the day", fmt.Sprintf("served of worth asked, %d s", smoothed)
@@ -212,7 +212,7 @@
 
 // overAxis is a figure over one axis, the others at all their values; bars are the interval of the mean. nil if the
 // axis has no numbers.
-func overAxis(s *Sheet, rows []Row, axis int, figure string) (*plot.Plot, error) {
+func overAxis(s *ExpandedExperiment, rows []Row, axis int, figure string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name + " (simulated)"
 	p.X.Label.Text, p.Y.Label.Text = s.Grid[axis].Path, figure
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -19,38 +19,38 @@
 
 // Difference is that of one figure between two sides, on days that are the same for both.
 type Difference struct {
-	Cell     []string
-	Pairs    int
-	A, B     float64 // means
-	Mean     float64 // of A - B
-	Low, Top float64 // ends of its confidence interval
+	Cell      []string
+	Pairs     int
+	A, B      float64 // means
+	Mean      float64 // of A - B
+	Low, High float64 // ends of its confidence interval
 }
 
 // Shown tells whether the interval leaves out 0.
-func (d Difference) Shown() bool { return d.Pairs > 1 && (d.Low > 0 || d.Top < 0) }
+func (d Difference) Significant() bool { return d.Pairs > 1 && (d.Low > 0 || d.High < 0) }
 
 func (d Difference) String() string {
 	verdict := "no difference shown"
-	if d.Shown() {
+	if d.Significant() {
 		verdict = "A is higher"
 		if d.Mean < 0 {
 			verdict = "B is higher"
 		}
 	}
 	return fmt.Sprintf("%d pairs, A %.4f, B %.4f, A - B %+.4f [%+.4f, %+.4f] at %.0f%%: %s",
-		d.Pairs, d.A, d.B, d.Mean, d.Low, d.Top, 100*confidence, verdict)
+		d.Pairs, d.A, d.B, d.Mean, d.Low, d.High, 100*confidence, verdict)
 }
 
 // Side is one policy's rows in one table.
-type Side struct {
+type PolicyRows struct {
 	Rows   []Row
 	Policy string
 }
 
 // Compare pairs two sides by cell and seed, cell by cell and then all together.
-func Compare(a, b Side, figure string) ([]Difference, error) {
-	if !slices.Contains(Figures(), figure) {
-		return nil, fmt.Errorf("figure %q is unknown; known are %s", figure, strings.Join(Figures(), ", "))
+func Compare(a, b PolicyRows, figure string) ([]Difference, error) {
+	if !slices.Contains(Metrics(), figure) {
+		return nil, fmt.Errorf("figure %q is unknown; known are %s", figure, strings.Join(Metrics(), ", "))
 	}
 	key := func(r Row) string { return fmt.Sprint(strings.Join(r.Cell, "\x00"), "\x00", r.Seed) }
 	of := map[string]Row{}
@@ -96,7 +96,7 @@
 		a, b, diff = append(a, p[0]), append(b, p[1]), append(diff, p[0]-p[1])
 	}
 	d := Difference{Cell: cell, Pairs: len(pairs), A: stat.Mean(a, nil), B: stat.Mean(b, nil)}
-	d.Mean, d.Low, d.Top = interval(diff)
+	d.Mean, d.Low, d.High = interval(diff)
 	return d
 }
 
@@ -113,8 +113,8 @@
 }
 
 // Summary writes the folder's table in Markdown and gives it.
-func Summary(dir string) (string, error) {
-	s, rows, err := Load(dir)
+func WriteSummary(dir string) (string, error) {
+	s, rows, err := LoadResults(dir)
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -22,13 +22,13 @@
 
 // Experiment is what a file asks for.
 type Experiment struct {
-	Name     string         `toml:"name"`
-	Policies []string       `toml:"policies"`
-	Seeds    []uint64       `toml:"seeds"`
-	Drawn    int            `toml:"drawn"` // faults drawn anew for each seed, beside those of the plan
-	World    emulator.World `toml:"world"`
-	Plan     faults.Plan    `toml:"plan"`
-	Grid     []Axis         `toml:"grid"`
+	Name         string         `toml:"name"`
+	Policies     []string       `toml:"policies"`
+	Seeds        []uint64       `toml:"seeds"`
+	RandomFaults int            `toml:"drawn"` // faults drawn anew for each seed, beside those of the plan
+	World        emulator.World `toml:"world"`
+	Plan         faults.Plan    `toml:"plan"`
+	Grid         []Axis         `toml:"grid"`
 }
 
 // Axis is one parameter of the grid, named by its path in the file: world.load, world.tiers[0].cores, plan[1].hard, drawn.
@@ -39,26 +39,26 @@
 
 // Cell is one combination of the grid.
 type Cell struct {
-	Values []string // one for each axis
-	World  emulator.World
-	Plan   faults.Plan
-	Drawn  int
+	Values       []string // one for each axis
+	World        emulator.World
+	Plan         faults.Plan
+	RandomFaults int
 }
 
 // Sheet is an experiment that was read and checked, with its cells.
-type Sheet struct {
+type ExpandedExperiment struct {
 	Experiment
 	Text  []byte // as it stands in the file, with the axes added on the command line
 	Cells []Cell
 }
 
 // Read reads an experiment's file; over are further axes as "path=value,value".
-func Read(path string, over []string) (*Sheet, error) {
+func ReadExperiment(path string, over []string) (*ExpandedExperiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	s, err := Parse(text, over)
+	s, err := ParseExperiment(text, over)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -66,7 +66,7 @@
 }
 
 // Parse reads an experiment's text. An error names the line and column, or the key.
-func Parse(text []byte, over []string) (*Sheet, error) {
+func ParseExperiment(text []byte, over []string) (*ExpandedExperiment, error) {
 	if err := tomlconfig.Decode(text, &Experiment{}); err != nil {
 		return nil, err
 	}
@@ -93,12 +93,12 @@
 		return nil, err
 	}
 	full := merge(base, tree, "").(map[string]any)
-	s := &Sheet{Text: text}
+	s := &ExpandedExperiment{Text: text}
 	if s.Experiment, err = build(full); err != nil {
 		return nil, err
 	}
 	for i, p := range s.Policies {
-		if _, err := baseline.Maker(p); err != nil {
+		if _, err := baseline.Factory(p); err != nil {
 			return nil, fmt.Errorf("policies[%d]: %w", i, err)
 		}
 	}
@@ -226,7 +226,7 @@
 }
 
 // fill makes the cells, the last axis turning fastest.
-func (s *Sheet) fill(tree map[string]any, axes []Axis, at []string) error {
+func (s *ExpandedExperiment) fill(tree map[string]any, axes []Axis, at []string) error {
 	if len(at) < len(axes) {
 		a := axes[len(at)]
 		for i, v := range a.Values {
@@ -251,14 +251,14 @@
 	if err := x.World.Check(); err != nil {
 		return fmt.Errorf("%s%w", where, err)
 	}
-	if err := x.Plan.Check(x.World.Extent()); err != nil {
+	if err := x.Plan.Check(x.World.Bounds()); err != nil {
 		return fmt.Errorf("%s%w", where, err)
 	}
-	if x.Drawn < 0 || x.Drawn > 100 {
-		return fmt.Errorf("%sdrawn = %d is not between 0 and 100", where, x.Drawn)
+	if x.RandomFaults < 0 || x.RandomFaults > 100 {
+		return fmt.Errorf("%sdrawn = %d is not between 0 and 100", where, x.RandomFaults)
 	}
 	s.Grid = axes
-	s.Cells = append(s.Cells, Cell{at, x.World, x.Plan, x.Drawn})
+	s.Cells = append(s.Cells, Cell{at, x.World, x.Plan, x.RandomFaults})
 	return nil
 }
 
@@ -312,5 +312,5 @@
 
 // PlanFor is the plan of a cell at a seed: what is written, and what is drawn.
 func (c *Cell) PlanFor(seed uint64) faults.Plan {
-	return append(append(faults.Plan(nil), c.Plan...), faults.Draw(seed, c.Drawn, c.World.Extent())...)
+	return append(append(faults.Plan(nil), c.Plan...), faults.Random(seed, c.RandomFaults, c.World.Bounds())...)
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -38,9 +38,9 @@
 values = [0.3, 0.6]
 `
 
-func sheet(t testing.TB, text string, over ...string) *Sheet {
+func sheet(t testing.TB, text string, over ...string) *ExpandedExperiment {
 	t.Helper()
-	s, err := Parse([]byte(text), over)
+	s, err := ParseExperiment([]byte(text), over)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 		{"value that no world can have", "[[grid]]\npath = \"world.load\"\nvalues = [0.5, -3.0]\n", "world.load = -3: world.load = -3 is not between", nil},
 		{"sweep of nothing", "", `--over "load" is not path=value,value`, []string{"load"}},
 	} {
-		_, err := Parse([]byte(c.text), c.over)
+		_, err := ParseExperiment([]byte(c.text), c.over)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want one line with %q", c.name, err, c.want)
 		}
@@ -109,34 +109,34 @@
 	return string(all)
 }
 
-func fill(t testing.TB, ctx context.Context, dir string, s *Sheet, cores int, told func(Day)) error {
+func fill(t testing.TB, ctx context.Context, dir string, s *ExpandedExperiment, cores int, told func(RunResult)) error {
 	t.Helper()
-	f, err := Open(dir, s)
+	f, err := OpenResultFolder(dir, s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	return f.Fill(ctx, cores, told)
+	return f.RunMissing(ctx, cores, told)
 }
 
 func TestSameBytesOnAnyNumberOfCores(t *testing.T) {
 	s := sheet(t, little)
 	one, many := t.TempDir(), t.TempDir()
-	if err := fill(t, context.Background(), one, s, 1, func(Day) {}); err != nil {
+	if err := fill(t, context.Background(), one, s, 1, func(RunResult) {}); err != nil {
 		t.Fatal(err)
 	}
-	if err := fill(t, context.Background(), many, s, 8, func(Day) {}); err != nil {
+	if err := fill(t, context.Background(), many, s, 8, func(RunResult) {}); err != nil {
 		t.Fatal(err)
 	}
 	if files(t, one) != files(t, many) {
 		t.Error("results differ between 1 and 8 cores")
 	}
 	for _, dir := range []string{one, many} {
-		if _, err := Summary(dir); err != nil {
+		if _, err := WriteSummary(dir); err != nil {
 			t.Error(err)
 		}
 	}
-	made, err := Charts(one, 0, "g")
+	made, err := DrawCharts(one, 0, "g")
 	if err != nil || len(made) != 3 {
 		t.Fatalf("charts %v, %v", made, err)
 	}
@@ -151,19 +151,19 @@
 func TestStoppedAndTornResultsGoOn(t *testing.T) {
 	s := sheet(t, little)
 	dir, whole := t.TempDir(), t.TempDir()
-	if err := fill(t, context.Background(), whole, s, 4, func(Day) {}); err != nil {
+	if err := fill(t, context.Background(), whole, s, 4, func(RunResult) {}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n := 0
-	if err := fill(t, ctx, dir, s, 1, func(Day) {
+	if err := fill(t, ctx, dir, s, 1, func(RunResult) {
 		if n++; n == 3 {
 			stop()
 		}
 	}); err != context.Canceled {
 		t.Fatalf("stopped with %v", err)
 	}
-	if _, rows, err := Load(dir); err != nil || len(rows) != 3 {
+	if _, rows, err := LoadResults(dir); err != nil || len(rows) != 3 {
 		t.Fatalf("%d rows after the stop, %v", len(rows), err)
 	}
 	for _, name := range []string{rowsFile, daysFile} { // the last line of each is torn
@@ -176,10 +176,10 @@
 			t.Fatal(err)
 		}
 	}
-	if _, rows, err := Load(dir); err != nil || len(rows) != 2 {
+	if _, rows, err := LoadResults(dir); err != nil || len(rows) != 2 {
 		t.Fatalf("%d rows can be read beside a torn one, %v", len(rows), err)
 	}
-	if err := fill(t, context.Background(), dir, s, 2, func(Day) {}); err != nil {
+	if err := fill(t, context.Background(), dir, s, 2, func(RunResult) {}); err != nil {
 		t.Fatal(err)
 	}
 	if files(t, dir) != files(t, whole) {
@@ -189,19 +189,19 @@
 
 func TestFoldersOfOthersAreRefused(t *testing.T) {
 	dir := t.TempDir()
-	f, err := Open(dir, sheet(t, little))
+	f, err := OpenResultFolder(dir, sheet(t, little))
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
-	if _, err := Open(dir, sheet(t, little, "drawn=0,1")); err == nil || !strings.Contains(err.Error(), "another experiment") {
+	if _, err := OpenResultFolder(dir, sheet(t, little, "drawn=0,1")); err == nil || !strings.Contains(err.Error(), "another experiment") {
 		t.Errorf("another experiment's folder: %v", err)
 	}
 	other := t.TempDir()
 	if err := os.WriteFile(filepath.Join(other, "letter.txt"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(other, sheet(t, little)); err == nil || !strings.Contains(err.Error(), "is not empty") {
+	if _, err := OpenResultFolder(other, sheet(t, little)); err == nil || !strings.Contains(err.Error(), "is not empty") {
 		t.Errorf("somebody's folder: %v", err)
 	}
 }
@@ -213,13 +213,13 @@
 	}
 	s := sheet(t, little)
 	dir := t.TempDir()
-	f, err := Open(dir, s)
+	f, err := OpenResultFolder(dir, s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	n := 0
-	err = f.Fill(context.Background(), 2, func(Day) {
+	err = f.RunMissing(context.Background(), 2, func(RunResult) {
 		if n++; n == 2 {
 			f.days.Close()
 			if f.days, err = os.OpenFile("/dev/full", os.O_WRONLY, 0); err != nil {
@@ -230,7 +230,7 @@
 	if err == nil || !strings.Contains(err.Error(), "no space left") || !strings.Contains(err.Error(), "full") {
 		t.Errorf("a full disk: %v", err)
 	}
-	if _, rows, err := Load(dir); err != nil || len(rows) != 2 {
+	if _, rows, err := LoadResults(dir); err != nil || len(rows) != 2 {
 		t.Errorf("%d rows, %v", len(rows), err)
 	}
 }
@@ -245,24 +245,24 @@
 		better = append(better, row(i, "a", 0.8+noise), row(i, "b", 0.7+noise+float64(i%2)/100))
 		same = append(same, row(i, "a", 0.7+float64(i%2)/10), row(i, "b", 0.7+float64((i+1)%2)/10))
 	}
-	d, err := Compare(Side{better, "a"}, Side{better, "b"}, "g")
-	if err != nil || !d[0].Shown() || d[0].Pairs != 8 || !strings.Contains(d[0].String(), "A is higher") {
+	d, err := Compare(PolicyRows{better, "a"}, PolicyRows{better, "b"}, "g")
+	if err != nil || !d[0].Significant() || d[0].Pairs != 8 || !strings.Contains(d[0].String(), "A is higher") {
 		t.Errorf("%v, %v", d, err)
 	}
-	if d, err = Compare(Side{same, "a"}, Side{same, "b"}, "g"); err != nil || d[0].Shown() || !strings.Contains(d[0].String(), "no difference shown") {
+	if d, err = Compare(PolicyRows{same, "a"}, PolicyRows{same, "b"}, "g"); err != nil || d[0].Significant() || !strings.Contains(d[0].String(), "no difference shown") {
 		t.Errorf("%v, %v", d, err)
 	}
-	if d, err = Compare(Side{same[:1], "a"}, Side{same[1:2], "b"}, "g"); err != nil || d[0].Shown() {
+	if d, err = Compare(PolicyRows{same[:1], "a"}, PolicyRows{same[1:2], "b"}, "g"); err != nil || d[0].Significant() {
 		t.Errorf("one pair shows nothing, but: %v, %v", d, err)
 	}
-	if _, err = Compare(Side{same, "a"}, Side{same, "c"}, "g"); err == nil {
+	if _, err = Compare(PolicyRows{same, "a"}, PolicyRows{same, "c"}, "g"); err == nil {
 		t.Error("no pair, no error")
 	}
-	if _, err = Compare(Side{same, "a"}, Side{same, "b"}, "joy"); err == nil || !strings.Contains(err.Error(), "joy") {
+	if _, err = Compare(PolicyRows{same, "a"}, PolicyRows{same, "b"}, "joy"); err == nil || !strings.Contains(err.Error(), "joy") {
 		t.Errorf("an unknown figure: %v", err)
 	}
 	same[1].Text = map[string]string{"plan": "another"}
-	if _, err = Compare(Side{same, "a"}, Side{same, "b"}, "g"); err == nil || !strings.Contains(err.Error(), "not the same day") {
+	if _, err = Compare(PolicyRows{same, "a"}, PolicyRows{same, "b"}, "g"); err == nil || !strings.Contains(err.Error(), "not the same day") {
 		t.Errorf("two days: %v", err)
 	}
 }
@@ -270,10 +270,10 @@
 // A search has to find a weakness that is there, and shrinking has to leave only that.
 func TestSearchAndShrink(t *testing.T) {
 	s := sheet(t, strings.Replace(little, `["module", "two"]`, `["random"]`, 1)+"\n")
-	s.Cells[0].Plan, s.Cells[0].Drawn = nil, 2
-	var first []Found
+	s.Cells[0].Plan, s.Cells[0].RandomFaults = nil, 2
+	var first []SearchResult
 	for _, cores := range []int{1, 6} {
-		best, err := s.Search(context.Background(), "random", 3, 24, cores, func(int, Found) {})
+		best, err := s.Search(context.Background(), "random", 3, 24, cores, func(int, SearchResult) {})
 		if err != nil || len(best) == 0 {
 			t.Fatal(err)
 		}
@@ -288,21 +288,21 @@
 	if worst.Loss <= 0.05 {
 		t.Fatalf("random choice loses %v against the oracle: nothing was found", worst.Loss)
 	}
-	small, err := Shrink(context.Background(), worst, 0.7, 4, func(Found) {})
+	small, err := Shrink(context.Background(), worst, 0.7, 4, func(SearchResult) {})
 	if err != nil || small.Loss < 0.7*worst.Loss {
 		t.Fatalf("%v, %v", small, err)
 	}
 	if len(small.Plan) > len(worst.Plan) || small.World.Instances > worst.World.Instances || len(small.World.Verbs) >= len(worst.World.Verbs) {
 		t.Errorf("not cut down: %v of %v", small, worst)
 	}
-	text, err := small.Sheet("small")
+	text, err := small.ExperimentTOML("small")
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := sheet(t, string(text))
-	d, err := again.Play(Run{Policy: "random", Seed: again.Seeds[0]})
-	if err != nil || d.Account.G(false) != small.G {
-		t.Errorf("as a file the day has G %v, found with %v, %v", d.Account.G(false), small.G, err)
+	d, err := again.Run(Run{Policy: "random", Seed: again.Seeds[0]})
+	if err != nil || d.Account.Score(false) != small.G {
+		t.Errorf("as a file the day has G %v, found with %v, %v", d.Account.Score(false), small.G, err)
 	}
 }
 
@@ -315,20 +315,20 @@
 		// Two of four backends lose a tenth of their answers: they were shunned as if dead, and the other two choked (0.82).
 		{"lost-answers.toml", 0.97},
 	} {
-		s, err := Read(filepath.Join("testdata", c.file), nil)
+		s, err := ReadExperiment(filepath.Join("testdata", c.file), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var g [2]float64
 		for i, p := range []string{"module", "top"} {
-			d, err := s.Play(Run{Policy: p, Seed: s.Seeds[0]})
+			d, err := s.Run(Run{Policy: p, Seed: s.Seeds[0]})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if d.Account.Count() > 0 {
-				t.Errorf("%s, %s: %v", c.file, p, d.Account.Broken[0])
+			if d.Account.ViolationCount() > 0 {
+				t.Errorf("%s, %s: %v", c.file, p, d.Account.Violations[0])
 			}
-			g[i] = d.Account.G(true)
+			g[i] = d.Account.Score(true)
 		}
 		if g[0] < c.least*g[1] {
 			t.Errorf("%s: module %.3f, top %.3f: under %.2f of it", c.file, g[0], g[1], c.least)
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -27,7 +27,7 @@
 )
 
 // Course is what is kept of a day beside its row, for charts.
-type Course struct {
+type TimeSeries struct {
 	Run     int
 	Asked   []float64
 	Served  []float64
@@ -46,20 +46,20 @@
 }
 
 // Folder is a place for the results of one experiment.
-type Folder struct {
+type ResultFolder struct {
 	dir        string
-	sheet      *Sheet
+	sheet      *ExpandedExperiment
 	rows, days *os.File
 	have       map[int]bool
 }
 
 // Open takes a folder for an experiment's results, makes it where there is none, and finds what is done already.
 // Another experiment's is refused.
-func Open(dir string, s *Sheet) (*Folder, error) {
+func OpenResultFolder(dir string, s *ExpandedExperiment) (*ResultFolder, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	f := &Folder{dir: dir, sheet: s, have: map[int]bool{}}
+	f := &ResultFolder{dir: dir, sheet: s, have: map[int]bool{}}
 	place := filepath.Join(dir, sheetFile)
 	old, err := os.ReadFile(place)
 	switch {
@@ -98,7 +98,7 @@
 }
 
 // mend drops what a broken end left behind, so that each file ends with a whole line and both know the same runs.
-func (f *Folder) mend() error {
+func (f *ResultFolder) mend() error {
 	courses := map[int]bool{}
 	for _, name := range []string{daysFile, rowsFile} {
 		place := filepath.Join(f.dir, name)
@@ -118,7 +118,7 @@
 			line := text[:end+1]
 			text = text[end+1:]
 			if name == daysFile {
-				var c Course
+				var c TimeSeries
 				if json.Unmarshal(line, &c) != nil {
 					break
 				}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (f *Folder) line(w io.Writer, cells []string) error {
+func (f *ResultFolder) line(w io.Writer, cells []string) error {
 	var b bytes.Buffer
 	c := csv.NewWriter(&b)
 	c.Write(cells) // never fails on a buffer
@@ -153,10 +153,10 @@
 }
 
 // Missing are the runs that have no row yet.
-func (f *Folder) Missing() []Run {
+func (f *ResultFolder) MissingRuns() []Run {
 	var all []Run
 	for _, r := range f.sheet.Runs() {
-		if !f.have[r.Number] {
+		if !f.have[r.Index] {
 			all = append(all, r)
 		}
 	}
@@ -164,8 +164,8 @@
 }
 
 // Add writes a day: its course first, since a row says that the day is done.
-func (f *Folder) Add(d Day) error {
-	c := Course{Run: d.Number, Asked: rounded(d.Account.AskedBy), Served: rounded(d.Account.ServedBy), Plan: d.Plan}
+func (f *ResultFolder) Add(d RunResult) error {
+	c := TimeSeries{Run: d.Index, Asked: rounded(d.Account.OfferedBySecond), Served: rounded(d.Account.ServedBySecond), Plan: d.Plan}
 	for i := range steps {
 		c.Latency = append(c.Latency, d.Account.Quantile((float64(i)+0.5)/steps))
 	}
@@ -179,7 +179,7 @@
 	if err := f.line(f.rows, f.sheet.row(&d)); err != nil {
 		return err
 	}
-	f.have[d.Number] = true
+	f.have[d.Index] = true
 	return nil
 }
 
@@ -192,11 +192,11 @@
 }
 
 // Close ends the writing.
-func (f *Folder) Close() error { return errors.Join(f.rows.Close(), f.days.Close()) }
+func (f *ResultFolder) Close() error { return errors.Join(f.rows.Close(), f.days.Close()) }
 
 // Fill plays what is missing. When the context ends the days under way are kept, and ctx.Err is given.
-func (f *Folder) Fill(ctx context.Context, cores int, told func(Day)) error {
-	return f.sheet.Each(ctx, f.Missing(), cores, func(d Day) error {
+func (f *ResultFolder) RunMissing(ctx context.Context, cores int, told func(RunResult)) error {
+	return f.sheet.RunAll(ctx, f.MissingRuns(), cores, func(d RunResult) error {
 		if err := f.Add(d); err != nil {
 			return err
 		}
@@ -206,8 +206,8 @@
 }
 
 // Load reads a folder: its experiment and the rows that are whole.
-func Load(dir string) (*Sheet, []Row, error) {
-	s, err := Read(filepath.Join(dir, sheetFile), nil)
+func LoadResults(dir string) (*ExpandedExperiment, []Row, error) {
+	s, err := ReadExperiment(filepath.Join(dir, sheetFile), nil)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -256,14 +256,14 @@
 }
 
 // Courses reads the days' courses by run.
-func Courses(dir string) (map[int]Course, error) {
+func LoadTimeSeries(dir string) (map[int]TimeSeries, error) {
 	text, err := os.ReadFile(filepath.Join(dir, daysFile))
 	if err != nil {
 		return nil, err
 	}
-	all := map[int]Course{}
+	all := map[int]TimeSeries{}
 	for _, line := range bytes.Split(text, []byte("\n")) {
-		var c Course
+		var c TimeSeries
 		if len(line) > 0 && json.Unmarshal(line, &c) == nil {
 			all[c.Run] = c
 		}
--- a/internal/lab/runs.go
+++ b/internal/lab/runs.go
@@ -18,22 +18,22 @@
 
 // Run is one day of an experiment.
 type Run struct {
-	Number int
+	Index  int
 	Cell   int
 	Policy string
 	Seed   uint64
 }
 
 // Day is what came of it.
-type Day struct {
+type RunResult struct {
 	Run
 	Plan    faults.Plan
-	Account *checker.Account
+	Account *checker.Report
 	Events  uint64
 }
 
 // Runs are all days of an experiment, in the order of their rows.
-func (s *Sheet) Runs() []Run {
+func (s *ExpandedExperiment) Runs() []Run {
 	var all []Run
 	for c := range s.Cells {
 		for _, seed := range s.Seeds {
@@ -46,15 +46,15 @@
 }
 
 // Play plays one.
-func (s *Sheet) Play(r Run) (Day, error) {
-	m, err := baseline.Maker(r.Policy)
+func (s *ExpandedExperiment) Run(r Run) (RunResult, error) {
+	m, err := baseline.Factory(r.Policy)
 	if err != nil {
-		return Day{}, err
+		return RunResult{}, err
 	}
 	c := &s.Cells[r.Cell]
 	plan := c.PlanFor(r.Seed)
 	a, events := emulator.Run(c.World, plan, m, r.Seed)
-	return Day{r, plan, a, events}, nil
+	return RunResult{r, plan, a, events}, nil
 }
 
 // workers is how many runs go side by side on so many cores, 0 for all there are.
@@ -67,17 +67,17 @@
 
 // Each plays the runs side by side on so many cores (0: all) and hands each day over in the order of the runs, one at a
 // time. When the context ends, what is being played is finished and handed over, and ctx.Err is given.
-func (s *Sheet) Each(ctx context.Context, runs []Run, cores int, done func(Day) error) error {
+func (s *ExpandedExperiment) RunAll(ctx context.Context, runs []Run, cores int, done func(RunResult) error) error {
 	cores = workers(cores)
 	var (
 		mu      sync.Mutex
 		next    int
-		ready   = map[int]Day{}
+		ready   = map[int]RunResult{}
 		handed  int
 		failure error
 		wait    sync.WaitGroup
 	)
-	deliver := func(i int, d Day) {
+	deliver := func(i int, d RunResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		ready[i] = d
@@ -103,7 +103,7 @@
 				if stop {
 					return
 				}
-				d, err := s.Play(runs[i])
+				d, err := s.Run(runs[i])
 				if err != nil {
 					mu.Lock()
 					failure = err
@@ -125,30 +125,30 @@
 var figures = []struct {
 	name  string
 	about string
-	of    func(d *Day) float64
+	of    func(d *RunResult) float64
 }{
-	{"g", "worth served less prices, over worth asked; 0 where a rule broke", func(d *Day) float64 { return d.Account.G(true) }},
-	{"served", "worth served over worth asked", func(d *Day) float64 { return d.Account.Served / max(d.Account.Asked, 1e-9) }},
-	{"worst10", "the same in the worst ten seconds", func(d *Day) float64 { return d.Account.Worst() }},
-	{"worst_customer", "the same of the customer that fared worst", func(d *Day) float64 { return d.Account.WorstCustomer() }},
-	{"prices", "prices over worth asked", func(d *Day) float64 { return d.Account.Prices / max(d.Account.Asked, 1e-9) }},
-	{"operations", "asked for", func(d *Day) float64 { return float64(d.Account.Ops) }},
-	{"answered", "of them", func(d *Day) float64 { return float64(d.Account.Answered) }},
-	{"relays", "sent", func(d *Day) float64 { return float64(d.Account.Relays) }},
-	{"further", "relays beyond the first of a command", func(d *Day) float64 { return float64(d.Account.Copies) }},
-	{"messages", "between siblings", func(d *Day) float64 { return float64(d.Account.Messages) }},
-	{"p50", "seconds, answered", func(d *Day) float64 { return d.Account.Quantile(0.5) }},
-	{"p99", "seconds, answered", func(d *Day) float64 { return d.Account.Quantile(0.99) }},
-	{"p999", "seconds, answered", func(d *Day) float64 { return d.Account.Quantile(0.999) }},
-	{"rule1", "broken", func(d *Day) float64 { return float64(d.Account.Rules[1]) }},
-	{"rule2", "broken", func(d *Day) float64 { return float64(d.Account.Rules[2]) }},
-	{"rule3", "broken", func(d *Day) float64 { return float64(d.Account.Rules[3]) }},
-	{"rule4", "broken", func(d *Day) float64 { return float64(d.Account.Rules[4]) }},
-	{"events", "of the world", func(d *Day) float64 { return float64(d.Events) }},
+	{"g", "worth served less prices, over worth asked; 0 where a rule broke", func(d *RunResult) float64 { return d.Account.Score(true) }},
+	{"served", "worth served over worth asked", func(d *RunResult) float64 { return d.Account.ServedUtility / max(d.Account.OfferedUtility, 1e-9) }},
+	{"worst10", "the same in the worst ten seconds", func(d *RunResult) float64 { return d.Account.WorstTenSeconds() }},
+	{"worst_customer", "the same of the customer that fared worst", func(d *RunResult) float64 { return d.Account.WorstCustomer() }},
+	{"prices", "prices over worth asked", func(d *RunResult) float64 { return d.Account.Costs / max(d.Account.OfferedUtility, 1e-9) }},
+	{"operations", "asked for", func(d *RunResult) float64 { return float64(d.Account.Operations) }},
+	{"answered", "of them", func(d *RunResult) float64 { return float64(d.Account.Answered) }},
+	{"relays", "sent", func(d *RunResult) float64 { return float64(d.Account.Relays) }},
+	{"further", "relays beyond the first of a command", func(d *RunResult) float64 { return float64(d.Account.FurtherRelays) }},
+	{"messages", "between siblings", func(d *RunResult) float64 { return float64(d.Account.Messages) }},
+	{"p50", "seconds, answered", func(d *RunResult) float64 { return d.Account.Quantile(0.5) }},
+	{"p99", "seconds, answered", func(d *RunResult) float64 { return d.Account.Quantile(0.99) }},
+	{"p999", "seconds, answered", func(d *RunResult) float64 { return d.Account.Quantile(0.999) }},
+	{"rule1", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[1]) }},
+	{"rule2", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[2]) }},
+	{"rule3", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[3]) }},
+	{"rule4", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[4]) }},
+	{"events", "of the world", func(d *RunResult) float64 { return float64(d.Events) }},
 }
 
 // Figures names what can be compared and charted.
-func Figures() []string {
+func Metrics() []string {
 	var all []string
 	for _, f := range figures {
 		all = append(all, f.name)
@@ -157,19 +157,19 @@
 }
 
 // header is the first line of the table.
-func (s *Sheet) header() []string {
+func (s *ExpandedExperiment) header() []string {
 	all := []string{"run"}
 	for _, a := range s.Grid {
 		all = append(all, a.Path)
 	}
 	all = append(all, "policy", "seed")
-	all = append(all, Figures()...)
+	all = append(all, Metrics()...)
 	return append(all, "losses", "first_broken", "plan")
 }
 
 // row is a day's line. Losses are the three largest, as a part of the worth asked for.
-func (s *Sheet) row(d *Day) []string {
-	all := []string{strconv.Itoa(d.Number)}
+func (s *ExpandedExperiment) row(d *RunResult) []string {
+	all := []string{strconv.Itoa(d.Index)}
 	all = append(all, s.Cells[d.Cell].Values...)
 	all = append(all, d.Policy, strconv.FormatUint(d.Seed, 10))
 	for _, f := range figures {
@@ -177,11 +177,11 @@
 	}
 	var losses []string
 	for _, l := range d.Account.Losses[:min(3, len(d.Account.Losses))] {
-		losses = append(losses, fmt.Sprintf("%s at %s of tier %d %.4f", l.How, l.Where, l.Tier, l.Worth/max(d.Account.Asked, 1e-9)))
+		losses = append(losses, fmt.Sprintf("%s at %s of tier %d %.4f", l.Cause, l.Place, l.Tier, l.Utility/max(d.Account.OfferedUtility, 1e-9)))
 	}
 	broken := ""
-	if len(d.Account.Broken) > 0 {
-		broken = d.Account.Broken[0].String()
+	if len(d.Account.Violations) > 0 {
+		broken = d.Account.Violations[0].String()
 	}
 	var plan []string
 	for _, f := range d.Plan {
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -27,21 +27,21 @@
 )
 
 // Found is a day on which the policy loses much against the oracle, or breaks a rule.
-type Found struct {
+type SearchResult struct {
 	World     emulator.World
 	Plan      faults.Plan
 	Seed      uint64
 	Policy    string
 	Loss      float64 // the oracle's G less the policy's
-	Broken    string  // the first broken rule, if one broke
+	Violation string  // the first broken rule, if one broke
 	G, Oracle float64
 }
 
 // worse orders found days, the worst first: broken rules, then by loss.
-func worse(x, y Found) int {
+func worse(x, y SearchResult) int {
 	switch {
-	case (x.Broken != "") != (y.Broken != ""):
-		if x.Broken != "" {
+	case (x.Violation != "") != (y.Violation != ""):
+		if x.Violation != "" {
 			return -1
 		}
 		return 1
@@ -54,20 +54,20 @@
 }
 
 // weigh plays a day for the policy and for the oracle.
-func (f Found) weigh() (Found, error) {
-	f.Broken = ""
-	var accounts [2]*checker.Account
+func (f SearchResult) weigh() (SearchResult, error) {
+	f.Violation = ""
+	var accounts [2]*checker.Report
 	for i, name := range []string{f.Policy, baseline.Oracle} {
-		m, err := baseline.Maker(name)
+		m, err := baseline.Factory(name)
 		if err != nil {
 			return f, err
 		}
 		accounts[i], _ = emulator.Run(f.World, f.Plan, m, f.Seed)
 	}
-	f.G, f.Oracle = accounts[0].G(false), accounts[1].G(false)
+	f.G, f.Oracle = accounts[0].Score(false), accounts[1].Score(false)
 	f.Loss = f.Oracle - f.G
-	if accounts[0].Count() > 0 {
-		f.Broken = accounts[0].Broken[0].String()
+	if accounts[0].ViolationCount() > 0 {
+		f.Violation = accounts[0].Violations[0].String()
 	}
 	return f, nil
 }
@@ -96,18 +96,18 @@
 
 // Search plays so many plans in the first cell's world and gives the worst, each kind of fault set once. Half of each
 // batch is drawn anew, the rest from the worst so far with a change.
-func (s *Sheet) Search(ctx context.Context, policy string, seed uint64, budget, cores int, told func(done int, worst Found)) ([]Found, error) {
+func (s *ExpandedExperiment) Search(ctx context.Context, policy string, seed uint64, budget, cores int, told func(done int, worst SearchResult)) ([]SearchResult, error) {
 	cores = workers(cores)
 	c := &s.Cells[0]
-	e := c.World.Extent()
+	e := c.World.Bounds()
 	r := rand.New(rand.NewPCG(seed, 0x736561726368))
-	var best []Found
+	var best []SearchResult
 	for done := 0; done < budget; {
-		var tries []Found
+		var tries []SearchResult
 		for len(tries) < min(batch, budget-done) {
-			f := Found{World: c.World, Policy: policy, Seed: r.Uint64() >> 1}
+			f := SearchResult{World: c.World, Policy: policy, Seed: r.Uint64() >> 1}
 			if len(best) < elite || r.Float64() < fresh {
-				f.Plan = append(slices.Clone(c.Plan), faults.Draw(r.Uint64(), 1+r.IntN(max(1, c.Drawn)), e)...)
+				f.Plan = append(slices.Clone(c.Plan), faults.Random(r.Uint64(), 1+r.IntN(max(1, c.RandomFaults)), e)...)
 			} else {
 				old := best[r.IntN(min(elite, len(best)))]
 				f.Plan, f.Seed = change(r, old.Plan, e), old.Seed
@@ -116,7 +116,7 @@
 				tries = append(tries, f)
 			}
 		}
-		got, err := side(ctx, tries, cores, Found.weigh)
+		got, err := side(ctx, tries, cores, SearchResult.weigh)
 		if err != nil {
 			return best, err
 		}
@@ -130,9 +130,9 @@
 }
 
 // distinct keeps the worst day of each set of kinds, so that one weakness does not crowd out the others.
-func distinct(all []Found) []Found {
+func distinct(all []SearchResult) []SearchResult {
 	seen := map[string]bool{}
-	return slices.DeleteFunc(all, func(f Found) bool {
+	return slices.DeleteFunc(all, func(f SearchResult) bool {
 		var kinds []string
 		for _, x := range f.Plan {
 			kinds = append(kinds, string(x.Kind))
@@ -146,7 +146,7 @@
 }
 
 // change gives a plan with one figure of one fault moved, a fault more, or one less.
-func change(r *rand.Rand, p faults.Plan, e faults.Extent) faults.Plan {
+func change(r *rand.Rand, p faults.Plan, e faults.Bounds) faults.Plan {
 	q := slices.Clone(p)
 	move := func(x float64) float64 { return x * (1 + mutate*(2*r.Float64()-1)) }
 	switch n := r.IntN(len(q)); r.IntN(6) {
@@ -157,9 +157,9 @@
 	case 2:
 		q[n].Share = min(1, move(q[n].Share))
 	case 3:
-		q[n].Hard = min(q[n].Kind.Hard(), move(q[n].Hard))
+		q[n].Hard = min(q[n].Kind.MaxSeverity(), move(q[n].Hard))
 	case 4:
-		q = append(q, faults.Draw(r.Uint64(), 1, e)...)
+		q = append(q, faults.Random(r.Uint64(), 1, e)...)
 	case 5:
 		if len(q) > 1 {
 			q = slices.Delete(q, n, n+1)
@@ -170,34 +170,34 @@
 
 // Shrink cuts a found day down: fewer and milder faults, a smaller fleet, a shorter day, as long as it still breaks a
 // rule, or loses the part keep of what it lost.
-func Shrink(ctx context.Context, f Found, keep float64, cores int, told func(Found)) (Found, error) {
+func Shrink(ctx context.Context, f SearchResult, keep float64, cores int, told func(SearchResult)) (SearchResult, error) {
 	cores = workers(cores)
 	f, err := f.weigh()
 	if err != nil {
 		return f, err
 	}
-	rule, loss := f.Broken != "", f.Loss
+	rule, loss := f.Violation != "", f.Loss
 	if !rule && loss <= 0 {
 		return f, fmt.Errorf("nothing to shrink: no rule breaks, and the oracle is not ahead (G %.3f and %.3f)", f.G, f.Oracle)
 	}
 	for {
-		var tries []Found
-		for _, p := range f.Plan.Smaller() {
-			tries = append(tries, Found{World: f.World, Plan: p, Seed: f.Seed, Policy: f.Policy})
+		var tries []SearchResult
+		for _, p := range f.Plan.Reductions() {
+			tries = append(tries, SearchResult{World: f.World, Plan: p, Seed: f.Seed, Policy: f.Policy})
 		}
 		for _, w := range smaller(f.World) {
-			if w.Check() == nil && f.Plan.Check(w.Extent()) == nil {
-				tries = append(tries, Found{World: w, Plan: f.Plan, Seed: f.Seed, Policy: f.Policy})
+			if w.Check() == nil && f.Plan.Check(w.Bounds()) == nil {
+				tries = append(tries, SearchResult{World: w, Plan: f.Plan, Seed: f.Seed, Policy: f.Policy})
 			}
 		}
 		next := -1
 		for at := 0; at < len(tries) && next < 0; at += cores {
-			got, err := side(ctx, tries[at:min(at+cores, len(tries))], cores, Found.weigh)
+			got, err := side(ctx, tries[at:min(at+cores, len(tries))], cores, SearchResult.weigh)
 			if err != nil {
 				return f, err
 			}
 			// The first that will do, whatever the cores: those after it in the same go are not looked at.
-			next = slices.IndexFunc(got, func(x Found) bool { return rule && x.Broken != "" || !rule && x.Loss >= keep*loss })
+			next = slices.IndexFunc(got, func(x SearchResult) bool { return rule && x.Violation != "" || !rule && x.Loss >= keep*loss })
 			if next >= 0 {
 				f = got[next]
 			}
@@ -212,8 +212,8 @@
 // smaller are worlds one step less: shorter, with fewer instances, backends, customers or verbs.
 func smaller(w emulator.World) []emulator.World {
 	var all []emulator.World
-	if x := w; w.Length > 8 {
-		x.Length = float64(int(w.Length * 0.75))
+	if x := w; w.Duration > 8 {
+		x.Duration = float64(int(w.Duration * 0.75))
 		all = append(all, x)
 	}
 	if x := w; w.Instances > 2 {
@@ -246,6 +246,6 @@
 }
 
 // Sheet gives a found day as an experiment's text, to be read again.
-func (f Found) Sheet(name string) ([]byte, error) {
+func (f SearchResult) ExperimentTOML(name string) ([]byte, error) {
 	return toml.Marshal(Experiment{Name: name, Policies: []string{f.Policy, baseline.Oracle}, Seeds: []uint64{f.Seed}, World: f.World, Plan: f.Plan})
 }
--- a/internal/scale/added.go
+++ b/internal/scale/added.go
@@ -12,7 +12,7 @@
 )
 
 // AddedOptions say how the time that a proxy adds is measured.
-type AddedOptions struct {
+type AddedLatencyOptions struct {
 	Rates       []float64 // calls a second, open loop
 	ChainRate   float64
 	Depth       int // of the chain
@@ -25,12 +25,12 @@
 type addedRun struct {
 	straight, through string // addresses
 	rate              float64
-	options           AddedOptions
+	options           AddedLatencyOptions
 }
 
 // MeasureAdded measures what one proxy adds, at each rate, and what a chain adds.
-func MeasureAdded(ctx context.Context, o AddedOptions, programs Programs, progress func(string)) ([]Added, error) {
-	var all []Added
+func MeasureAddedLatency(ctx context.Context, o AddedLatencyOptions, programs Programs, progress func(string)) ([]AddedLatency, error) {
+	var all []AddedLatency
 	for _, rate := range o.Rates {
 		a, err := addedByChain(ctx, o, 1, rate, programs)
 		if err != nil {
@@ -46,19 +46,19 @@
 
 // addedByChain has calls go through a chain: a proxy, its backend, the next proxy, and so on; and straight from backend to
 // backend. Each service of the chain has one backend, which is on the machine of the proxy that comes after it.
-func addedByChain(ctx context.Context, o AddedOptions, depth int, rate float64, programs Programs) (Added, error) {
+func addedByChain(ctx context.Context, o AddedLatencyOptions, depth int, rate float64, programs Programs) (AddedLatency, error) {
 	sizes := fleet.Default()
 	sizes.Proxies, sizes.Services, sizes.Depth = depth, 1, 1
 	f := fleet.Generate(sizes)
 	chainOf(f)
-	r, ctx, err := Open(ctx, Plan{Fleet: f, Real: depth, Lists: ServiceList}, programs)
+	r, ctx, err := Deploy(ctx, Plan{Fleet: f, RealProxies: depth, ListScope: ServiceList}, programs)
 	if err != nil {
-		return Added{}, err
+		return AddedLatency{}, err
 	}
 	defer r.Close()
 	straight, err := r.startChain(depth)
 	if err != nil {
-		return Added{}, err
+		return AddedLatency{}, err
 	}
 	run := addedRun{straight: straight, through: r.addresses.at(0, proxyPort), rate: rate, options: o}
 	name := "one proxy"
@@ -73,20 +73,20 @@
 	f.Services = nil
 	for i := range f.Proxies {
 		f.Services = append(f.Services, fleet.Service{Name: fmt.Sprintf("service-%d", i+1), Backends: []int{i}})
-		f.Proxies[i].Service, f.Proxies[i].Target, f.Proxies[i].Cell = i, i, 0
+		f.Proxies[i].Service, f.Proxies[i].TargetService, f.Proxies[i].Cell = i, i, 0
 	}
 }
 
 // startChain starts two backends on each machine: one that calls the next machine's proxy, behind the proxy, and one that
 // calls the next machine's backend straight. It gives the address of the first one of the latter.
-func (r *Rig) startChain(depth int) (straight string, err error) {
+func (r *Deployment) startChain(depth int) (straight string, err error) {
 	const straightPort = 9004
 	for i := range depth {
 		for _, way := range []struct{ port, next int }{{backendPort, proxyPort}, {straightPort, straightPort}} {
-			var next func() (standin.Nested, error)
+			var next func() (standin.NestedCaller, error)
 			if i+1 < depth {
 				address := r.addresses.at(i+1, way.next)
-				next = func() (standin.Nested, error) { return testbed.NewCaller(address), nil }
+				next = func() (standin.NestedCaller, error) { return testbed.NewCaller(address), nil }
 			}
 			b, err := standin.NewBackend(r.addresses.at(i, way.port), next)
 			if err != nil {
@@ -99,9 +99,9 @@
 }
 
 // measure takes the rounds.
-func (a addedRun) measure(ctx context.Context, name string) (Added, error) {
+func (a addedRun) measure(ctx context.Context, name string) (AddedLatency, error) {
 	var straight, through, differences [3][]float64
-	out := Added{Name: name, Rate: a.rate, Rounds: a.options.Rounds, Calls: int(a.rate * a.options.Seconds)}
+	out := AddedLatency{Name: name, Rate: a.rate, Rounds: a.options.Rounds, Calls: int(a.rate * a.options.Seconds)}
 	for range a.options.Rounds {
 		direct, bad := testbed.OpenLoop(ctx, []string{a.straight}, a.options.Connections, a.rate, a.options.Seconds)
 		out.Failed += bad
@@ -113,10 +113,10 @@
 		}
 	}
 	for k := range straight {
-		out.Straight[k], out.Through[k] = middle(straight[k]), middle(through[k])
-		out.Least[k], out.Most[k] = slices.Min(differences[k]), slices.Max(differences[k])
+		out.Direct[k], out.Proxied[k] = middle(straight[k]), middle(through[k])
+		out.MinAdded[k], out.MaxAdded[k] = slices.Min(differences[k]), slices.Max(differences[k])
 	}
-	out.Load = meter.LoadAverage()
+	out.LoadAverage = meter.LoadAverage()
 	return out, ctx.Err()
 }
 
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -13,7 +13,7 @@
 const callersEach = 2 // connections on which calls come to a proxy
 
 // startBackends starts the stand-in for the backend on each machine.
-func (r *Rig) startBackends() error {
+func (r *Deployment) startBackends() error {
 	for i := range r.plan.Fleet.Proxies {
 		b, err := standin.NewBackend(r.addresses.at(i, backendPort), nil)
 		if err != nil {
@@ -25,7 +25,7 @@
 }
 
 // call has calls come to proxies at a rate each for a while, evenly spaced. It gives how many ended well and how many not.
-func (r *Rig) call(ctx context.Context, proxies []int, perSecond, seconds float64) (good, bad int) {
+func (r *Deployment) call(ctx context.Context, proxies []int, perSecond, seconds float64) (good, bad int) {
 	var ended, failed atomic.Int64
 	var wait sync.WaitGroup
 	total := int64(perSecond * seconds)
--- a/internal/scale/charts.go
+++ b/internal/scale/charts.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return made, err
 		}
-		path := filepath.Join(folder, fileName(s.Role+" "+s.Figure+" "+string(s.Against)+" "+s.Setting)+".png")
+		path := filepath.Join(folder, fileName(s.Role+" "+s.Figure+" "+string(s.Variable)+" "+s.Setting)+".png")
 		if err := p.Save(chartWide, chartHigh, path); err != nil {
 			return made, err
 		}
@@ -49,7 +49,7 @@
 func (s Series) chart() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Role + ": " + s.Figure
-	p.X.Label.Text, p.Y.Label.Text = string(s.Against)+" ("+s.Setting+")", s.Unit
+	p.X.Label.Text, p.Y.Label.Text = string(s.Variable)+" ("+s.Setting+")", s.Unit
 	p.Add(plotter.NewGrid())
 	var measured, curve plotter.XYs
 	for _, point := range s.Points {
@@ -71,7 +71,7 @@
 	dots.Color, line.Color, line.Width = plotutil.Color(0), plotutil.Color(1), vg.Points(1.5)
 	p.Add(dots, line)
 	p.Legend.Add("measured", dots)
-	p.Legend.Add("law: "+string(s.Fit.Law), line)
+	p.Legend.Add("law: "+string(s.Fit.Model), line)
 	p.Legend.Left, p.Legend.Top = true, true
 	return p, nil
 }
--- a/internal/scale/cluster.go
+++ b/internal/scale/cluster.go
@@ -47,16 +47,16 @@
 	state     string // folder of what proxies save
 	latency   float64
 	replicas  []*replica
-	ways      map[[2]int]*faultnet.Stream
-	doors     map[door]*faultnet.Stream
-	counted   map[int][]*faultnet.Stream // of a proxy that is counted, a way to each replica
+	ways      map[[2]int]*faultnet.StreamForwarder
+	doors     map[door]*faultnet.StreamForwarder
+	counted   map[int][]*faultnet.StreamForwarder // of a proxy that is counted, a way to each replica
 	client    *controlclient.Client
 }
 
 // startCluster starts so many replicas, spread over the fleet's regions.
 func startCluster(plan Plan, programs Programs, a addresses, directory string) (*cluster, error) {
 	c := &cluster{program: programs.Proxy, directory: directory, latency: plan.Fleet.Sizes.LatencyMS / 1000,
-		ways: map[[2]int]*faultnet.Stream{}, doors: map[door]*faultnet.Stream{}, counted: map[int][]*faultnet.Stream{}}
+		ways: map[[2]int]*faultnet.StreamForwarder{}, doors: map[door]*faultnet.StreamForwarder{}, counted: map[int][]*faultnet.StreamForwarder{}}
 	for k := range plan.Replicas {
 		name := fmt.Sprintf("control-%d", k+1)
 		c.replicas = append(c.replicas, &replica{name: name, region: fmt.Sprintf("region-%d", k%plan.Fleet.Sizes.Regions+1),
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	for i := range max(plan.Real, plan.Counted) {
+	for i := range max(plan.RealProxies, plan.CountedProxies) {
 		for k := range c.replicas {
 			stream, err := c.way(plan.Fleet.Proxies[i].Region, k)
 			if err != nil {
@@ -125,20 +125,20 @@
 }
 
 // way leads from a region to a replica, with the regions' latency.
-func (c *cluster) way(region string, k int) (*faultnet.Stream, error) {
-	stream, err := faultnet.NewStream(c.replicas[k].address, uint64(k+1))
+func (c *cluster) way(region string, k int) (*faultnet.StreamForwarder, error) {
+	stream, err := faultnet.NewStreamForwarder(c.replicas[k].address, uint64(k+1))
 	if err == nil {
 		c.weather(stream, region, k, false)
 	}
 	return stream, err
 }
 
-func (c *cluster) weather(stream *faultnet.Stream, region string, k int, cut bool) {
-	w := faultnet.Weather{Cut: cut}
+func (c *cluster) weather(stream *faultnet.StreamForwarder, region string, k int, cut bool) {
+	w := faultnet.Conditions{Blocked: cut}
 	if region != c.replicas[k].region {
 		w.Delay = c.latency
 	}
-	stream.Set(w, w)
+	stream.SetConditions(w, w)
 }
 
 func (c *cluster) writeConfig(i int) error {
@@ -344,8 +344,8 @@
 	}
 }
 
-func streamTraffic(s *faultnet.Stream) meter.Traffic {
-	there, back := s.Carried()
+func streamTraffic(s *faultnet.StreamForwarder) meter.Traffic {
+	there, back := s.Delivered()
 	return meter.Traffic{BytesOut: there.Bytes, MessagesOut: there.Messages, BytesIn: back.Bytes, MessagesIn: back.Messages}
 }
 
@@ -364,16 +364,16 @@
 func (c *cluster) replicaTraffic() []meter.Traffic {
 	all := make([]meter.Traffic, len(c.replicas))
 	for at, s := range c.doors {
-		all[at.replica] = all[at.replica].Plus(streamTraffic(s).Flipped())
+		all[at.replica] = all[at.replica].Plus(streamTraffic(s).Reversed())
 	}
 	for _, streams := range c.counted {
 		for k, s := range streams {
-			all[k] = all[k].Plus(streamTraffic(s).Flipped())
+			all[k] = all[k].Plus(streamTraffic(s).Reversed())
 		}
 	}
 	for ends, s := range c.ways {
 		all[ends[0]] = all[ends[0]].Plus(streamTraffic(s))
-		all[ends[1]] = all[ends[1]].Plus(streamTraffic(s).Flipped())
+		all[ends[1]] = all[ends[1]].Plus(streamTraffic(s).Reversed())
 	}
 	return all
 }
@@ -398,7 +398,7 @@
 	}
 }
 
-func closeStream(s *faultnet.Stream) {
+func closeStream(s *faultnet.StreamForwarder) {
 	if s != nil {
 		s.Close()
 	}
--- a/internal/scale/controlevents.go
+++ b/internal/scale/controlevents.go
@@ -17,14 +17,14 @@
 
 // ControlOptions say what happens to a fleet that has its configuration from control.
 type ControlOptions struct {
-	Sizes    fleet.Sizes
-	Real     int
-	Replicas int
-	Changes  int // of configuration, one after another
-	Burst    int // changes within BurstIn
-	BurstIn  time.Duration
-	Cut      time.Duration // of a region
-	Only     []string      // names of events; nil: all of them
+	Sizes        fleet.Sizes
+	RealProxies  int
+	Replicas     int
+	Changes      int // of configuration, one after another
+	Burst        int // changes within BurstIn
+	BurstWindow  time.Duration
+	RegionOutage time.Duration // of a region
+	EventNames   []string      // names of events; nil: all of them
 }
 
 // Names of events.
@@ -37,7 +37,7 @@
 
 // operator is one who changes the fleet's configuration.
 type operator struct {
-	rig  *Rig
+	rig  *Deployment
 	base revision.Number
 	step int
 
@@ -105,18 +105,18 @@
 	servers map[int]int
 }
 
-func (r *Rig) marks() (marks, error) {
+func (r *Deployment) marks() (marks, error) {
 	m := marks{groups: make([]int, len(r.hollow)), servers: map[int]int{}}
 	for g, group := range r.hollow {
 		if group == nil {
 			continue
 		}
 		first := 0
-		a, err := group.process.Do(helper.Request{TakenOver: &first})
+		a, err := group.process.Do(helper.Request{AppliedSince: &first})
 		if err != nil {
 			return m, err
 		}
-		m.groups[g] = len(a.InForce)
+		m.groups[g] = len(a.AppliedAt)
 	}
 	for i, s := range r.servers {
 		m.servers[i] = len(s.reloads())
@@ -125,16 +125,16 @@
 }
 
 // takenOver is the seconds until each configuration since the marks came into force.
-func (r *Rig) takenOver(m marks, begun time.Time) (took []float64, err error) {
+func (r *Deployment) takenOver(m marks, begun time.Time) (took []float64, err error) {
 	for g, group := range r.hollow {
 		if group == nil {
 			continue
 		}
-		a, err := group.process.Do(helper.Request{TakenOver: &m.groups[g]})
+		a, err := group.process.Do(helper.Request{AppliedSince: &m.groups[g]})
 		if err != nil {
 			return nil, err
 		}
-		for _, at := range a.InForce {
+		for _, at := range a.AppliedAt {
 			took = append(took, at-float64(begun.UnixNano())/1e9)
 		}
 	}
@@ -147,9 +147,9 @@
 }
 
 // ControlEvents has each event happen to a fleet with control, one after another.
-func ControlEvents(ctx context.Context, o ControlOptions, programs Programs, progress func(string)) ([]Event, error) {
-	plan := Plan{Fleet: fleet.Generate(o.Sizes), Real: o.Real, Lists: ServiceList, Peers: true, Replicas: o.Replicas}
-	r, ctx, err := Open(ctx, plan, programs)
+func RunControlEvents(ctx context.Context, o ControlOptions, programs Programs, progress func(string)) ([]Event, error) {
+	plan := Plan{Fleet: fleet.Generate(o.Sizes), RealProxies: o.RealProxies, ListScope: ServiceList, Peers: true, Replicas: o.Replicas}
+	r, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
@@ -173,7 +173,7 @@
 		{"control: changes at three of five machines", s.threeLeft},
 		{"control: all machines are lost, a change when they are back", s.allLost},
 	} {
-		if o.Only != nil && !slices.Contains(o.Only, step.name) {
+		if o.EventNames != nil && !slices.Contains(o.EventNames, step.name) {
 			continue
 		}
 		e, err := r.observe(ctx, Event{Name: step.name}, step.do)
@@ -189,7 +189,7 @@
 // controlStage is where events happen to control.
 type controlStage struct {
 	ctx      context.Context
-	rig      *Rig
+	rig      *Deployment
 	options  ControlOptions
 	operator operator
 }
@@ -214,7 +214,7 @@
 }
 
 func (s *controlStage) burst(e *Event) error {
-	return s.changes(e, s.options.Burst, false, s.options.BurstIn/time.Duration(s.options.Burst))
+	return s.changes(e, s.options.Burst, false, s.options.BurstWindow/time.Duration(s.options.Burst))
 }
 
 // lose kills replicas, waits until all proxies hang on others, makes a change, and starts the replicas again.
@@ -233,7 +233,7 @@
 	if err := c.awaitConnected(s.ctx, s.all(), lost...); err != nil {
 		return err
 	}
-	e.Settled = time.Since(begun).Seconds()
+	e.SettledSeconds = time.Since(begun).Seconds()
 	e.Connections = hung
 	e.Note = fmt.Sprintf("%d proxies hung on what was lost; settled: all on other machines; in force: a change after that", hung)
 	took, err := s.operator.change(s.ctx, false, s.all())
@@ -310,7 +310,7 @@
 	if err != nil {
 		return err
 	}
-	if err := pause(s.ctx, s.options.Cut-time.Since(begun)); err != nil {
+	if err := pause(s.ctx, s.options.RegionOutage-time.Since(begun)); err != nil {
 		return err
 	}
 	healed := time.Now()
@@ -321,7 +321,7 @@
 			return err
 		}
 		if len(all) >= s.all() {
-			e.Settled = time.Since(healed).Seconds()
+			e.SettledSeconds = time.Since(healed).Seconds()
 			break
 		}
 		if time.Since(healed) > settledWithin {
@@ -354,7 +354,7 @@
 	if err := s.restart(lost); err != nil {
 		return err
 	}
-	e.Settled = time.Since(begun).Seconds()
+	e.SettledSeconds = time.Since(begun).Seconds()
 	e.Connections = s.all()
 	e.Note = "settled: a leader and all proxies connected, from the machines' start"
 	took, err := s.operator.change(s.ctx, false, s.all())
--- a/internal/scale/controlslopes.go
+++ b/internal/scale/controlslopes.go
@@ -14,13 +14,13 @@
 	progress func(string)) ([]Series, error) {
 	var all []Series
 	for _, count := range replicas {
-		c := collector{against: Proxies, setting: controlSetting(count)}
-		counts := o.Counts
+		c := collector{against: ByProxies, setting: controlSetting(count)}
+		counts := o.ProxyCounts
 		if count != o.Sizes.ControlMachines { // as few as a law needs
 			counts = []int{counts[0], counts[len(counts)/2], counts[len(counts)-1]}
 		}
 		for _, n := range counts {
-			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), Real: min(n, o.Real), Lists: ServiceList, Peers: true,
+			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), RealProxies: min(n, o.RealProxies), ListScope: ServiceList, Peers: true,
 				Replicas: count}
 			figures, err := controlFigures(ctx, o, plan, changes, programs)
 			if err != nil {
@@ -53,7 +53,7 @@
 }
 
 // duringControl measures what control does meanwhile.
-func (r *Rig) duringControl(do func() error) (*controlSpan, error) {
+func (r *Deployment) duringControl(do func() error) (*controlSpan, error) {
 	o := &observer{rig: r}
 	s := &controlSpan{leader: r.control.leader()}
 	if err := o.look(); err != nil {
@@ -68,7 +68,7 @@
 	was, is := o.samples[0], o.samples[1]
 	s.seconds = is.at.Sub(was.at).Seconds()
 	for k := range is.replicas {
-		s.usage = append(s.usage, meter.Usage{CPU: is.replicas[k].CPU - was.replicas[k].CPU, Resident: is.replicas[k].Resident})
+		s.usage = append(s.usage, meter.Usage{CPUSeconds: is.replicas[k].CPUSeconds - was.replicas[k].CPUSeconds, ResidentBytes: is.replicas[k].ResidentBytes})
 		s.traffic = append(s.traffic, is.replicaTraffic[k].Minus(was.replicaTraffic[k]))
 	}
 	for i := range is.control {
@@ -95,7 +95,7 @@
 
 // controlFigures measures one size: at rest, and with changes of configuration.
 func controlFigures(ctx context.Context, o SlopeOptions, plan Plan, changes int, programs Programs) ([]figure, error) {
-	r, ctx, err := Open(ctx, plan, programs)
+	r, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	if err := pause(ctx, time.Second); err != nil {
 		return nil, err
 	}
-	rest, err := r.duringControl(func() error { return pause(ctx, o.Rest) })
+	rest, err := r.duringControl(func() error { return pause(ctx, o.IdleTime) })
 	if err != nil {
 		return nil, err
 	}
@@ -142,8 +142,8 @@
 	for _, role := range []string{roleLeader, roleFollower} {
 		figures = append(figures,
 			figure{role, "processor time at rest", "part of a core",
-				s.of(role, func(k int) float64 { return s.usage[k].CPU / s.seconds })},
-			figure{role, "memory", "bytes", s.of(role, func(k int) float64 { return s.usage[k].Resident })},
+				s.of(role, func(k int) float64 { return s.usage[k].CPUSeconds / s.seconds })},
+			figure{role, "memory", "bytes", s.of(role, func(k int) float64 { return s.usage[k].ResidentBytes })},
 			figure{role, "at rest, in", "bytes/s", s.of(role, func(k int) float64 { return float64(s.traffic[k].BytesIn) / s.seconds })},
 			figure{role, "at rest, out", "bytes/s", s.of(role, func(k int) float64 { return float64(s.traffic[k].BytesOut) / s.seconds })},
 		)
@@ -160,7 +160,7 @@
 		{roleProxy, "a change of configuration, out", "bytes", over(mean(s.proxies, bytesOut), mean(rest.proxies, bytesOut))},
 		{roleProxy, "a change of configuration, processor time", "s", over(s.proxy, rest.proxy)},
 		{roleProxy, "a change of configuration, in force, median", "s", q.Median},
-		{roleProxy, "a change of configuration, in force, last", "s", q.Last},
+		{roleProxy, "a change of configuration, in force, last", "s", q.Max},
 	}
 	for _, role := range []string{roleLeader, roleFollower} {
 		each := func(value func(s *controlSpan, k int) float64) float64 {
@@ -169,7 +169,7 @@
 		}
 		figures = append(figures,
 			figure{role, "a change of configuration, processor time", "s",
-				each(func(s *controlSpan, k int) float64 { return s.usage[k].CPU })},
+				each(func(s *controlSpan, k int) float64 { return s.usage[k].CPUSeconds })},
 			figure{role, "a change of configuration, in", "bytes",
 				each(func(s *controlSpan, k int) float64 { return float64(s.traffic[k].BytesIn) })},
 			figure{role, "a change of configuration, out", "bytes",
--- a/internal/scale/data.go
+++ b/internal/scale/data.go
@@ -20,16 +20,16 @@
 )
 
 // Against names what a figure is measured against.
-type Against string
+type Variable string
 
 // What figures are measured against.
 const (
-	Proxies  Against = "proxies"
-	Backends Against = "backends"
-	Services Against = "services"
-	Calls    Against = "calls"
-	Changes  Against = "changes"
-	Siblings Against = "siblings"
+	ByProxies    Variable = "proxies"
+	ByBackends   Variable = "backends"
+	ByServices   Variable = "services"
+	ByCallRate   Variable = "calls"
+	ByChangeRate Variable = "changes"
+	BySiblings   Variable = "siblings"
 )
 
 // Series is a figure measured at several sizes, and the law that was fitted to them.
@@ -37,7 +37,7 @@
 	Role      string      `json:"role"`
 	Figure    string      `json:"figure"`
 	Unit      string      `json:"unit"`
-	Against   Against     `json:"against"`
+	Variable  Variable    `json:"against"`
 	Setting   string      `json:"setting"`
 	Points    []fit.Point `json:"points"`
 	Fit       fit.Fit     `json:"fit"`
@@ -61,79 +61,79 @@
 
 // Event is something that happens to the fleet at its size.
 type Event struct {
-	Name        string     `json:"name"`
-	Proxies     int        `json:"proxies"`
-	Setting     string     `json:"setting"`
-	InForce     *Quantiles `json:"in_force,omitempty"` // seconds until a change was in force at each proxy
-	Settled     float64    `json:"settled"`            // seconds until all was as usual
-	Connections int        `json:"connections"`        // opened anew
-	Peaks       []Peak     `json:"peaks"`              // by role
-	Load        float64    `json:"load"`               // the machine's load average at the end: timings go by it
-	Note        string     `json:"note,omitempty"`
+	Name           string     `json:"name"`
+	Proxies        int        `json:"proxies"`
+	Setting        string     `json:"setting"`
+	InForce        *Quantiles `json:"in_force,omitempty"` // seconds until a change was in force at each proxy
+	SettledSeconds float64    `json:"settled"`            // seconds until all was as usual
+	Connections    int        `json:"connections"`        // opened anew
+	Peaks          []Peak     `json:"peaks"`              // by role
+	LoadAverage    float64    `json:"load"`               // the machine's load average at the end: timings go by it
+	Note           string     `json:"note,omitempty"`
 }
 
 // Quantiles of some values.
 type Quantiles struct {
 	Values int     `json:"values"`
 	Median float64 `json:"median"`
-	Most99 float64 `json:"most_99"`
-	Last   float64 `json:"last"`
+	P99    float64 `json:"most_99"`
+	Max    float64 `json:"last"`
 }
 
 func quantiles(values []float64) *Quantiles {
 	q := &Quantiles{Values: len(values)}
-	q.Median, q.Most99, q.Last = fit.Quantiles(values)
+	q.Median, q.P99, q.Max = fit.Quantiles(values)
 	return q
 }
 
 // Peak is the most that a role used in one second of an event.
 type Peak struct {
-	Role     string  `json:"role"`
-	CPU      float64 `json:"cpu"`              // part of a core; of several processes the mean
-	BytesIn  float64 `json:"bytes_in"`         // of the busiest one, in a second
-	BytesOut float64 `json:"bytes_out"`        // the same
-	Memory   float64 `json:"memory,omitempty"` // bytes, of the largest one; of control machines only
-	Total    float64 `json:"total"`            // bytes in the whole event, of the busiest one, both ways
+	Role       string  `json:"role"`
+	CPU        float64 `json:"cpu"`              // part of a core; of several processes the mean
+	BytesIn    float64 `json:"bytes_in"`         // of the busiest one, in a second
+	BytesOut   float64 `json:"bytes_out"`        // the same
+	Memory     float64 `json:"memory,omitempty"` // bytes, of the largest one; of control machines only
+	TotalBytes float64 `json:"total"`            // bytes in the whole event, of the busiest one, both ways
 }
 
 // Likeness is a kind of traffic of hollow proxies beside that of real ones.
-type Likeness struct {
-	Kind   string  `json:"kind"`
-	Real   float64 `json:"real"`
-	Hollow float64 `json:"hollow"`
+type Comparison struct {
+	Kind      string  `json:"kind"`
+	Real      float64 `json:"real"`
+	InProcess float64 `json:"hollow"`
 }
 
 // Off is by which part the hollow ones' differs.
-func (l Likeness) Off() float64 {
-	if l.Real == l.Hollow {
+func (l Comparison) RelativeDifference() float64 {
+	if l.Real == l.InProcess {
 		return 0
 	}
-	return l.Hollow/l.Real - 1
+	return l.InProcess/l.Real - 1
 }
 
 // Added is what a proxy, or a chain of them, adds to calls.
-type Added struct {
-	Name     string     `json:"name"`
-	Rate     float64    `json:"rate"` // calls a second, open loop
-	Rounds   int        `json:"rounds"`
-	Calls    int        `json:"calls"`
-	Straight [3]float64 `json:"straight"` // seconds: median, 99 in 100, 99.9 in 100; the median over the rounds
-	Through  [3]float64 `json:"through"`
-	Least    [3]float64 `json:"least"` // least and most that was added in a round
-	Most     [3]float64 `json:"most"`
-	Failed   int        `json:"failed"`
-	Load     float64    `json:"load"`
+type AddedLatency struct {
+	Name        string     `json:"name"`
+	Rate        float64    `json:"rate"` // calls a second, open loop
+	Rounds      int        `json:"rounds"`
+	Calls       int        `json:"calls"`
+	Direct      [3]float64 `json:"straight"` // seconds: median, 99 in 100, 99.9 in 100; the median over the rounds
+	Proxied     [3]float64 `json:"through"`
+	MinAdded    [3]float64 `json:"least"` // least and most that was added in a round
+	MaxAdded    [3]float64 `json:"most"`
+	Failed      int        `json:"failed"`
+	LoadAverage float64    `json:"load"`
 }
 
 // Data is what a scale run has measured.
 type Data struct {
-	Program  string      `json:"program"` // version of the program
-	Cores    int         `json:"cores"`
-	Sizes    fleet.Sizes `json:"sizes"`
-	Likeness []Likeness  `json:"likeness"`
-	Series   []Series    `json:"series"`
-	Events   []Event     `json:"events"`
-	Added    []Added     `json:"added"`
+	Program      string         `json:"program"` // version of the program
+	Cores        int            `json:"cores"`
+	Sizes        fleet.Sizes    `json:"sizes"`
+	Comparisons  []Comparison   `json:"likeness"`
+	Series       []Series       `json:"series"`
+	Events       []Event        `json:"events"`
+	AddedLatency []AddedLatency `json:"added"`
 }
 
 // ReadData reads a data file.
@@ -162,9 +162,9 @@
 }
 
 // find is the series of a figure.
-func (d *Data) find(role, figure string, against Against, setting string) *Series {
+func (d *Data) find(role, figure string, against Variable, setting string) *Series {
 	for i, s := range d.Series {
-		if s.Role == role && s.Figure == figure && s.Against == against && s.Setting == setting {
+		if s.Role == role && s.Figure == figure && s.Variable == against && s.Setting == setting {
 			return &d.Series[i]
 		}
 	}
@@ -174,7 +174,7 @@
 // replaceSeries puts series in place of those of the same figures.
 func (d *Data) replaceSeries(series []Series) {
 	for _, s := range series {
-		if old := d.find(s.Role, s.Figure, s.Against, s.Setting); old != nil {
+		if old := d.find(s.Role, s.Figure, s.Variable, s.Setting); old != nil {
 			*old = s
 		} else {
 			d.Series = append(d.Series, s)
@@ -194,12 +194,12 @@
 }
 
 // replaceAdded puts a measure in place of the one of the same name and rate.
-func (d *Data) replaceAdded(a Added) {
-	for i, old := range d.Added {
+func (d *Data) replaceAdded(a AddedLatency) {
+	for i, old := range d.AddedLatency {
 		if old.Name == a.Name && old.Rate == a.Rate {
-			d.Added[i] = a
+			d.AddedLatency[i] = a
 			return
 		}
 	}
-	d.Added = append(d.Added, a)
+	d.AddedLatency = append(d.AddedLatency, a)
 }
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -11,15 +11,15 @@
 
 // EventOptions say how large events are and how long they last.
 type EventOptions struct {
-	Sizes    fleet.Sizes
-	Real     int
-	Lists    Lists
-	Burst    int // changes of configuration within BurstIn
-	BurstIn  time.Duration
-	Restarts int           // of proxies and their backends
-	Batch    int           // of them at a time
-	Silence  time.Duration // of discovery
-	Cut      time.Duration // of a region
+	Sizes           fleet.Sizes
+	RealProxies     int
+	ListScope       ListScope
+	Burst           int // changes of configuration within BurstIn
+	BurstWindow     time.Duration
+	Restarts        int           // of proxies and their backends
+	RestartBatch    int           // of them at a time
+	DiscoveryOutage time.Duration // of discovery
+	RegionOutage    time.Duration // of a region
 }
 
 const zoneLost = 3 // which one it is
@@ -37,11 +37,11 @@
 	restarted := 0
 	for i, p := range f.Proxies {
 		switch {
-		case i < o.Real:
+		case i < o.RealProxies:
 		case p.Zone == zoneLost%o.Sizes.Zones:
 			group[i] = groupOfZone
 		case restarted < o.Restarts && i%2 == 1: // the rest group must not be empty
-			group[i] = groupsRestarted + restarted/o.Batch
+			group[i] = groupsRestarted + restarted/o.RestartBatch
 			restarted++
 		}
 	}
@@ -49,10 +49,10 @@
 }
 
 // Events has each event happen to a fleet of the size, one after another.
-func Events(ctx context.Context, o EventOptions, programs Programs, progress func(string)) ([]Event, error) {
+func RunEvents(ctx context.Context, o EventOptions, programs Programs, progress func(string)) ([]Event, error) {
 	f := fleet.Generate(o.Sizes)
-	plan := Plan{Fleet: f, Real: o.Real, Lists: o.Lists, Peers: true, Group: o.groups(f)}
-	r, ctx, err := Open(ctx, plan, programs)
+	plan := Plan{Fleet: f, RealProxies: o.RealProxies, ListScope: o.ListScope, Peers: true, Group: o.groups(f)}
+	r, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 // stage is where events happen.
 type stage struct {
 	ctx     context.Context
-	rig     *Rig
+	rig     *Deployment
 	options EventOptions
 }
 
@@ -95,13 +95,13 @@
 func (s stage) change(e *Event) error {
 	took, err := s.rig.reload(s.ctx, shift(1))
 	e.InForce = quantiles(took)
-	e.Settled = e.InForce.Last
+	e.SettledSeconds = e.InForce.Max
 	e.Note = "from the moment at which every file is in place: nothing carries the files"
 	return err
 }
 
 func (s stage) burst(e *Event) error {
-	every := s.options.BurstIn / time.Duration(s.options.Burst)
+	every := s.options.BurstWindow / time.Duration(s.options.Burst)
 	return e.changes(s.ctx, s.options.Burst, every, func(k int) ([]float64, error) {
 		return s.rig.reload(s.ctx, shift(2+k))
 	})
@@ -122,7 +122,7 @@
 		}
 	}
 	e.InForce = quantiles(all)
-	e.Settled = e.InForce.Last
+	e.SettledSeconds = e.InForce.Max
 	return nil
 }
 
@@ -144,8 +144,8 @@
 		count += len(batch)
 	}
 	err := s.rig.awaitWatching(s.ctx, nil)
-	e.Settled = time.Since(begun).Seconds()
-	e.Note = fmt.Sprintf("%d proxies with their backends, %d at a time", count, s.options.Batch)
+	e.SettledSeconds = time.Since(begun).Seconds()
+	e.Note = fmt.Sprintf("%d proxies with their backends, %d at a time", count, s.options.RestartBatch)
 	return err
 }
 
@@ -180,7 +180,7 @@
 		return err
 	}
 	err = s.rig.awaitWatching(s.ctx, nil)
-	e.Settled = time.Since(begun).Seconds()
+	e.SettledSeconds = time.Since(begun).Seconds()
 	e.Note = fmt.Sprintf("%d proxies; settled counts from their start", len(members))
 	return err
 }
@@ -193,16 +193,16 @@
 			agents = append(agents, i)
 		}
 	}
-	return s.silent(e, agents, s.options.Cut)
+	return s.silent(e, agents, s.options.RegionOutage)
 }
 
 func (s stage) silence(e *Event) error {
-	return s.silent(e, everyProxy(s.rig.plan.Fleet), s.options.Silence)
+	return s.silent(e, everyProxy(s.rig.plan.Fleet), s.options.DiscoveryOutage)
 }
 
 // silent has agents say nothing for a while, and waits until all proxies have their lists again.
 func (s stage) silent(e *Event, agents []int, lasting time.Duration) error {
-	if _, err := s.rig.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents, On: true}}); err != nil {
+	if _, err := s.rig.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents, Silent: true}}); err != nil {
 		return err
 	}
 	if err := pause(s.ctx, lasting); err != nil {
@@ -213,6 +213,6 @@
 		return err
 	}
 	err := s.rig.awaitWatching(s.ctx, nil)
-	e.Settled = time.Since(begun).Seconds()
+	e.SettledSeconds = time.Since(begun).Seconds()
 	return err
 }
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -14,18 +14,18 @@
 )
 
 // Law names the function of the size that a figure follows.
-type Law string
+type Model string
 
 // The laws, simplest first.
 const (
-	None      Law = "none"
-	Logarithm Law = "log n"
-	Linear    Law = "n"
-	Square    Law = "n^2"
+	Constant  Model = "none"
+	Logarithm Model = "log n"
+	Linear    Model = "n"
+	Square    Model = "n^2"
 )
 
 // Laws are all of them, simplest first.
-var Laws = []Law{None, Logarithm, Linear, Square}
+var Models = []Model{Constant, Logarithm, Linear, Square}
 
 const (
 	flatPart    = 0.02 // of the mean: a figure that all sizes have within this part of one another does not grow
@@ -42,14 +42,14 @@
 
 // Fit is the law chosen for some points.
 type Fit struct {
-	Law       Law     `json:"law"`
-	Intercept float64 `json:"intercept"`
-	Slope     float64 `json:"slope"`
-	Residual  float64 `json:"residual"` // root of the mean square, in the figure's unit
-	Relative  float64 `json:"relative"` // Residual as a part of the mean
+	Model            Model   `json:"law"`
+	Intercept        float64 `json:"intercept"`
+	Slope            float64 `json:"slope"`
+	Residual         float64 `json:"residual"` // root of the mean square, in the figure's unit
+	RelativeResidual float64 `json:"relative"` // Residual as a part of the mean
 }
 
-func (l Law) of(n float64) float64 {
+func (l Model) of(n float64) float64 {
 	switch l {
 	case Logarithm:
 		return math.Log(n)
@@ -62,15 +62,15 @@
 }
 
 // Of chooses the law for points of at least three sizes.
-func Of(points []Point) (Fit, error) {
+func Best(points []Point) (Fit, error) {
 	if len(points) < leastPoints {
 		return Fit{}, fmt.Errorf("%d points are too few for a law, %d are needed", len(points), leastPoints)
 	}
-	best := along(None, points)
+	best := along(Constant, points)
 	if best.Residual <= flatPart*math.Abs(best.Intercept) {
 		return best, nil
 	}
-	for _, law := range Laws[1:] {
+	for _, law := range Models[1:] {
 		if next := along(law, points); next.Residual < gain*best.Residual && next.grows(points) {
 			best = next
 		}
@@ -82,7 +82,7 @@
 func (f Fit) grows(points []Point) bool {
 	xs := make([]float64, len(points))
 	for i, p := range points {
-		xs[i] = f.Law.of(p.N)
+		xs[i] = f.Model.of(p.N)
 	}
 	count := float64(len(points))
 	free := count - 2
@@ -92,13 +92,13 @@
 }
 
 // along fits one law.
-func along(law Law, points []Point) Fit {
+func along(law Model, points []Point) Fit {
 	xs, ys := make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
 		xs[i], ys[i] = law.of(p.N), p.Y
 	}
-	f := Fit{Law: law}
-	if law == None {
+	f := Fit{Model: law}
+	if law == Constant {
 		f.Intercept = stat.Mean(ys, nil)
 	} else {
 		f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
@@ -110,13 +110,13 @@
 	}
 	f.Residual = math.Sqrt(sum / float64(len(points)))
 	if mean := math.Abs(stat.Mean(ys, nil)); mean > 0 {
-		f.Relative = f.Residual / mean
+		f.RelativeResidual = f.Residual / mean
 	}
 	return f
 }
 
 // At is what the law gives for a size.
-func (f Fit) At(n float64) float64 { return f.Intercept + f.Slope*f.Law.of(n) }
+func (f Fit) At(n float64) float64 { return f.Intercept + f.Slope*f.Model.of(n) }
 
 // Quantiles gives the median, 99 in 100 and the last of some values.
 func Quantiles(values []float64) (median, most99, last float64) {
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -11,10 +11,10 @@
 func TestTheLawIsNamedThroughNoise(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct {
-		law Law
+		law Model
 		of  func(n float64) float64
 	}{
-		{None, func(float64) float64 { return 42 }},
+		{Constant, func(float64) float64 { return 42 }},
 		{Logarithm, func(n float64) float64 { return 10 + 30*math.Log(n) }},
 		{Linear, func(n float64) float64 { return 100 + 7*n }},
 		{Square, func(n float64) float64 { return 100 + 0.5*n*n }},
@@ -24,9 +24,9 @@
 			for _, n := range sizes {
 				points = append(points, Point{n, c.of(n) * (1 + 0.01*random.NormFloat64())})
 			}
-			f, err := Of(points)
-			if err != nil || f.Law != c.law {
-				t.Fatalf("%s was taken for %s (%v): %v", c.law, f.Law, err, points)
+			f, err := Best(points)
+			if err != nil || f.Model != c.law {
+				t.Fatalf("%s was taken for %s (%v): %v", c.law, f.Model, err, points)
 			}
 			if at := f.At(1120); math.Abs(at-c.of(1120)) > 0.1*c.of(1120) {
 				t.Errorf("%s: %.1f at 1,120, wanted %.1f", c.law, at, c.of(1120))
@@ -45,9 +45,9 @@
 		for _, n := range sizes {
 			points = append(points, Point{n, 10 + 2*random.NormFloat64()})
 		}
-		if f, err := Of(points); err != nil {
+		if f, err := Best(points); err != nil {
 			t.Fatal(err)
-		} else if f.Law != None {
+		} else if f.Model != Constant {
 			growing++
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 func TestNoLawFromTwoPoints(t *testing.T) {
-	if _, err := Of([]Point{{1, 1}, {2, 2}}); err == nil {
+	if _, err := Best([]Point{{1, 1}, {2, 2}}); err == nil {
 		t.Error("two points gave a law")
 	}
 }
