--- a/internal/scale/fleet/fleet.go
+++ b/internal/scale/fleet/fleet.go
@@ -11,19 +11,19 @@
 type Service struct {
 	Name           string
 	Level          int     // from 0, those that get calls from outside
-	Calls          []int   // the services that it calls
+	Callees        []int   // the services that it calls
 	CallsPerSecond float64 // that come to it
 	Backends       []int   // indexes into Fleet.Proxies, of the proxies beside them
 }
 
 // Proxy is one machine: a backend and the proxy beside it.
 type Proxy struct {
-	Name    string
-	Region  string
-	Zone    int // index into Fleet.Zones
-	Service int // that its backend belongs to
-	Target  int // the service whose list it follows
-	Cell    int // of its backend, within the service
+	Name          string
+	Region        string
+	Zone          int // index into Fleet.Zones
+	Service       int // that its backend belongs to
+	TargetService int // the service whose list it follows
+	Cell          int // of its backend, within the service
 }
 
 // Fleet is what sizes and a seed give.
@@ -72,13 +72,13 @@
 			continue
 		}
 		next := at[s.Level+1]
-		s.Calls = append(s.Calls, next[random.IntN(len(next))])
+		s.Callees = append(s.Callees, next[random.IntN(len(next))])
 		wanted := f.Sizes.CalledLeast + random.IntN(f.Sizes.CalledMost-f.Sizes.CalledLeast+1)
 		for range wanted - 1 {
 			deeper := at[s.Level+1+random.IntN(levels-s.Level-1)]
 			callee := deeper[random.IntN(len(deeper))]
-			if !slices.Contains(s.Calls, callee) {
-				s.Calls = append(s.Calls, callee)
+			if !slices.Contains(s.Callees, callee) {
+				s.Callees = append(s.Callees, callee)
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 			s.CallsPerSecond = 1
 		}
 		total += s.CallsPerSecond
-		for _, callee := range s.Calls {
+		for _, callee := range s.Callees {
 			f.Services[callee].CallsPerSecond += goOn * s.CallsPerSecond
 		}
 	}
@@ -118,11 +118,11 @@
 			n := len(f.Proxies)
 			zone := n % len(f.Zones)
 			target := i
-			if len(s.Calls) > 0 {
-				target = s.Calls[k%len(s.Calls)]
+			if len(s.Callees) > 0 {
+				target = s.Callees[k%len(s.Callees)]
 			}
 			f.Proxies = append(f.Proxies, Proxy{Name: fmt.Sprintf("proxy-%d", n+1), Region: f.Regions[zone], Zone: zone, Service: i,
-				Target: target, Cell: k / f.Sizes.CellSize})
+				TargetService: target, Cell: k / f.Sizes.CellSize})
 			s.Backends = append(s.Backends, n)
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // InZone are the proxies of a zone.
-func (f *Fleet) InZone(zone int) (members []int) {
+func (f *Fleet) ProxiesInZone(zone int) (members []int) {
 	for i, p := range f.Proxies {
 		if p.Zone == zone {
 			members = append(members, i)
@@ -167,7 +167,7 @@
 	visit = func(i int) int {
 		if depth[i] == 0 {
 			depth[i] = 1
-			for _, callee := range f.Services[i].Calls {
+			for _, callee := range f.Services[i].Callees {
 				depth[i] = max(depth[i], 1+visit(callee))
 			}
 		}
@@ -181,9 +181,9 @@
 }
 
 // CalledServices is, over the proxies, the mean and the largest number of services that the backend beside one calls.
-func (f *Fleet) CalledServices() (mean float64, most int) {
+func (f *Fleet) CalleesPerProxy() (mean float64, most int) {
 	for _, p := range f.Proxies {
-		n := len(f.Services[p.Service].Calls)
+		n := len(f.Services[p.Service].Callees)
 		mean += float64(n) / float64(len(f.Proxies))
 		most = max(most, n)
 	}
@@ -191,7 +191,7 @@
 }
 
 // BusiestCalls is the largest number of calls a second that come to a service, and to one backend.
-func (f *Fleet) BusiestCalls() (service, backend float64) {
+func (f *Fleet) PeakCallRates() (service, backend float64) {
 	for _, s := range f.Services {
 		service = max(service, s.CallsPerSecond)
 		backend = max(backend, s.CallsPerSecond/float64(max(1, len(s.Backends))))
--- a/internal/scale/fleet/fleet_test.go
+++ b/internal/scale/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 	if calls < 87_999 || calls > 88_001 {
 		t.Errorf("%.1f calls a second", calls)
 	}
-	if n := len(f.InZone(0)); n != 51 {
+	if n := len(f.ProxiesInZone(0)); n != 51 {
 		t.Errorf("%d proxies in a zone", n)
 	}
 }
@@ -40,7 +40,7 @@
 func TestEverySizeGivesAFleet(t *testing.T) {
 	for _, n := range []int{1, 2, 11, 35, 70, 140, 280, 560, 1120} {
 		s := Default().ScaledTo(n)
-		if err := s.Check(); err != nil && n >= 3 {
+		if err := s.Validate(); err != nil && n >= 3 {
 			t.Errorf("%d: %v", n, err)
 		}
 		if f := Generate(s); len(f.Proxies) != n {
--- a/internal/scale/fleet/sizes.go
+++ b/internal/scale/fleet/sizes.go
@@ -41,7 +41,7 @@
 }
 
 // Operators is the operators' budget.
-var Operators = Budget{ProxyCPU: 0.013, ProxyMemory: 64e6, ProxyTraffic: 7000, InForceSeconds: 3, AddedSeconds: 0.0006}
+var OperatorBudget = Budget{ProxyCPU: 0.013, ProxyMemory: 64e6, ProxyTraffic: 7000, InForceSeconds: 3, AddedSeconds: 0.0006}
 
 // Default is the size that the operators design for.
 func Default() Sizes {
@@ -58,11 +58,11 @@
 	if err := tomlconfig.Decode(text, &s); err != nil {
 		return s, err
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 // Check tells the first size that no fleet can have.
-func (s Sizes) Check() error {
+func (s Sizes) Validate() error {
 	for _, bound := range []struct {
 		key               string
 		value, least, top float64
--- a/internal/scale/helper/client.go
+++ b/internal/scale/helper/client.go
@@ -54,13 +54,13 @@
 func (p *Process) PID() int { return p.command.Process.Pid }
 
 // Do sends a request and waits for its answer.
-func (p *Process) Do(r Request) (*Answer, error) {
+func (p *Process) Do(r Request) (*Response, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := json.NewEncoder(p.in).Encode(r); err != nil {
 		return nil, fmt.Errorf("helper: %w", err)
 	}
-	var a Answer
+	var a Response
 	if err := p.out.Decode(&a); err != nil {
 		return nil, fmt.Errorf("helper: %w", err)
 	}
--- a/internal/scale/helper/helper_test.go
+++ b/internal/scale/helper/helper_test.go
@@ -8,12 +8,12 @@
 )
 
 // answers are those of a helper to a text.
-func answers(t *testing.T, handle func(*Request) (*Answer, error), text string) (all []Answer, err error) {
+func answers(t *testing.T, handle func(*Request) (*Response, error), text string) (all []Response, err error) {
 	t.Helper()
 	var out bytes.Buffer
 	err = serve(strings.NewReader(text), &out, handle)
 	for decoder := json.NewDecoder(&out); decoder.More(); {
-		var a Answer
+		var a Response
 		if err := decoder.Decode(&a); err != nil {
 			t.Fatal(err)
 		}
@@ -27,7 +27,7 @@
 	defer d.close()
 	for _, c := range []struct {
 		text   string
-		handle func(*Request) (*Answer, error)
+		handle func(*Request) (*Response, error)
 	}{
 		{`{"traffic": true}`, d.handle}, {`{"discover": {"agents": [{"list": 3}]}}`, d.handle},
 		{`{"traffic": true}`, d.handle}, // what failed to start is not there
--- a/internal/scale/helper/hollow.go
+++ b/internal/scale/helper/hollow.go
@@ -59,7 +59,7 @@
 	err   error
 }
 
-func (h *hollow) handle(r *Request) (*Answer, error) {
+func (h *hollow) handle(r *Request) (*Response, error) {
 	switch {
 	case r.Start != nil:
 		return nil, h.start(r.Start)
@@ -67,9 +67,9 @@
 		return h.reload(r.Reload)
 	case len(r.Stop) > 0:
 		return nil, h.stop(r.Stop)
-	case r.TakenOver != nil:
-		return &Answer{InForce: h.log.times(*r.TakenOver)}, nil
-	case r.Collect:
+	case r.AppliedSince != nil:
+		return &Response{AppliedAt: h.log.times(*r.AppliedSince)}, nil
+	case r.FreeMemory:
 		debug.FreeOSMemory()
 		return nil, nil
 	}
@@ -77,23 +77,23 @@
 }
 
 func (h *hollow) start(r *Start) error {
-	if len(r.Operators) != 0 && len(r.Operators) != len(r.Launches) {
+	if len(r.OperatorFiles) != 0 && len(r.OperatorFiles) != len(r.Configs) {
 		return errors.New("as many operators' files as configurations are needed, or none")
 	}
 	debug.SetMemoryLimit(memoryCeiling)
-	for i, text := range r.Launches {
+	for i, text := range r.Configs {
 		launch, err := proxy.ParseConfig(text)
 		if err != nil {
 			return err
 		}
-		if len(r.Operators) > 0 && r.Operators[i] != "" {
-			if err := launch.LoadOperatorFile(r.Operators[i]); err != nil {
+		if len(r.OperatorFiles) > 0 && r.OperatorFiles[i] != "" {
+			if err := launch.LoadOperatorFile(r.OperatorFiles[i]); err != nil {
 				return err
 			}
 		}
 		m := &member{ended: make(chan struct{})}
 		h.proxies = append(h.proxies, m)
-		if r.Idle {
+		if r.SeedDefect {
 			close(m.ended)
 			continue
 		}
@@ -111,8 +111,8 @@
 
 // reload has proxies turn to configurations as SIGHUP does: read, checked, handed to the loop. It answers when the last
 // loop has taken its own over.
-func (h *hollow) reload(r *Reload) (*Answer, error) {
-	if len(r.Proxies) != len(r.Launches) {
+func (h *hollow) reload(r *Reload) (*Response, error) {
+	if len(r.Proxies) != len(r.Configs) {
 		return nil, errors.New("as many configurations as proxies are needed")
 	}
 	before := len(h.log.times(0))
@@ -123,7 +123,7 @@
 			return nil, fmt.Errorf("hollow proxy %d is not there", n)
 		}
 		wait.Go(func() {
-			launch, err := proxy.ParseConfig(r.Launches[i])
+			launch, err := proxy.ParseConfig(r.Configs[i])
 			if err == nil {
 				err = proxy.Check(launch)
 			}
@@ -139,7 +139,7 @@
 	for deadline := time.Now().Add(stopWithin); ; time.Sleep(lookEvery) {
 		at := h.log.times(before)
 		if len(at) >= len(r.Proxies) {
-			return &Answer{InForce: at}, nil
+			return &Response{AppliedAt: at}, nil
 		}
 		if time.Now().After(deadline) {
 			return nil, fmt.Errorf("%d of %d hollow proxies have turned to their configurations after %v", len(at), len(r.Proxies),
--- a/internal/scale/helper/message.go
+++ b/internal/scale/helper/message.go
@@ -21,21 +21,21 @@
 // The roles.
 const (
 	Discovery Role = "discovery"
-	Hollow    Role = "hollow"
+	InProcess Role = "hollow"
 )
 
 // Request is one order; exactly one field is set.
 type Request struct {
-	Discover  *Discover `json:"discover,omitempty"`
-	Change    *Change   `json:"change,omitempty"`
-	Silence   *Silence  `json:"silence,omitempty"`
-	Break     []int     `json:"break,omitempty"`   // agents whose connections are closed
-	Traffic   bool      `json:"traffic,omitempty"` // of each agent
-	Start     *Start    `json:"start,omitempty"`
-	Reload    *Reload   `json:"reload,omitempty"`
-	TakenOver *int      `json:"taken_over,omitempty"` // asks when configurations came into force, but for the first so many
-	Stop      []int     `json:"stop,omitempty"`       // hollow proxies that are ended
-	Collect   bool      `json:"collect,omitempty"`    // garbage, so that memory can be compared
+	Discover         *Discover `json:"discover,omitempty"`
+	Change           *Change   `json:"change,omitempty"`
+	Silence          *Silence  `json:"silence,omitempty"`
+	CloseConnections []int     `json:"break,omitempty"`   // agents whose connections are closed
+	Traffic          bool      `json:"traffic,omitempty"` // of each agent
+	Start            *Start    `json:"start,omitempty"`
+	Reload           *Reload   `json:"reload,omitempty"`
+	AppliedSince     *int      `json:"taken_over,omitempty"` // asks when configurations came into force, but for the first so many
+	Stop             []int     `json:"stop,omitempty"`       // hollow proxies that are ended
+	FreeMemory       bool      `json:"collect,omitempty"`    // garbage, so that memory can be compared
 }
 
 // Discover starts discovery's agents.
@@ -59,26 +59,26 @@
 // Silence has agents say nothing, heartbeats included, or speak again.
 type Silence struct {
 	Agents []int `json:"agents"`
-	On     bool  `json:"on"`
+	Silent bool  `json:"on"`
 }
 
 // Start starts hollow proxies by their configurations; their numbers go on from those before.
 type Start struct {
-	Launches  []json.RawMessage `json:"launches"`
-	Operators []string          `json:"operators,omitempty"` // paths of the operators' files, none or one for each
-	Idle      bool              `json:"idle,omitempty"`      // a seeded defect for tests: it never asks discovery
+	Configs       []json.RawMessage `json:"launches"`
+	OperatorFiles []string          `json:"operators,omitempty"` // paths of the operators' files, none or one for each
+	SeedDefect    bool              `json:"idle,omitempty"`      // a seeded defect for tests: it never asks discovery
 }
 
 // Reload has hollow proxies turn to other configurations.
 type Reload struct {
-	Proxies  []int             `json:"proxies"`
-	Launches []json.RawMessage `json:"launches"`
+	Proxies []int             `json:"proxies"`
+	Configs []json.RawMessage `json:"launches"`
 }
 
 // Answer is what comes back.
-type Answer struct {
-	Error    string          `json:"error,omitempty"`
-	Traffic  []meter.Traffic `json:"traffic,omitempty"`
-	Watching []int           `json:"watching,omitempty"`
-	InForce  []float64       `json:"in_force,omitempty"` // Unix times at which configurations came into force, seconds
+type Response struct {
+	Error       string          `json:"error,omitempty"`
+	Traffic     []meter.Traffic `json:"traffic,omitempty"`
+	OpenWatches []int           `json:"watching,omitempty"`
+	AppliedAt   []float64       `json:"in_force,omitempty"` // Unix times at which configurations came into force, seconds
 }
--- a/internal/scale/helper/serve.go
+++ b/internal/scale/helper/serve.go
@@ -19,13 +19,13 @@
 		return false, nil
 	}
 	log.SetOutput(io.Discard)
-	var handle func(*Request) (*Answer, error)
+	var handle func(*Request) (*Response, error)
 	switch role {
 	case Discovery:
 		d := &discovery{}
 		defer d.close()
 		handle = d.handle
-	case Hollow:
+	case InProcess:
 		h := &hollow{}
 		log.SetOutput(&h.log)
 		defer h.stopAll()
@@ -37,7 +37,7 @@
 }
 
 // serve answers requests until there are no more.
-func serve(in io.Reader, out io.Writer, handle func(*Request) (*Answer, error)) error {
+func serve(in io.Reader, out io.Writer, handle func(*Request) (*Response, error)) error {
 	decoder, encoder := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	for {
 		var request Request
@@ -48,7 +48,7 @@
 		}
 		answer, err := handle(&request)
 		if answer == nil {
-			answer = &Answer{}
+			answer = &Response{}
 		}
 		if err != nil {
 			answer.Error = err.Error()
@@ -71,7 +71,7 @@
 	}
 }
 
-func (d *discovery) handle(r *Request) (*Answer, error) {
+func (d *discovery) handle(r *Request) (*Response, error) {
 	if r.Discover != nil {
 		return nil, d.start(r.Discover)
 	}
@@ -81,17 +81,17 @@
 	switch {
 	case r.Change != nil:
 		for _, list := range r.Change.Lists {
-			if err := d.standin.Change(list, r.Change.Endpoints); err != nil {
+			if err := d.standin.Update(list, r.Change.Endpoints); err != nil {
 				return nil, err
 			}
 		}
 	case r.Silence != nil:
-		d.standin.Silence(r.Silence.Agents, r.Silence.On)
-	case len(r.Break) > 0:
-		d.standin.Break(r.Break)
+		d.standin.SetSilent(r.Silence.Agents, r.Silence.Silent)
+	case len(r.CloseConnections) > 0:
+		d.standin.CloseConnections(r.CloseConnections)
 	case r.Traffic:
 		traffic, watching := d.standin.Traffic()
-		return &Answer{Traffic: traffic, Watching: watching}, nil
+		return &Response{Traffic: traffic, OpenWatches: watching}, nil
 	default:
 		return nil, errors.New("discovery does not know this request")
 	}
--- a/internal/scale/keepers.go
+++ b/internal/scale/keepers.go
@@ -13,33 +13,33 @@
 const datagramHeaders = 28
 
 // KeeperOptions say how messages between siblings are measured: real proxies, with calls.
-type KeeperOptions struct {
-	Siblings []int     // real proxies of one service, each with calls at Rates' last but one
-	Rates    []float64 // calls a second to each of Fixed proxies
-	Fixed    int
-	Rate     float64 // calls a second to each where siblings vary
-	Seconds  float64
+type SiblingOptions struct {
+	Siblings      []int     // real proxies of one service, each with calls at Rates' last but one
+	Rates         []float64 // calls a second to each of Fixed proxies
+	FixedSiblings int
+	FixedRate     float64 // calls a second to each where siblings vary
+	Seconds       float64
 }
 
 // Keepers measures messages between siblings against calls, and against siblings.
-func Keepers(ctx context.Context, o KeeperOptions, programs Programs, progress func(string)) ([]Series, error) {
-	byCalls := collector{against: Calls, setting: fmt.Sprintf("%d siblings", o.Fixed)}
+func SiblingSlopes(ctx context.Context, o SiblingOptions, programs Programs, progress func(string)) ([]Series, error) {
+	byCalls := collector{against: ByCallRate, setting: fmt.Sprintf("%d siblings", o.FixedSiblings)}
 	for _, rate := range o.Rates {
-		figures, err := keeperFigures(ctx, o.Fixed, rate, o.Seconds, programs)
+		figures, err := keeperFigures(ctx, o.FixedSiblings, rate, o.Seconds, programs)
 		if err != nil {
 			return nil, fmt.Errorf("%.0f calls a second: %w", rate, err)
 		}
 		byCalls.add(rate, figures)
-		progress(fmt.Sprintf("%d siblings, %.0f calls/s", o.Fixed, rate))
+		progress(fmt.Sprintf("%d siblings, %.0f calls/s", o.FixedSiblings, rate))
 	}
-	bySiblings := collector{against: Siblings, setting: fmt.Sprintf("%.0f calls/s", o.Rate)}
+	bySiblings := collector{against: BySiblings, setting: fmt.Sprintf("%.0f calls/s", o.FixedRate)}
 	for _, n := range o.Siblings {
-		figures, err := keeperFigures(ctx, n, o.Rate, o.Seconds, programs)
+		figures, err := keeperFigures(ctx, n, o.FixedRate, o.Seconds, programs)
 		if err != nil {
 			return nil, fmt.Errorf("%d siblings: %w", n, err)
 		}
 		bySiblings.add(float64(n), figures)
-		progress(fmt.Sprintf("%d siblings, %.0f calls/s", n, o.Rate))
+		progress(fmt.Sprintf("%d siblings, %.0f calls/s", n, o.FixedRate))
 	}
 	series, err := byCalls.fit(o.Rates[len(o.Rates)-1])
 	if err != nil {
@@ -86,8 +86,8 @@
 	programs Programs) ([]meter.Traffic, float64, error) {
 	sizes := fleet.Default()
 	sizes.Proxies, sizes.Services, sizes.Depth, sizes.FrontShare = n, 1, 1, 1
-	plan := Plan{Fleet: fleet.Generate(sizes), Real: n, Lists: ServiceList, Peers: peers, Counted: n}
-	r, ctx, err := Open(ctx, plan, programs)
+	plan := Plan{Fleet: fleet.Generate(sizes), RealProxies: n, ListScope: ServiceList, Peers: peers, CountedProxies: n}
+	r, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/scale/launch.go
+++ b/internal/scale/launch.go
@@ -18,12 +18,12 @@
 )
 
 // Lists say which list of discovery's a proxy follows.
-type Lists string
+type ListScope string
 
 // The lists.
 const (
-	ServiceList Lists = "service" // of the one service that it calls
-	WholeList   Lists = "whole"   // of all backends, the most that a list can be
+	ServiceList ListScope = "service" // of the one service that it calls
+	WholeList   ListScope = "whole"   // of all backends, the most that a list can be
 )
 
 // addresses are the machines' on loopback: one address of 127.0.0.0/8 each, so that no port is ever another's.
@@ -44,7 +44,7 @@
 // indexes into the fleet's proxies; place is the proxy's own among them.
 func siblings(f *fleet.Fleet, i int) (members []int, place int) {
 	for k, p := range f.Proxies {
-		if p.Target != f.Proxies[i].Target {
+		if p.TargetService != f.Proxies[i].TargetService {
 			continue
 		}
 		if k == i {
--- a/internal/scale/likeness.go
+++ b/internal/scale/likeness.go
@@ -11,30 +11,30 @@
 )
 
 // LikenessWithin is by which part a kind of traffic of hollow proxies may differ from that of real ones.
-const LikenessWithin = 0.05
+const ComparisonTolerance = 0.05
 
 // LikenessOptions say how hollow and real proxies are compared.
-type LikenessOptions struct {
-	Each         int     // proxies of each sort
-	Restarts     int     // of backends
-	RestartsEach float64 // a second
-	CallsEach    float64 // a second to each proxy, while siblings' messages are counted
-	CallSeconds  float64
-	Rest         time.Duration
-	Replicas     int  // of control
-	Changes      int  // of configuration
-	SkipWork     bool // for tests: a hollow proxy that does nothing
+type ComparisonOptions struct {
+	ProxiesEach       int     // proxies of each sort
+	Restarts          int     // of backends
+	RestartsPerSecond float64 // a second
+	CallsPerSecond    float64 // a second to each proxy, while siblings' messages are counted
+	CallSeconds       float64
+	IdleTime          time.Duration
+	Replicas          int  // of control
+	Changes           int  // of configuration
+	SeedDefect        bool // for tests: a hollow proxy that does nothing
 }
 
 // Compare runs hollow and real proxies side by side through the same changes, and counts both at the sockets. They are two
 // services of the same shape: the n-th hollow proxy has the same place in its service as the n-th real one.
-func Compare(ctx context.Context, o LikenessOptions, programs Programs) ([]Likeness, error) {
+func CompareInProcess(ctx context.Context, o ComparisonOptions, programs Programs) ([]Comparison, error) {
 	sizes := fleet.Default()
-	sizes.Proxies, sizes.Services, sizes.Depth, sizes.FrontShare = 2*o.Each, 2, 1, 1
-	plan := Plan{Fleet: fleet.Generate(sizes), Real: o.Each, Lists: ServiceList, Peers: true, Counted: 2 * o.Each,
-		Defect:   o.SkipWork,
-		Replicas: o.Replicas}
-	r, ctx, err := Open(ctx, plan, programs)
+	sizes.Proxies, sizes.Services, sizes.Depth, sizes.FrontShare = 2*o.ProxiesEach, 2, 1, 1
+	plan := Plan{Fleet: fleet.Generate(sizes), RealProxies: o.ProxiesEach, ListScope: ServiceList, Peers: true, CountedProxies: 2 * o.ProxiesEach,
+		SeedDefect: o.SeedDefect,
+		Replicas:   o.Replicas}
+	r, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
@@ -42,15 +42,15 @@
 	if err := r.startBackends(); err != nil {
 		return nil, err
 	}
-	var all []Likeness
+	var all []Comparison
 	watch, err := r.during(func() error {
-		return errors.Join(pause(ctx, o.Rest), r.restartTwins(ctx, o))
+		return errors.Join(pause(ctx, o.IdleTime), r.restartTwins(ctx, o))
 	})
 	if err != nil {
 		return nil, err
 	}
-	all = append(all, kinds("list watch, restarts", watch.traffic, o.Each)...)
-	if !o.SkipWork {
+	all = append(all, kinds("list watch, restarts", watch.traffic, o.ProxiesEach)...)
+	if !o.SeedDefect {
 		back, err := r.during(func() error {
 			_, err := r.breakAll(ctx)
 			return err
@@ -58,31 +58,31 @@
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, kinds("list watch, whole lists", back.traffic, o.Each)...)
+		all = append(all, kinds("list watch, whole lists", back.traffic, o.ProxiesEach)...)
 	}
 	if o.Replicas > 0 {
 		config, err := r.changeTwins(ctx, o)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, kinds("configuration watch, changes", config, o.Each)...)
+		all = append(all, kinds("configuration watch, changes", config, o.ProxiesEach)...)
 	}
 	before := r.relays.traffic()
-	if _, bad := r.call(ctx, everyProxy(plan.Fleet), o.CallsEach, o.CallSeconds); bad > 0 && !o.SkipWork {
+	if _, bad := r.call(ctx, everyProxy(plan.Fleet), o.CallsPerSecond, o.CallSeconds); bad > 0 && !o.SeedDefect {
 		return nil, fmt.Errorf("%d calls failed", bad)
 	}
 	notes := r.relays.traffic()
 	for i := range notes {
 		notes[i] = notes[i].Minus(before[i])
 	}
-	return append(all, kinds("siblings' messages", notes, o.Each)...), nil
+	return append(all, kinds("siblings' messages", notes, o.ProxiesEach)...), nil
 }
 
 // changeTwins changes the configuration of all proxies, and gives what each has said to control and heard from it.
-func (r *Rig) changeTwins(ctx context.Context, o LikenessOptions) ([]meter.Traffic, error) {
-	wanted := 2 * o.Each
-	if o.SkipWork {
-		wanted = o.Each
+func (r *Deployment) changeTwins(ctx context.Context, o ComparisonOptions) ([]meter.Traffic, error) {
+	wanted := 2 * o.ProxiesEach
+	if o.SeedDefect {
+		wanted = o.ProxiesEach
 	}
 	before := r.control.proxyTraffic()
 	operator := operator{rig: r}
@@ -99,15 +99,15 @@
 }
 
 // restartTwins restarts the same backend of both services at the same time.
-func (r *Rig) restartTwins(ctx context.Context, o LikenessOptions) error {
+func (r *Deployment) restartTwins(ctx context.Context, o ComparisonOptions) error {
 	const states = 3
 	for k := range o.Restarts {
-		i := k % o.Each
+		i := k % o.ProxiesEach
 		for _, status := range []string{"draining", "gone", "ready"} {
-			if err := r.change([]int{i, i + o.Each}, status); err != nil {
+			if err := r.change([]int{i, i + o.ProxiesEach}, status); err != nil {
 				return err
 			}
-			if err := pause(ctx, time.Duration(float64(time.Second)/o.RestartsEach/states)); err != nil {
+			if err := pause(ctx, time.Duration(float64(time.Second)/o.RestartsPerSecond/states)); err != nil {
 				return err
 			}
 		}
@@ -120,21 +120,21 @@
 }
 
 // kinds compares the four kinds of traffic; the first ones are the real proxies'.
-func kinds(name string, traffic []meter.Traffic, real int) (all []Likeness) {
+func kinds(name string, traffic []meter.Traffic, real int) (all []Comparison) {
 	for _, k := range []struct {
 		name  string
 		value func(meter.Traffic) int64
 	}{{"bytes in", bytesIn}, {"bytes out", bytesOut}, {"messages in", messagesIn}, {"messages out", messagesOut}} {
-		all = append(all, Likeness{Kind: name + ", " + k.name, Real: mean(traffic[:real], k.value),
-			Hollow: mean(traffic[real:], k.value)})
+		all = append(all, Comparison{Kind: name + ", " + k.name, Real: mean(traffic[:real], k.value),
+			InProcess: mean(traffic[real:], k.value)})
 	}
 	return all
 }
 
 // Unlike are the kinds that differ by more than they may.
-func Unlike(all []Likeness) (off []Likeness) {
+func OutsideTolerance(all []Comparison) (off []Comparison) {
 	for _, l := range all {
-		if l.Off() > LikenessWithin || l.Off() < -LikenessWithin {
+		if l.RelativeDifference() > ComparisonTolerance || l.RelativeDifference() < -ComparisonTolerance {
 			off = append(off, l)
 		}
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -9,38 +9,38 @@
 )
 
 // Measure is a whole run, in parts.
-type Measure struct {
-	Sizes    fleet.Sizes
-	Counts   []int // numbers of proxies of the slopes, rising
-	Real     int   // proxies that are real processes, in slopes and events
-	Programs Programs
-	Progress func(string)
-	Only     []string // names of control's events; nil: all of them
+type Runner struct {
+	Sizes       fleet.Sizes
+	ProxyCounts []int // numbers of proxies of the slopes, rising
+	RealProxies int   // proxies that are real processes, in slopes and events
+	Programs    Programs
+	Progress    func(string)
+	EventNames  []string // names of control's events; nil: all of them
 }
 
 // Part measures one part and puts its figures into the data.
-func (m *Measure) Part(ctx context.Context, part string, data *Data) (err error) {
+func (m *Runner) MeasurePart(ctx context.Context, part string, data *Data) (err error) {
 	var series []Series
 	switch part {
 	case "likeness":
-		data.Likeness, err = Compare(ctx, LikenessOptions{Each: 20, Restarts: 40, RestartsEach: 5, CallsEach: 60, CallSeconds: 8,
-			Rest:     4 * time.Second,
+		data.Comparisons, err = CompareInProcess(ctx, ComparisonOptions{ProxiesEach: 20, Restarts: 40, RestartsPerSecond: 5, CallsPerSecond: 60, CallSeconds: 8,
+			IdleTime: 4 * time.Second,
 			Replicas: m.Sizes.ControlMachines, Changes: 10}, m.Programs)
 	case "keepers":
-		series, err = Keepers(ctx, KeeperOptions{Siblings: []int{2, 4, 8, 12, 16}, Rates: []float64{39, 79, 118, 157, 236},
-			Fixed: 6, Rate: 20, Seconds: 6},
+		series, err = SiblingSlopes(ctx, SiblingOptions{Siblings: []int{2, 4, 8, 12, 16}, Rates: []float64{39, 79, 118, 157, 236},
+			FixedSiblings: 6, FixedRate: 20, Seconds: 6},
 			m.Programs, m.Progress)
 	case "slopes":
-		series, err = Slopes(ctx, SlopeOptions{Sizes: m.Sizes, Counts: m.Counts, FitUpTo: m.Sizes.Proxies, Real: m.Real,
-			Rest:     8 * time.Second,
-			Restarts: 60, PerSecond: 8, Lists: []Lists{ServiceList, WholeList}}, m.Programs, m.Progress)
+		series, err = ProxySlopes(ctx, SlopeOptions{Sizes: m.Sizes, ProxyCounts: m.ProxyCounts, FitUpTo: m.Sizes.Proxies, RealProxies: m.RealProxies,
+			IdleTime: 8 * time.Second,
+			Restarts: 60, RestartsPerSecond: 8, ListScopes: []ListScope{ServiceList, WholeList}}, m.Programs, m.Progress)
 	case "otherslopes":
-		series, err = OtherSlopes(ctx, m)
+		series, err = ServiceAndChangeSlopes(ctx, m)
 	case "events":
-		for _, lists := range []Lists{ServiceList, WholeList} {
+		for _, lists := range []ListScope{ServiceList, WholeList} {
 			var events []Event
-			events, err = Events(ctx, EventOptions{Sizes: m.Sizes, Real: m.Real, Lists: lists, Burst: 30, BurstIn: time.Minute,
-				Restarts: int(m.Sizes.RestartsPerDay), Batch: 10, Silence: 30 * time.Second, Cut: time.Minute}, m.Programs, m.Progress)
+			events, err = RunEvents(ctx, EventOptions{Sizes: m.Sizes, RealProxies: m.RealProxies, ListScope: lists, Burst: 30, BurstWindow: time.Minute,
+				Restarts: int(m.Sizes.RestartsPerDay), RestartBatch: 10, DiscoveryOutage: 30 * time.Second, RegionOutage: time.Minute}, m.Programs, m.Progress)
 			for _, e := range events {
 				data.replaceEvent(e)
 			}
@@ -50,20 +50,20 @@
 		}
 	case "control":
 		var events []Event
-		events, err = ControlEvents(ctx, ControlOptions{Sizes: m.Sizes, Real: m.Real, Replicas: m.Sizes.ControlMachines,
+		events, err = RunControlEvents(ctx, ControlOptions{Sizes: m.Sizes, RealProxies: m.RealProxies, Replicas: m.Sizes.ControlMachines,
 			Changes: 10, Burst: 30,
-			BurstIn: time.Minute, Cut: time.Minute, Only: m.Only}, m.Programs, m.Progress)
+			BurstWindow: time.Minute, RegionOutage: time.Minute, EventNames: m.EventNames}, m.Programs, m.Progress)
 		for _, e := range events {
 			data.replaceEvent(e)
 		}
 	case "controlslopes":
-		series, err = ControlSlopes(ctx, SlopeOptions{Sizes: m.Sizes, Counts: m.Counts, FitUpTo: m.Sizes.Proxies, Real: m.Real,
-			Rest: 8 * time.Second},
+		series, err = ControlSlopes(ctx, SlopeOptions{Sizes: m.Sizes, ProxyCounts: m.ProxyCounts, FitUpTo: m.Sizes.Proxies, RealProxies: m.RealProxies,
+			IdleTime: 8 * time.Second},
 			[]int{m.Sizes.ControlMachines, 3}, 5, m.Programs, m.Progress)
 	case "added":
 		const ownRate = 157 // calls a second at each proxy of the operators' size
-		var added []Added
-		added, err = MeasureAdded(ctx, AddedOptions{Rates: []float64{ownRate, 2 * ownRate}, ChainRate: ownRate, Depth: m.Sizes.Depth,
+		var added []AddedLatency
+		added, err = MeasureAddedLatency(ctx, AddedLatencyOptions{Rates: []float64{ownRate, 2 * ownRate}, ChainRate: ownRate, Depth: m.Sizes.Depth,
 			Connections: 4, Seconds: 5, Rounds: 4}, m.Programs, m.Progress)
 		for _, a := range added {
 			data.replaceAdded(a)
--- a/internal/scale/meter/meter_test.go
+++ b/internal/scale/meter/meter_test.go
@@ -40,11 +40,11 @@
 }
 
 func TestAProcessIsRead(t *testing.T) {
-	used, err := Process(os.Getpid())
-	if err != nil || used.Resident < 1<<20 {
+	used, err := ProcessUsage(os.Getpid())
+	if err != nil || used.ResidentBytes < 1<<20 {
 		t.Errorf("%+v, %v", used, err)
 	}
-	if _, err := Process(-1); err == nil {
+	if _, err := ProcessUsage(-1); err == nil {
 		t.Error("no process was read")
 	}
 }
--- a/internal/scale/meter/process.go
+++ b/internal/scale/meter/process.go
@@ -12,12 +12,12 @@
 
 // Usage is what a process has used.
 type Usage struct {
-	CPU      float64 // seconds of a core since its start
-	Resident float64 // bytes
+	CPUSeconds    float64 // seconds of a core since its start
+	ResidentBytes float64 // bytes
 }
 
 // Process reads what a process has used.
-func Process(pid int) (Usage, error) {
+func ProcessUsage(pid int) (Usage, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, err
@@ -34,7 +34,7 @@
 		}
 	}
 	cpu := max((values[0]+values[1])*clockTick, threadTime(pid))
-	return Usage{CPU: cpu, Resident: values[2] * float64(os.Getpagesize())}, nil
+	return Usage{CPUSeconds: cpu, ResidentBytes: values[2] * float64(os.Getpagesize())}, nil
 }
 
 // threadTime is the processor time of the threads that live, which the scheduler counts far finer than the process's.
--- a/internal/scale/meter/traffic.go
+++ b/internal/scale/meter/traffic.go
@@ -27,7 +27,7 @@
 }
 
 // Flipped is the same as the other end sees it.
-func (t Traffic) Flipped() Traffic {
+func (t Traffic) Reversed() Traffic {
 	return Traffic{t.BytesOut, t.BytesIn, t.MessagesOut, t.MessagesIn}
 }
 
@@ -37,13 +37,13 @@
 }
 
 // In counts what was read.
-func (c *Counter) In(bytes, messages int) {
+func (c *Counter) AddRead(bytes, messages int) {
 	c.bytesIn.Add(int64(bytes))
 	c.messagesIn.Add(int64(messages))
 }
 
 // Out counts what was written.
-func (c *Counter) Out(bytes, messages int) {
+func (c *Counter) AddWritten(bytes, messages int) {
 	c.bytesOut.Add(int64(bytes))
 	c.messagesOut.Add(int64(messages))
 }
@@ -61,13 +61,13 @@
 
 func (c *Conn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
-	c.Counter.In(n, 0)
+	c.Counter.AddRead(n, 0)
 	return n, err
 }
 
 func (c *Conn) Write(from []byte) (int, error) {
 	n, err := c.Conn.Write(from)
-	c.Counter.Out(n, 0)
+	c.Counter.AddWritten(n, 0)
 	return n, err
 }
 
--- a/internal/scale/observe.go
+++ b/internal/scale/observe.go
@@ -31,7 +31,7 @@
 
 // observer looks at a rig each second while something happens to it.
 type observer struct {
-	rig     *Rig
+	rig     *Deployment
 	samples []sample
 }
 
@@ -52,7 +52,7 @@
 	for k := range c.replicas {
 		used := meter.Usage{}
 		if c.running(k) {
-			used, _ = meter.Process(c.replicas[k].command.Process.Pid) // one that has just ended has nothing
+			used, _ = meter.ProcessUsage(c.replicas[k].command.Process.Pid) // one that has just ended has nothing
 		}
 		s.replicas = append(s.replicas, used)
 	}
@@ -69,24 +69,24 @@
 		for n := 1; n < len(o.samples); n++ {
 			was, is := o.samples[n-1], o.samples[n]
 			seconds := is.at.Sub(was.at).Seconds()
-			if seconds < sampleEvery.Seconds()/2 || was.replicas[k].CPU == 0 || is.replicas[k].CPU < was.replicas[k].CPU {
+			if seconds < sampleEvery.Seconds()/2 || was.replicas[k].CPUSeconds == 0 || is.replicas[k].CPUSeconds < was.replicas[k].CPUSeconds {
 				continue
 			}
 			t := is.replicaTraffic[k].Minus(was.replicaTraffic[k])
-			p.CPU = max(p.CPU, (is.replicas[k].CPU-was.replicas[k].CPU)/seconds)
+			p.CPU = max(p.CPU, (is.replicas[k].CPUSeconds-was.replicas[k].CPUSeconds)/seconds)
 			p.BytesIn, p.BytesOut = max(p.BytesIn, float64(t.BytesIn)/seconds), max(p.BytesOut, float64(t.BytesOut)/seconds)
-			p.Memory = max(p.Memory, is.replicas[k].Resident)
+			p.Memory = max(p.Memory, is.replicas[k].ResidentBytes)
 		}
 		t := o.samples[len(o.samples)-1].replicaTraffic[k].Minus(o.samples[0].replicaTraffic[k])
-		p.Total = max(p.Total, float64(t.BytesIn+t.BytesOut))
+		p.TotalBytes = max(p.TotalBytes, float64(t.BytesIn+t.BytesOut))
 	}
 	return p
 }
 
 // observe does something to a rig and gives what was used and said meanwhile, second by second. What is done gives the
 // seconds until all was as usual.
-func (r *Rig) observe(ctx context.Context, e Event, do func(e *Event) error) (Event, error) {
-	e.Proxies, e.Setting = len(r.plan.Fleet.Proxies), string(r.plan.Lists)+" list"
+func (r *Deployment) observe(ctx context.Context, e Event, do func(e *Event) error) (Event, error) {
+	e.Proxies, e.Setting = len(r.plan.Fleet.Proxies), string(r.plan.ListScope)+" list"
 	o := &observer{rig: r}
 	leader := -1
 	if r.control != nil {
@@ -127,7 +127,7 @@
 	if err != nil {
 		return e, err
 	}
-	e.Load = meter.LoadAverage()
+	e.LoadAverage = meter.LoadAverage()
 	e.Peaks = append(e.Peaks, o.proxyPeak(), o.discoveryPeak())
 	if r.control != nil {
 		e.Peaks = append(e.Peaks, o.replicaPeak(roleLeader, func(k int) bool { return k == leader }),
@@ -158,7 +158,7 @@
 	first, last := o.samples[0], o.samples[len(o.samples)-1]
 	for i := range last.traffic {
 		t := last.both(i).Minus(first.both(i))
-		p.Total = max(p.Total, float64(t.BytesIn+t.BytesOut))
+		p.TotalBytes = max(p.TotalBytes, float64(t.BytesIn+t.BytesOut))
 	}
 	return p
 }
@@ -168,7 +168,7 @@
 	p := Peak{Role: roleDiscovery}
 	sum := func(s sample) (all meter.Traffic) {
 		for _, t := range s.traffic {
-			all = all.Plus(t.Flipped())
+			all = all.Plus(t.Reversed())
 		}
 		return all
 	}
@@ -183,6 +183,6 @@
 		p.BytesIn, p.BytesOut = max(p.BytesIn, float64(t.BytesIn)/seconds), max(p.BytesOut, float64(t.BytesOut)/seconds)
 	}
 	t := sum(o.samples[len(o.samples)-1]).Minus(sum(o.samples[0]))
-	p.Total = float64(t.BytesIn + t.BytesOut)
+	p.TotalBytes = float64(t.BytesIn + t.BytesOut)
 	return p
 }
--- a/internal/scale/otherslopes.go
+++ b/internal/scale/otherslopes.go
@@ -11,11 +11,11 @@
 // ServiceSlopes measures how the figures go by the number of services where the number of proxies stays.
 func ServiceSlopes(ctx context.Context, o SlopeOptions, proxies int, services []int, programs Programs,
 	progress func(string)) ([]Series, error) {
-	c := collector{against: Services, setting: fmt.Sprintf("%d proxies, service list", proxies)}
+	c := collector{against: ByServices, setting: fmt.Sprintf("%d proxies, service list", proxies)}
 	for _, count := range services {
 		sizes := o.Sizes.ScaledTo(proxies)
 		sizes.Services = count
-		plan := Plan{Fleet: fleet.Generate(sizes), Real: min(proxies, o.Real), Lists: ServiceList, Peers: true}
+		plan := Plan{Fleet: fleet.Generate(sizes), RealProxies: min(proxies, o.RealProxies), ListScope: ServiceList, Peers: true}
 		figures, err := sizeFigures(ctx, o, plan, programs)
 		if err != nil {
 			return nil, fmt.Errorf("%d services: %w", count, err)
@@ -30,15 +30,15 @@
 func ChangeSlopes(ctx context.Context, o SlopeOptions, proxies int, rates []float64, programs Programs,
 	progress func(string)) ([]Series, error) {
 	const entries = 3 // of a restart
-	plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(proxies)), Real: min(proxies, o.Real), Lists: WholeList, Peers: true}
-	r, ctx, err := Open(ctx, plan, programs)
+	plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(proxies)), RealProxies: min(proxies, o.RealProxies), ListScope: WholeList, Peers: true}
+	r, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	c := collector{against: Changes, setting: fmt.Sprintf("%d proxies, whole list", proxies)}
+	c := collector{against: ByChangeRate, setting: fmt.Sprintf("%d proxies, whole list", proxies)}
 	for _, rate := range rates {
-		restarts := max(1, int(rate/entries*o.Rest.Seconds()))
+		restarts := max(1, int(rate/entries*o.IdleTime.Seconds()))
 		s, err := r.during(func() error { return r.restart(ctx, restarts, rate/entries) })
 		if err != nil {
 			return nil, fmt.Errorf("%.0f changes a second: %w", rate, err)
@@ -57,9 +57,9 @@
 const otherRest = 8 * time.Second // of a step of these slopes
 
 // OtherSlopes are those against services and against changes.
-func OtherSlopes(ctx context.Context, m *Measure) ([]Series, error) {
+func ServiceAndChangeSlopes(ctx context.Context, m *Runner) ([]Series, error) {
 	const proxies = 140
-	o := SlopeOptions{Sizes: m.Sizes, Real: m.Real, Rest: otherRest, Restarts: 30, PerSecond: 8}
+	o := SlopeOptions{Sizes: m.Sizes, RealProxies: m.RealProxies, IdleTime: otherRest, Restarts: 30, RestartsPerSecond: 8}
 	series, err := ServiceSlopes(ctx, o, proxies, []int{4, 7, 13, 26, 52}, m.Programs, m.Progress)
 	if err != nil {
 		return nil, err
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -70,10 +70,10 @@
 }
 
 // NotListed are the totals over their budget that a page does not list as open.
-func (d *Data) NotListed(page string) (missing []string) {
+func (d *Data) UnlistedOverBudget(page string) (missing []string) {
 	_, open, _ := strings.Cut(page, "\n## Open")
 	open, _, _ = strings.Cut(open, "\n## ")
-	for _, t := range d.Over() {
+	for _, t := range d.OverBudget() {
 		if !strings.Contains(open, t.Name()) {
 			missing = append(missing, t.Name())
 		}
@@ -135,7 +135,7 @@
 }
 
 func (d *Data) sizeTable() string {
-	s, b := d.Sizes, fleet.Operators
+	s, b := d.Sizes, fleet.OperatorBudget
 	t := newTable("what", "size", "from")
 	t.row("proxies, each beside a backend", fmt.Sprint(s.Proxies), "operators")
 	t.row("services", fmt.Sprint(s.Services), "operators")
@@ -155,8 +155,8 @@
 
 func (d *Data) assumptionTable() string {
 	f := fleet.Generate(d.Sizes)
-	mean, most := f.CalledServices()
-	service, backend := f.BusiestCalls()
+	mean, most := f.CalleesPerProxy()
+	service, backend := f.PeakCallRates()
 	fronts := 0
 	for _, p := range f.Proxies {
 		if f.Services[p.Service].Level == 0 {
@@ -172,7 +172,7 @@
 	t.row("calls a second at the busiest service, at its backend", fmt.Sprintf("%s, %s", digits(service), digits(backend)),
 		"a: backends are shared out by calls")
 	t.row("calls a second at a proxy, in the mean", digits(d.Sizes.CallsPerSecond/float64(d.Sizes.Proxies)), "w")
-	if s := d.find(roleProxy, listWhole, Proxies, string(WholeList)+" list"); s != nil {
+	if s := d.find(roleProxy, listWhole, ByProxies, string(WholeList)+" list"); s != nil {
 		t.row("bytes of an entry in a whole list", digits(s.Fit.Slope), "m, with the stand-in's names")
 	}
 	t.row("bytes of a change of configuration", fmt.Sprint(d.Sizes.ChangeBytes), "a")
@@ -230,14 +230,14 @@
 		for _, term := range total.Terms {
 			law := "-"
 			if term.Series != nil {
-				law = fmt.Sprintf("%s of %s, %s (%s)", term.Series.Fit.Law, term.Series.Against,
-					amount(term.Series.Fit.Relative, "part of a core"), term.Series.Setting)
+				law = fmt.Sprintf("%s of %s, %s (%s)", term.Series.Fit.Model, term.Series.Variable,
+					amount(term.Series.Fit.RelativeResidual, "part of a core"), term.Series.Setting)
 			}
-			last := WorkedOut
+			last := Derived
 			if term.Origin == Measured {
 				last = Predicted
 			}
-			t.row(total.Of, term.Name, amount(term.At(n), total.Unit)+" ("+string(term.Origin)+")",
+			t.row(total.Resource, term.Name, amount(term.At(n), total.Unit)+" ("+string(term.Origin)+")",
 				amount(term.At(4*n), total.Unit)+" ("+string(last)+")", law, term.Mechanism)
 		}
 	}
@@ -251,13 +251,13 @@
 	for _, e := range d.Events {
 		force := "-"
 		if e.InForce != nil {
-			force = fmt.Sprintf("%s, %s, %s", amount(e.InForce.Median, "s"), amount(e.InForce.Most99, "s"), amount(e.InForce.Last, "s"))
+			force = fmt.Sprintf("%s, %s, %s", amount(e.InForce.Median, "s"), amount(e.InForce.P99, "s"), amount(e.InForce.Max, "s"))
 		}
 		var peaks []string
 		for _, p := range e.Peaks {
 			text := fmt.Sprintf("%s: %s, in %s, out %s, in all %s", p.Role, amount(p.CPU, "part of a core"),
 				amount(p.BytesIn, "bytes/s"), amount(p.BytesOut, "bytes/s"),
-				amount(p.Total, "bytes"))
+				amount(p.TotalBytes, "bytes"))
 			if p.Memory > 0 {
 				text += ", " + amount(p.Memory, "bytes") + " of memory"
 			}
@@ -267,7 +267,7 @@
 		if e.Note != "" {
 			name += ". " + e.Note
 		}
-		t.row(name, e.Setting, force, amount(e.Settled, "s"), fmt.Sprint(e.Connections), strings.Join(peaks, "; "), digits(e.Load))
+		t.row(name, e.Setting, force, amount(e.SettledSeconds, "s"), fmt.Sprint(e.Connections), strings.Join(peaks, "; "), digits(e.LoadAverage))
 	}
 	return t.String()
 }
@@ -278,21 +278,21 @@
 	three := func(v [3]float64) string {
 		return fmt.Sprintf("%s, %s, %s", amount(v[0], "s"), amount(v[1], "s"), amount(v[2], "s"))
 	}
-	for _, a := range d.Added {
+	for _, a := range d.AddedLatency {
 		added := func(k int) string {
-			return fmt.Sprintf("%s (%s to %s)", amount(a.Through[k]-a.Straight[k], "s"), amount(a.Least[k], "s"), amount(a.Most[k], "s"))
+			return fmt.Sprintf("%s (%s to %s)", amount(a.Proxied[k]-a.Direct[k], "s"), amount(a.MinAdded[k], "s"), amount(a.MaxAdded[k], "s"))
 		}
-		t.row(fmt.Sprintf("%s, %d rounds of %d calls", a.Name, a.Rounds, a.Calls), digits(a.Rate), three(a.Straight),
-			three(a.Through), added(0), added(1), added(2),
-			fmt.Sprint(a.Failed), digits(a.Load))
+		t.row(fmt.Sprintf("%s, %d rounds of %d calls", a.Name, a.Rounds, a.Calls), digits(a.Rate), three(a.Direct),
+			three(a.Proxied), added(0), added(1), added(2),
+			fmt.Sprint(a.Failed), digits(a.LoadAverage))
 	}
 	return t.String()
 }
 
 func (d *Data) likenessTable() string {
 	t := newTable("kind", "real, of a proxy", "hollow", "off")
-	for _, l := range d.Likeness {
-		t.row(l.Kind, digits(l.Real), digits(l.Hollow), fmt.Sprintf("%+.1f%%", 100*l.Off()))
+	for _, l := range d.Comparisons {
+		t.row(l.Kind, digits(l.Real), digits(l.InProcess), fmt.Sprintf("%+.1f%%", 100*l.RelativeDifference()))
 	}
 	return t.String()
 }
@@ -310,15 +310,15 @@
 		}
 	}
 	whole := string(WholeList) + " list"
-	add(d.find(roleProxy, listWhole, Proxies, whole))
-	add(d.find(roleDiscovery, "all ask for whole lists, out, bytes", Proxies, whole))
-	add(d.find(roleDiscovery, "all ask for whole lists, processor time, s", Proxies, whole))
+	add(d.find(roleProxy, listWhole, ByProxies, whole))
+	add(d.find(roleDiscovery, "all ask for whole lists, out, bytes", ByProxies, whole))
+	add(d.find(roleDiscovery, "all ask for whole lists, processor time, s", ByProxies, whole))
 	for i, s := range d.Series {
 		if s.Role == roleHollow {
 			add(&d.Series[i])
 		}
 	}
-	add(d.find(roleProxy, "a change of configuration, in force, last, s", Proxies, controlSetting(d.Sizes.ControlMachines)))
+	add(d.find(roleProxy, "a change of configuration, in force, last, s", ByProxies, controlSetting(d.Sizes.ControlMachines)))
 	return series
 }
 
@@ -332,8 +332,8 @@
 				off = fmt.Sprintf("%+.0f%%", 100*p.Error())
 			}
 		}
-		t.row(s.Role+", "+s.Figure, s.Setting, fmt.Sprintf("%s of %s", s.Fit.Law, s.Against),
-			amount(s.Fit.Relative, "part of a core"), predicted, measured, off)
+		t.row(s.Role+", "+s.Figure, s.Setting, fmt.Sprintf("%s of %s", s.Fit.Model, s.Variable),
+			amount(s.Fit.RelativeResidual, "part of a core"), predicted, measured, off)
 	}
 	return t.String()
 }
@@ -345,8 +345,8 @@
 		for _, p := range s.Points {
 			points = append(points, digits(p.N)+": "+amount(p.Y, s.Unit))
 		}
-		law := string(s.Fit.Law)
-		if s.Fit.Law == fit.None {
+		law := string(s.Fit.Model)
+		if s.Fit.Model == fit.Constant {
 			law += ", " + amount(s.Fit.Intercept, s.Unit)
 		} else {
 			law += fmt.Sprintf(", %s + %s each", amount(s.Fit.Intercept, s.Unit), amount(s.Fit.Slope, s.Unit))
@@ -356,8 +356,8 @@
 			beyond = fmt.Sprintf("%s: %s, %s, %+.0f%%", digits(p.N), amount(p.Predicted, s.Unit), amount(p.Measured, s.Unit),
 				100*p.Error())
 		}
-		t.row(s.Role, s.Figure, string(s.Against)+", "+s.Setting, strings.Join(points, "; "), law,
-			amount(s.Fit.Relative, "part of a core"), beyond)
+		t.row(s.Role, s.Figure, string(s.Variable)+", "+s.Setting, strings.Join(points, "; "), law,
+			amount(s.Fit.RelativeResidual, "part of a core"), beyond)
 	}
 	return t.String()
 }
--- a/internal/scale/page_test.go
+++ b/internal/scale/page_test.go
@@ -31,32 +31,32 @@
 	if page != string(text) {
 		t.Error("docs/CAPACITY.md differs from docs/capacity.json: run sandlab scale report docs/capacity.json --page docs/CAPACITY.md")
 	}
-	for _, name := range data.NotListed(string(text)) {
+	for _, name := range data.UnlistedOverBudget(string(text)) {
 		t.Errorf("%s is over its budget and not listed as open", name)
 	}
-	for _, l := range Unlike(data.Likeness) {
-		t.Errorf("%s: hollow proxies are not like real ones, %+.1f%%", l.Kind, 100*l.Off())
+	for _, l := range OutsideTolerance(data.Comparisons) {
+		t.Errorf("%s: hollow proxies are not like real ones, %+.1f%%", l.Kind, 100*l.RelativeDifference())
 	}
 }
 
 // overBudget is data of a fleet whose siblings say more than they may.
 func overBudget() *Data {
 	return &Data{Sizes: fleet.Default(), Series: []Series{{Role: roleProxy, Figure: siblingBytes, Unit: "bytes/s",
-		Against: Calls, Setting: "6 siblings",
-		Points: []fit.Point{{N: 157, Y: 23_000}}, Fit: fit.Fit{Law: fit.Linear, Slope: 147}}}}
+		Variable: ByCallRate, Setting: "6 siblings",
+		Points: []fit.Point{{N: 157, Y: 23_000}}, Fit: fit.Fit{Model: fit.Linear, Slope: 147}}}}
 }
 
 func TestATotalOverItsBudgetHasToBeListed(t *testing.T) {
 	const name = "proxy beside a backend, bytes a second, both ways"
 	data := overBudget()
-	if missing := data.NotListed("# Page\n\n## Open\n\nNothing.\n\n## Next\n\n" + name); len(missing) == 0 || missing[0] != name {
+	if missing := data.UnlistedOverBudget("# Page\n\n## Open\n\nNothing.\n\n## Next\n\n" + name); len(missing) == 0 || missing[0] != name {
 		t.Errorf("%q", missing)
 	}
 	listed := "\n## Open\n"
-	for _, total := range data.Over() {
+	for _, total := range data.OverBudget() {
 		listed += "- " + total.Name() + "\n"
 	}
-	if missing := data.NotListed(listed); len(missing) != 0 {
+	if missing := data.UnlistedOverBudget(listed); len(missing) != 0 {
 		t.Errorf("%q", missing)
 	}
 }
--- a/internal/scale/relays.go
+++ b/internal/scale/relays.go
@@ -12,21 +12,21 @@
 type relays struct {
 	plan      Plan
 	addresses addresses
-	pairs     map[[2]int]*faultnet.Pair // by the fleet's indexes, the smaller first
+	pairs     map[[2]int]*faultnet.DatagramForwarder // by the fleet's indexes, the smaller first
 }
 
 func newRelays(plan Plan, a addresses) (*relays, error) {
-	r := &relays{plan: plan, addresses: a, pairs: map[[2]int]*faultnet.Pair{}}
+	r := &relays{plan: plan, addresses: a, pairs: map[[2]int]*faultnet.DatagramForwarder{}}
 	if !plan.Peers {
 		return r, nil
 	}
-	for i := range max(plan.Real, plan.Counted) {
+	for i := range max(plan.RealProxies, plan.CountedProxies) {
 		members, _ := siblings(plan.Fleet, i)
 		for _, k := range members {
-			if k >= max(plan.Real, plan.Counted) || k <= i {
+			if k >= max(plan.RealProxies, plan.CountedProxies) || k <= i {
 				continue
 			}
-			pair, err := faultnet.NewPair(netip.MustParseAddrPort(a.at(i, siblingPort)), netip.MustParseAddrPort(a.at(k, siblingPort)),
+			pair, err := faultnet.NewDatagramForwarder(netip.MustParseAddrPort(a.at(i, siblingPort)), netip.MustParseAddrPort(a.at(k, siblingPort)),
 				plan.Fleet.Sizes.Seed+uint64(i*len(plan.Fleet.Proxies)+k))
 			if err != nil {
 				r.close()
@@ -44,8 +44,8 @@
 	for _, k := range members {
 		text := r.addresses.at(k, siblingPort)
 		if pair := r.pairs[[2]int{min(i, k), max(i, k)}]; pair != nil && k != i {
-			if text = pair.ForLeft(); k < i {
-				text = pair.ForRight()
+			if text = pair.AddrForLeft(); k < i {
+				text = pair.AddrForRight()
 			}
 		}
 		texts = append(texts, text)
@@ -55,12 +55,12 @@
 
 // traffic is what each counted proxy has said to siblings and heard from them.
 func (r *relays) traffic() []meter.Traffic {
-	all := make([]meter.Traffic, max(r.plan.Real, r.plan.Counted))
+	all := make([]meter.Traffic, max(r.plan.RealProxies, r.plan.CountedProxies))
 	for ends, pair := range r.pairs {
-		there, back := pair.Carried()
+		there, back := pair.Delivered()
 		left := meter.Traffic{BytesOut: there.Bytes, MessagesOut: there.Messages, BytesIn: back.Bytes, MessagesIn: back.Messages}
 		all[ends[0]] = all[ends[0]].Plus(left)
-		all[ends[1]] = all[ends[1]].Plus(left.Flipped())
+		all[ends[1]] = all[ends[1]].Plus(left.Reversed())
 	}
 	return all
 }
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -36,18 +36,18 @@
 
 // Plan says what a rig has.
 type Plan struct {
-	Real     int // proxies that are real processes: the first ones of the fleet
-	Fleet    *fleet.Fleet
-	Lists    Lists
-	Peers    bool                // siblings have each other's addresses
-	Counted  int                 // proxies, the first ones, whose messages to siblings are counted; no fewer than the real ones
-	Group    func(proxy int) int // of hollow proxies, each a process: 0 and up without a gap; nil for one
-	Defect   bool                // for tests: hollow ones skip their work
-	Replicas int                 // of control; 0 for no control at all
+	RealProxies    int // proxies that are real processes: the first ones of the fleet
+	Fleet          *fleet.Fleet
+	ListScope      ListScope
+	Peers          bool                // siblings have each other's addresses
+	CountedProxies int                 // proxies, the first ones, whose messages to siblings are counted; no fewer than the real ones
+	Group          func(proxy int) int // of hollow proxies, each a process: 0 and up without a gap; nil for one
+	SeedDefect     bool                // for tests: hollow ones skip their work
+	Replicas       int                 // of control; 0 for no control at all
 }
 
 // Rig is a fleet that runs.
-type Rig struct {
+type Deployment struct {
 	plan       Plan
 	programs   Programs
 	addresses  addresses
@@ -73,21 +73,21 @@
 }
 
 // ErrOver says that a run would take more of the machine than it may.
-var ErrOver = errors.New("the run would go over what it may take of the machine")
+var ErrResourceLimit = errors.New("the run would go over what it may take of the machine")
 
 // Open starts all of a plan and waits until each proxy has its list. The context that it returns ends when the run goes
 // over its part of the machine, with the cause.
-func Open(ctx context.Context, plan Plan, programs Programs) (*Rig, context.Context, error) {
+func Deploy(ctx context.Context, plan Plan, programs Programs) (*Deployment, context.Context, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	r := &Rig{plan: plan, programs: programs, servers: map[int]*server{}, cancel: cancel, watched: make(chan struct{})}
-	if n := plan.Real + plan.Replicas + 4; n > mostProcesses {
+	r := &Deployment{plan: plan, programs: programs, servers: map[int]*server{}, cancel: cancel, watched: make(chan struct{})}
+	if n := plan.RealProxies + plan.Replicas + 4; n > mostProcesses {
 		cancel(nil)
-		return nil, ctx, fmt.Errorf("%w: %d processes, %d are allowed", ErrOver, n, mostProcesses)
+		return nil, ctx, fmt.Errorf("%w: %d processes, %d are allowed", ErrResourceLimit, n, mostProcesses)
 	}
 	go r.watch(ctx)
 	if err := r.open(ctx); err != nil {
 		r.Close()
-		if cause := context.Cause(ctx); errors.Is(cause, ErrOver) {
+		if cause := context.Cause(ctx); errors.Is(cause, ErrResourceLimit) {
 			err = cause
 		}
 		return nil, ctx, err
@@ -95,7 +95,7 @@
 	return r, ctx, nil
 }
 
-func (r *Rig) open(ctx context.Context) (err error) {
+func (r *Deployment) open(ctx context.Context) (err error) {
 	if r.directory, err = os.MkdirTemp("", "sandlab-scale-"); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	if err := r.startHollow(); err != nil {
 		return err
 	}
-	for i := range r.plan.Real {
+	for i := range r.plan.RealProxies {
 		if err := r.startReal(i); err != nil {
 			return err
 		}
@@ -127,7 +127,7 @@
 			return err
 		}
 	}
-	if r.plan.Defect {
+	if r.plan.SeedDefect {
 		return nil // hollow ones have nothing to wait for
 	}
 	if err := r.awaitWatching(ctx, nil); err != nil || r.control == nil {
@@ -137,7 +137,7 @@
 }
 
 // startControl starts the replicas, where the plan has any.
-func (r *Rig) startControl() error {
+func (r *Deployment) startControl() error {
 	if r.plan.Replicas == 0 {
 		return nil
 	}
@@ -159,7 +159,7 @@
 }
 
 // operatorFile is the path of the operators' file of a proxy, empty where there is no control.
-func (r *Rig) operatorFile(i int) (string, error) {
+func (r *Deployment) operatorFile(i int) (string, error) {
 	if r.control == nil {
 		return "", nil
 	}
@@ -178,7 +178,7 @@
 	return addresses{}, nil, errors.New("no part of the loopback network is free")
 }
 
-func (r *Rig) launchHelper(role helper.Role) (*helper.Process, error) {
+func (r *Deployment) launchHelper(role helper.Role) (*helper.Process, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -188,9 +188,9 @@
 }
 
 // discover is the lists and agents of the plan.
-func (r *Rig) discover() *helper.Discover {
+func (r *Deployment) discover() *helper.Discover {
 	f, d := r.plan.Fleet, &helper.Discover{}
-	if r.plan.Lists == WholeList {
+	if r.plan.ListScope == WholeList {
 		d.Lists = make([][]standin.Endpoint, 1)
 	} else {
 		d.Lists = make([][]standin.Endpoint, len(f.Services))
@@ -198,19 +198,19 @@
 	for i, p := range f.Proxies {
 		list := r.listOf(p.Service)
 		d.Lists[list] = append(d.Lists[list], endpoint(f, r.addresses, i, "ready"))
-		d.Agents = append(d.Agents, helper.Agent{Address: r.addresses.at(i, agentPort), List: r.listOf(p.Target)})
+		d.Agents = append(d.Agents, helper.Agent{Address: r.addresses.at(i, agentPort), List: r.listOf(p.TargetService)})
 	}
 	return d
 }
 
-func (r *Rig) listOf(service int) int {
-	if r.plan.Lists == WholeList {
+func (r *Deployment) listOf(service int) int {
+	if r.plan.ListScope == WholeList {
 		return 0
 	}
 	return service
 }
 
-func (r *Rig) launch(i int) launch {
+func (r *Deployment) launch(i int) launch {
 	if !r.plan.Peers {
 		return launchOf(r.plan.Fleet, r.addresses, i, nil, 0)
 	}
@@ -218,9 +218,9 @@
 	return launchOf(r.plan.Fleet, r.addresses, i, peers, place)
 }
 
-func (r *Rig) startHollow() error {
+func (r *Deployment) startHollow() error {
 	var members [][]int
-	for i := r.plan.Real; i < len(r.plan.Fleet.Proxies); i++ {
+	for i := r.plan.RealProxies; i < len(r.plan.Fleet.Proxies); i++ {
 		group := 0
 		if r.plan.Group != nil {
 			group = r.plan.Group(i)
@@ -243,8 +243,8 @@
 }
 
 // startGroup starts the process of a group and the proxies in it.
-func (r *Rig) startGroup(group int, members []int) error {
-	process, err := r.launchHelper(helper.Hollow)
+func (r *Deployment) startGroup(group int, members []int) error {
+	process, err := r.launchHelper(helper.InProcess)
 	if err != nil {
 		return err
 	}
@@ -252,31 +252,31 @@
 	r.mu.Lock()
 	r.hollow[group] = g
 	r.mu.Unlock()
-	if _, err = process.Do(helper.Request{Collect: true}); err != nil {
+	if _, err = process.Do(helper.Request{FreeMemory: true}); err != nil {
 		return err
 	}
-	if used, err := meter.Process(process.PID()); err == nil && group == 0 {
-		r.hollowBase = used.Resident
+	if used, err := meter.ProcessUsage(process.PID()); err == nil && group == 0 {
+		r.hollowBase = used.ResidentBytes
 	}
-	start := &helper.Start{Idle: r.plan.Defect}
+	start := &helper.Start{SeedDefect: r.plan.SeedDefect}
 	for _, i := range members {
 		text, err := r.launch(i).text()
 		if err != nil {
 			return err
 		}
-		start.Launches = append(start.Launches, text)
+		start.Configs = append(start.Configs, text)
 		path, err := r.operatorFile(i)
 		if err != nil {
 			return err
 		}
-		start.Operators = append(start.Operators, path)
+		start.OperatorFiles = append(start.OperatorFiles, path)
 	}
 	_, err = process.Do(helper.Request{Start: start})
 	return err
 }
 
 // endGroup ends the process of a group with all proxies in it, as SIGTERM does or at once, and gives which they were.
-func (r *Rig) endGroup(group int, planned bool) ([]int, error) {
+func (r *Deployment) endGroup(group int, planned bool) ([]int, error) {
 	r.mu.Lock()
 	g := r.hollow[group]
 	r.hollow[group] = nil
@@ -297,7 +297,7 @@
 	return all
 }
 
-func (r *Rig) startReal(i int) error {
+func (r *Deployment) startReal(i int) error {
 	operator, err := r.operatorFile(i)
 	if err != nil {
 		return err
@@ -315,7 +315,7 @@
 }
 
 // awaitWatching waits until each proxy has an open watch with the whole list, for which it asked after the traffic given.
-func (r *Rig) awaitWatching(ctx context.Context, since []meter.Traffic) error {
+func (r *Deployment) awaitWatching(ctx context.Context, since []meter.Traffic) error {
 	deadline := time.Now().Add(settledWithin)
 	for {
 		a, err := r.discovery.Do(helper.Request{Traffic: true})
@@ -323,7 +323,7 @@
 			return err
 		}
 		missing := 0
-		for i, watching := range a.Watching {
+		for i, watching := range a.OpenWatches {
 			if watching == 0 || since != nil && a.Traffic[i].MessagesIn <= since[i].MessagesOut {
 				missing++
 			}
@@ -332,7 +332,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d proxies do not have their list after %v", missing, len(a.Watching), settledWithin)
+			return fmt.Errorf("%d of %d proxies do not have their list after %v", missing, len(a.OpenWatches), settledWithin)
 		}
 		if err := pause(ctx, lookEvery); err != nil {
 			return err
@@ -341,19 +341,19 @@
 }
 
 // traffic is what each proxy has read and written to discovery, as the proxy sees it.
-func (r *Rig) traffic() ([]meter.Traffic, error) {
+func (r *Deployment) traffic() ([]meter.Traffic, error) {
 	a, err := r.discovery.Do(helper.Request{Traffic: true})
 	if err != nil {
 		return nil, err
 	}
 	for i := range a.Traffic {
-		a.Traffic[i] = a.Traffic[i].Flipped()
+		a.Traffic[i] = a.Traffic[i].Reversed()
 	}
 	return a.Traffic, nil
 }
 
 // change tells a new state of some backends.
-func (r *Rig) change(proxies []int, status string) error {
+func (r *Deployment) change(proxies []int, status string) error {
 	byList := map[int][]standin.Endpoint{}
 	for _, i := range proxies {
 		list := r.listOf(r.plan.Fleet.Proxies[i].Service)
@@ -368,7 +368,7 @@
 }
 
 // reload has proxies turn to other configurations, and gives the seconds until each was in force.
-func (r *Rig) reload(ctx context.Context, turn func(l *launch)) ([]float64, error) {
+func (r *Deployment) reload(ctx context.Context, turn func(l *launch)) ([]float64, error) {
 	begun := time.Now()
 	var took []float64
 	before := map[int]int{}
@@ -411,7 +411,7 @@
 }
 
 // reloadGroup has the hollow proxies of a group turn to other configurations.
-func (r *Rig) reloadGroup(g *hollowGroup, begun time.Time, turn func(l *launch)) ([]float64, error) {
+func (r *Deployment) reloadGroup(g *hollowGroup, begun time.Time, turn func(l *launch)) ([]float64, error) {
 	order := &helper.Reload{}
 	for n, i := range g.members {
 		l := r.launch(i)
@@ -420,21 +420,21 @@
 		if err != nil {
 			return nil, err
 		}
-		order.Proxies, order.Launches = append(order.Proxies, n), append(order.Launches, text)
+		order.Proxies, order.Configs = append(order.Proxies, n), append(order.Configs, text)
 	}
 	a, err := g.process.Do(helper.Request{Reload: order})
 	if err != nil {
 		return nil, err
 	}
 	var took []float64
-	for _, at := range a.InForce {
+	for _, at := range a.AppliedAt {
 		took = append(took, at-float64(begun.UnixNano())/1e9)
 	}
 	return took, nil
 }
 
 // processes are the numbers of all that was started, by role.
-func (r *Rig) processes() map[string][]int {
+func (r *Deployment) processes() map[string][]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := map[string][]int{}
@@ -469,7 +469,7 @@
 }
 
 // watch ends the run where it goes over its part of the machine.
-func (r *Rig) watch(ctx context.Context) {
+func (r *Deployment) watch(ctx context.Context) {
 	defer close(r.watched)
 	for pause(ctx, watchEvery) == nil {
 		memory, count := 0.0, 1
@@ -479,11 +479,11 @@
 			count += len(of)
 		}
 		for _, pid := range pids {
-			used, _ := meter.Process(pid) // one that has just ended has nothing
-			memory += used.Resident
+			used, _ := meter.ProcessUsage(pid) // one that has just ended has nothing
+			memory += used.ResidentBytes
 		}
 		if memory > mostMemory || count > mostProcesses {
-			r.cancel(fmt.Errorf("%w: %.1f GB in %d processes, %.0f GB and %d are allowed", ErrOver, memory/1e9, count,
+			r.cancel(fmt.Errorf("%w: %.1f GB in %d processes, %.0f GB and %d are allowed", ErrResourceLimit, memory/1e9, count,
 				mostMemory/1e9, mostProcesses))
 			return
 		}
@@ -491,7 +491,7 @@
 }
 
 // Close ends all that was started.
-func (r *Rig) Close() {
+func (r *Deployment) Close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
--- a/internal/scale/samples.go
+++ b/internal/scale/samples.go
@@ -18,11 +18,11 @@
 // usage is what the processes of each role have used: each of them.
 type usage map[string][]meter.Usage
 
-func (r *Rig) usage() usage {
+func (r *Deployment) usage() usage {
 	all := usage{}
 	for role, pids := range r.processes() {
 		for _, pid := range pids {
-			used, _ := meter.Process(pid) // one that has ended has used nothing since
+			used, _ := meter.ProcessUsage(pid) // one that has ended has used nothing since
 			all[role] = append(all[role], used)
 		}
 	}
@@ -36,7 +36,7 @@
 	}
 	sum := 0.0
 	for i := range u[role] {
-		sum += u[role][i].CPU - before[role][i].CPU
+		sum += u[role][i].CPUSeconds - before[role][i].CPUSeconds
 	}
 	return sum / seconds / float64(len(u[role]))
 }
@@ -45,7 +45,7 @@
 func (u usage) resident(role string) float64 {
 	sum := 0.0
 	for _, used := range u[role] {
-		sum += used.Resident / float64(len(u[role]))
+		sum += used.ResidentBytes / float64(len(u[role]))
 	}
 	return sum
 }
@@ -58,7 +58,7 @@
 }
 
 // during measures what happens while something is done.
-func (r *Rig) during(do func() error) (*span, error) {
+func (r *Deployment) during(do func() error) (*span, error) {
 	traffic, err := r.traffic()
 	if err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 }
 
 // restart takes backends out of the list one after another and puts them back, at a rate.
-func (r *Rig) restart(ctx context.Context, restarts int, perSecond float64) error {
+func (r *Deployment) restart(ctx context.Context, restarts int, perSecond float64) error {
 	const states = 3
 	step := time.Duration(float64(time.Second) / perSecond / states)
 	for k := range restarts {
@@ -166,14 +166,14 @@
 }
 
 // breakAll closes all watches at once and waits until each proxy has its list again; it gives the seconds.
-func (r *Rig) breakAll(ctx context.Context) (float64, error) {
+func (r *Deployment) breakAll(ctx context.Context) (float64, error) {
 	all := everyProxy(r.plan.Fleet)
 	before, err := r.traffic()
 	if err != nil {
 		return 0, err
 	}
 	begun := time.Now()
-	if _, err := r.discovery.Do(helper.Request{Break: all}); err != nil {
+	if _, err := r.discovery.Do(helper.Request{CloseConnections: all}); err != nil {
 		return 0, err
 	}
 	err = r.awaitWatching(ctx, before)
@@ -189,7 +189,7 @@
 		}
 	}
 	var err error
-	if s.Fit, err = fit.Of(inside); err != nil {
+	if s.Fit, err = fit.Best(inside); err != nil {
 		return s, err
 	}
 	if last := s.Points[len(s.Points)-1]; last.N > fitUpTo {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -49,41 +49,41 @@
 	return Programs{Proxy: []string{sandpassProgram, "serve"}, Helper: os.Args[0]}
 }
 
-var smallLikeness = LikenessOptions{Each: 6, Restarts: 12, RestartsEach: 6, CallsEach: 100, CallSeconds: 5,
-	Rest: 2 * time.Second, Replicas: 3, Changes: 4}
+var smallLikeness = ComparisonOptions{ProxiesEach: 6, Restarts: 12, RestartsPerSecond: 6, CallsPerSecond: 100, CallSeconds: 5,
+	IdleTime: 2 * time.Second, Replicas: 3, Changes: 4}
 
 func TestHollowProxiesAreLikeRealOnes(t *testing.T) {
 	t.Parallel()
-	all, err := Compare(context.Background(), smallLikeness, programs())
+	all, err := CompareInProcess(context.Background(), smallLikeness, programs())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, l := range all {
-		t.Logf("%s: real %.1f, hollow %.1f, %+.1f%%", l.Kind, l.Real, l.Hollow, 100*l.Off())
+		t.Logf("%s: real %.1f, hollow %.1f, %+.1f%%", l.Kind, l.Real, l.InProcess, 100*l.RelativeDifference())
 		if silent := strings.HasPrefix(l.Kind, "list watch, restarts, ") && strings.HasSuffix(l.Kind, " out"); silent != (l.Real == 0) {
 			t.Errorf("%s: %.1f was counted, and only an open watch has nothing to send", l.Kind, l.Real)
 		}
 	}
-	for _, l := range Unlike(all) {
-		t.Errorf("%s: real %.1f, hollow %.1f", l.Kind, l.Real, l.Hollow)
+	for _, l := range OutsideTolerance(all) {
+		t.Errorf("%s: real %.1f, hollow %.1f", l.Kind, l.Real, l.InProcess)
 	}
 }
 
 func TestAHollowProxyThatSkipsItsWorkIsFound(t *testing.T) {
 	t.Parallel()
 	o := smallLikeness
-	o.SkipWork, o.Restarts, o.CallSeconds = true, 3, 0.5
-	all, err := Compare(context.Background(), o, programs())
+	o.SeedDefect, o.Restarts, o.CallSeconds = true, 3, 0.5
+	all, err := CompareInProcess(context.Background(), o, programs())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, l := range all {
-		if l.Real > 0 && len(Unlike([]Likeness{l})) == 0 {
-			t.Errorf("%s: real %.1f, hollow %.1f, where the hollow proxies do nothing", l.Kind, l.Real, l.Hollow)
+		if l.Real > 0 && len(OutsideTolerance([]Comparison{l})) == 0 {
+			t.Errorf("%s: real %.1f, hollow %.1f, where the hollow proxies do nothing", l.Kind, l.Real, l.InProcess)
 		}
 	}
-	if len(Unlike(all)) < 6 {
-		t.Errorf("%d kinds differ where the hollow proxies do nothing", len(Unlike(all)))
+	if len(OutsideTolerance(all)) < 6 {
+		t.Errorf("%d kinds differ where the hollow proxies do nothing", len(OutsideTolerance(all)))
 	}
 }
 
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -11,19 +11,19 @@
 
 // SlopeOptions say at which sizes slopes are measured.
 type SlopeOptions struct {
-	Sizes     fleet.Sizes
-	Counts    []int         // numbers of proxies, rising
-	FitUpTo   int           // larger ones are predicted and then measured
-	Real      int           // of them that are real processes
-	Rest      time.Duration // for which nothing happens
-	Restarts  int           // of backends, at PerSecond
-	PerSecond float64
-	Lists     []Lists
+	Sizes             fleet.Sizes
+	ProxyCounts       []int         // numbers of proxies, rising
+	FitUpTo           int           // larger ones are predicted and then measured
+	RealProxies       int           // of them that are real processes
+	IdleTime          time.Duration // for which nothing happens
+	Restarts          int           // of backends, at PerSecond
+	RestartsPerSecond float64
+	ListScopes        []ListScope
 }
 
 // collector gathers figures of several sizes into series.
 type collector struct {
-	against Against
+	against Variable
 	setting string
 	series  []Series
 }
@@ -41,7 +41,7 @@
 			return &c.series[i]
 		}
 	}
-	c.series = append(c.series, Series{Role: f.role, Figure: name, Unit: f.unit, Against: c.against, Setting: c.setting})
+	c.series = append(c.series, Series{Role: f.role, Figure: name, Unit: f.unit, Variable: c.against, Setting: c.setting})
 	return &c.series[len(c.series)-1]
 }
 
@@ -56,12 +56,12 @@
 }
 
 // Slopes measures how the figures of each role grow with the number of proxies. Progress is told after each size.
-func Slopes(ctx context.Context, o SlopeOptions, programs Programs, progress func(string)) ([]Series, error) {
+func ProxySlopes(ctx context.Context, o SlopeOptions, programs Programs, progress func(string)) ([]Series, error) {
 	var all []Series
-	for _, lists := range o.Lists {
-		c := collector{against: Proxies, setting: string(lists) + " list"}
-		for _, n := range o.Counts {
-			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), Real: min(n, o.Real), Lists: lists, Peers: true}
+	for _, lists := range o.ListScopes {
+		c := collector{against: ByProxies, setting: string(lists) + " list"}
+		for _, n := range o.ProxyCounts {
+			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), RealProxies: min(n, o.RealProxies), ListScope: lists, Peers: true}
 			figures, err := sizeFigures(ctx, o, plan, programs)
 			if err != nil {
 				return nil, fmt.Errorf("%d proxies, %s list: %w", n, lists, err)
@@ -80,7 +80,7 @@
 
 // sizeFigures measures one size: at rest, with restarts, and with all asking at once.
 func sizeFigures(ctx context.Context, o SlopeOptions, plan Plan, programs Programs) ([]figure, error) {
-	r, ctx, err := Open(ctx, plan, programs)
+	r, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
@@ -88,12 +88,12 @@
 	if err := pause(ctx, time.Second); err != nil { // what a start allocates is collected
 		return nil, err
 	}
-	rest, err := r.during(func() error { return pause(ctx, o.Rest) })
+	rest, err := r.during(func() error { return pause(ctx, o.IdleTime) })
 	if err != nil {
 		return nil, err
 	}
-	figures := restFigures(rest, r.hollowBase, len(plan.Fleet.Proxies)-plan.Real)
-	restarts, err := r.during(func() error { return r.restart(ctx, o.Restarts, o.PerSecond) })
+	figures := restFigures(rest, r.hollowBase, len(plan.Fleet.Proxies)-plan.RealProxies)
+	restarts, err := r.during(func() error { return r.restart(ctx, o.Restarts, o.RestartsPerSecond) })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/small_test.go
+++ b/internal/scale/small_test.go
@@ -14,17 +14,17 @@
 // The small run: counts, bytes and laws, none on how fast the machine is.
 func TestLawsOfASmallFleet(t *testing.T) {
 	t.Parallel()
-	o := SlopeOptions{Sizes: fleet.Default(), Counts: []int{8, 16, 32, 64}, FitUpTo: 32, Real: 2, Rest: 2 * time.Second,
-		Restarts: 8, PerSecond: 8,
-		Lists: []Lists{WholeList}}
-	series, err := Slopes(context.Background(), o, programs(), func(string) {})
+	o := SlopeOptions{Sizes: fleet.Default(), ProxyCounts: []int{8, 16, 32, 64}, FitUpTo: 32, RealProxies: 2, IdleTime: 2 * time.Second,
+		Restarts: 8, RestartsPerSecond: 8,
+		ListScopes: []ListScope{WholeList}}
+	series, err := ProxySlopes(context.Background(), o, programs(), func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := Data{Series: series}
 	for _, c := range []struct {
 		role, figure string
-		law          fit.Law
+		law          fit.Model
 		within       float64 // of the measure at twice the size
 	}{
 		{roleProxy, "whole list, in, bytes", fit.Linear, 0.02},
@@ -32,13 +32,13 @@
 		{roleDiscovery, "all ask for whole lists, out, bytes", fit.Square, 0.05},
 		{roleDiscovery, "all ask for whole lists, connections, connections", fit.Linear, 0.001},
 	} {
-		s := d.find(c.role, c.figure, Proxies, "whole list")
+		s := d.find(c.role, c.figure, ByProxies, "whole list")
 		if s == nil {
 			t.Errorf("%s was not measured", c.figure)
 			continue
 		}
-		if s.Fit.Law != c.law {
-			t.Errorf("%s grows with %s, not with %s: %v", c.figure, s.Fit.Law, c.law, s.Points)
+		if s.Fit.Model != c.law {
+			t.Errorf("%s grows with %s, not with %s: %v", c.figure, s.Fit.Model, c.law, s.Points)
 		}
 		if off := s.Predicted.Error(); off > c.within || off < -c.within {
 			t.Errorf("%s: %.0f was predicted and %.0f measured", c.figure, s.Predicted.Predicted, s.Predicted.Measured)
@@ -49,9 +49,9 @@
 func TestEventsOfASmallFleet(t *testing.T) {
 	t.Parallel()
 	sizes := fleet.Default().ScaledTo(33)
-	o := EventOptions{Sizes: sizes, Real: 2, Lists: WholeList, Burst: 3, BurstIn: time.Second, Restarts: 8, Batch: 4,
-		Silence: 4 * time.Second, Cut: 4 * time.Second}
-	events, err := Events(context.Background(), o, programs(), func(what string) { t.Log(what) })
+	o := EventOptions{Sizes: sizes, RealProxies: 2, ListScope: WholeList, Burst: 3, BurstWindow: time.Second, Restarts: 8, RestartBatch: 4,
+		DiscoveryOutage: 4 * time.Second, RegionOutage: 4 * time.Second}
+	events, err := RunEvents(context.Background(), o, programs(), func(what string) { t.Log(what) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,14 +65,14 @@
 	if last.Connections < 33 {
 		t.Errorf("%d connections after the silence of all 33 agents", last.Connections)
 	}
-	if whole := float64(33 * 142); last.Peaks[0].Total < whole {
-		t.Errorf("%.0f bytes at a proxy that had the whole list anew", last.Peaks[0].Total)
+	if whole := float64(33 * 142); last.Peaks[0].TotalBytes < whole {
+		t.Errorf("%.0f bytes at a proxy that had the whole list anew", last.Peaks[0].TotalBytes)
 	}
 }
 
 func TestARunThatIsTooLargeIsRefused(t *testing.T) {
-	plan := Plan{Fleet: fleet.Generate(fleet.Default()), Real: mostProcesses, Lists: ServiceList}
-	if _, _, err := Open(context.Background(), plan, programs()); !errors.Is(err, ErrOver) {
+	plan := Plan{Fleet: fleet.Generate(fleet.Default()), RealProxies: mostProcesses, ListScope: ServiceList}
+	if _, _, err := Deploy(context.Background(), plan, programs()); !errors.Is(err, ErrResourceLimit) {
 		t.Errorf("%v", err)
 	}
 }
@@ -80,8 +80,8 @@
 func TestAnInterruptedRunLeavesNothing(t *testing.T) {
 	t.Parallel()
 	ctx, interrupt := context.WithCancel(context.Background())
-	plan := Plan{Fleet: fleet.Generate(fleet.Default().ScaledTo(12)), Real: 2, Lists: ServiceList}
-	r, running, err := Open(ctx, plan, programs())
+	plan := Plan{Fleet: fleet.Generate(fleet.Default().ScaledTo(12)), RealProxies: 2, ListScope: ServiceList}
+	r, running, err := Deploy(ctx, plan, programs())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,8 +105,8 @@
 
 func TestCallsGoThroughAChain(t *testing.T) {
 	t.Parallel()
-	o := AddedOptions{Rates: []float64{50}, ChainRate: 50, Depth: 4, Connections: 2, Seconds: 1, Rounds: 1}
-	all, err := MeasureAdded(context.Background(), o, programs(), func(string) {})
+	o := AddedLatencyOptions{Rates: []float64{50}, ChainRate: 50, Depth: 4, Connections: 2, Seconds: 1, Rounds: 1}
+	all, err := MeasureAddedLatency(context.Background(), o, programs(), func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/standin/backend.go
+++ b/internal/scale/standin/backend.go
@@ -11,11 +11,11 @@
 // Backend answers each call at once; one with Next makes a call of its own first, and answers when that is answered.
 type Backend struct {
 	listener net.Listener
-	next     func() (Nested, error)
+	next     func() (NestedCaller, error)
 }
 
 // Nested is the call that a backend makes for each call that it gets.
-type Nested interface {
+type NestedCaller interface {
 	Once() error
 	Close()
 }
@@ -28,7 +28,7 @@
 
 // NewBackend serves at an address until it is closed. next, which may be nil, opens the connection that the calls of one
 // incoming connection go on over.
-func NewBackend(address string, next func() (Nested, error)) (*Backend, error) {
+func NewBackend(address string, next func() (NestedCaller, error)) (*Backend, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 
 func (b *Backend) serve(c net.Conn) {
 	defer c.Close()
-	var nested Nested
+	var nested NestedCaller
 	if b.next != nil {
 		var err error
 		if nested, err = b.next(); err != nil {
--- a/internal/scale/standin/discovery.go
+++ b/internal/scale/standin/discovery.go
@@ -163,7 +163,7 @@
 }
 
 // Change adds entries to a list; each agent of it tells them.
-func (d *Discovery) Change(list int, endpoints []Endpoint) error {
+func (d *Discovery) Update(list int, endpoints []Endpoint) error {
 	if list < 0 || list >= len(d.lists) {
 		return fmt.Errorf("list %d is not one of %d", list, len(d.lists))
 	}
@@ -172,7 +172,7 @@
 }
 
 // Silence has agents say nothing, heartbeats included, or speak again.
-func (d *Discovery) Silence(agents []int, on bool) {
+func (d *Discovery) SetSilent(agents []int, on bool) {
 	for _, i := range agents {
 		d.agents[i].silence(on)
 	}
@@ -201,7 +201,7 @@
 }
 
 // Break closes all connections of some agents, as an agent does that starts anew.
-func (d *Discovery) Break(agents []int) {
+func (d *Discovery) CloseConnections(agents []int) {
 	for _, i := range agents {
 		a := d.agents[i]
 		a.mu.Lock()
@@ -243,7 +243,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	a.counter.In(0, 1)
+	a.counter.AddRead(0, 1)
 	watch := watch{discovery: d, agent: a, writer: w, flush: http.NewResponseController(w).Flush, done: r.Context().Done()}
 	follow := r.URL.Query().Get("follow") == "1"
 	index, whole := 0, true
@@ -299,6 +299,6 @@
 	if _, err := w.writer.Write(text); err != nil {
 		return err
 	}
-	w.agent.counter.Out(0, 1)
+	w.agent.counter.AddWritten(0, 1)
 	return w.flush()
 }
--- a/internal/scale/standin/standin_test.go
+++ b/internal/scale/standin/standin_test.go
@@ -62,7 +62,7 @@
 	if m := next(t, lines); !m.Snapshot || len(m.Endpoints) != 2 {
 		t.Errorf("%+v", m)
 	}
-	if err := d.Change(0, []Endpoint{{Name: "a", Status: "gone"}}); err != nil {
+	if err := d.Update(0, []Endpoint{{Name: "a", Status: "gone"}}); err != nil {
 		t.Fatal(err)
 	}
 	if m := next(t, lines); m.Snapshot || len(m.Endpoints) != 1 || m.Index != 3 {
@@ -76,14 +76,14 @@
 	if got := traffic[0]; got.MessagesIn != 2 || got.MessagesOut < 3 || got.BytesIn == 0 || got.BytesOut == 0 {
 		t.Errorf("%+v", got)
 	}
-	if err := d.Change(1, nil); err == nil {
+	if err := d.Update(1, nil); err == nil {
 		t.Error("a list that is not there was changed")
 	}
 }
 
 func TestASilentAgentAnswersWhenItSpeaksAgain(t *testing.T) {
 	d, addresses := started(t, 2)
-	d.Silence([]int{0}, true)
+	d.SetSilent([]int{0}, true)
 	_, other := follow(t, addresses[1])
 	next(t, other) // the other one is not silent
 	_, lines := follow(t, addresses[0])
@@ -93,7 +93,7 @@
 	if traffic, watching := d.Traffic(); traffic[0].BytesOut != 0 || watching[0] != 0 {
 		t.Errorf("%+v, %v", traffic, watching)
 	}
-	d.Silence([]int{0}, false)
+	d.SetSilent([]int{0}, false)
 	if m := next(t, lines); !m.Snapshot {
 		t.Errorf("%+v", m)
 	}
@@ -103,7 +103,7 @@
 	d, addresses := started(t, 1)
 	_, lines := follow(t, addresses[0])
 	next(t, lines)
-	d.Break([]int{0})
+	d.CloseConnections([]int{0})
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "{") {
 			t.Errorf("%s came after the break", lines.Text())
@@ -119,7 +119,7 @@
 
 func TestABackendGoesOnBeforeItAnswers(t *testing.T) {
 	var next chained
-	b, err := NewBackend("127.0.0.1:0", func() (Nested, error) { return &next, nil })
+	b, err := NewBackend("127.0.0.1:0", func() (NestedCaller, error) { return &next, nil })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/totals.go
+++ b/internal/scale/totals.go
@@ -13,12 +13,12 @@
 const (
 	Measured  Origin = "m" // in the run, at this size
 	Predicted Origin = "p" // by the law that was fitted
-	WorkedOut Origin = "w" // by arithmetic from measured slopes
+	Derived   Origin = "w" // by arithmetic from measured slopes
 	Assumed   Origin = "a"
 )
 
 // Missing stands where no package carries something.
-const Missing = "**missing**"
+const MissingMechanism = "**missing**"
 
 const secondsOfDay = 86_400
 
@@ -33,13 +33,13 @@
 
 // Total is all that a role takes of one thing, with the budget.
 type Total struct {
-	Role, Of, Unit string
-	Budget         float64 // 0: none is stated
-	Terms          []Term
+	Role, Resource, Unit string
+	Budget               float64 // 0: none is stated
+	Terms                []Term
 }
 
 // Name is the one under which the page lists it as open.
-func (t Total) Name() string { return t.Role + ", " + t.Of }
+func (t Total) Name() string { return t.Role + ", " + t.Resource }
 
 // At is the sum at a number of proxies.
 func (t Total) At(proxies float64) (sum float64) {
@@ -50,7 +50,7 @@
 }
 
 // Over tells whether it is over its budget.
-func (t Total) Over(proxies float64) bool { return t.Budget > 0 && t.At(proxies) > t.Budget }
+func (t Total) OverBudget(proxies float64) bool { return t.Budget > 0 && t.At(proxies) > t.Budget }
 
 // figures of series that totals are made of.
 const (
@@ -89,7 +89,7 @@
 
 // proxies is the series of a figure against the number of proxies.
 func (c calculator) proxies(role, name, setting string) *Series {
-	return c.data.find(role, name, Proxies, setting)
+	return c.data.find(role, name, ByProxies, setting)
 }
 
 func (c calculator) controlSetting() string {
@@ -99,7 +99,7 @@
 // calls is the series of a figure against calls a second.
 func (c calculator) calls(name string) *Series {
 	for i, s := range c.data.Series {
-		if s.Role == roleProxy && s.Figure == name && s.Against == Calls {
+		if s.Role == roleProxy && s.Figure == name && s.Variable == ByCallRate {
 			return &c.data.Series[i]
 		}
 	}
@@ -109,7 +109,7 @@
 // term is a part that goes by a series over proxies, times a factor that may go by them as well.
 func term(name, mechanism string, origin Origin, s *Series, factor func(n float64) float64) Term {
 	if s == nil {
-		return Term{Name: name, Mechanism: Missing, Origin: Measured, At: func(float64) float64 { return 0 }}
+		return Term{Name: name, Mechanism: MissingMechanism, Origin: Measured, At: func(float64) float64 { return 0 }}
 	}
 	return Term{Name: name, Mechanism: mechanism, Origin: origin, Series: s,
 		At: func(n float64) float64 { return factor(n) * value(s, n) }}
@@ -143,9 +143,9 @@
 // byCalls is a part that goes by the calls at a proxy, not by the number of proxies.
 func byCalls(name, mechanism string, s *Series, calls, times float64) Term {
 	if s == nil {
-		return Term{Name: name, Mechanism: Missing, At: func(float64) float64 { return 0 }}
+		return Term{Name: name, Mechanism: MissingMechanism, At: func(float64) float64 { return 0 }}
 	}
-	origin := WorkedOut
+	origin := Derived
 	for _, p := range s.Points {
 		if p.N == calls {
 			origin = Measured
@@ -164,38 +164,38 @@
 
 // ofProxy are the totals of a proxy with so many calls a second, whose list is a service's.
 func (c calculator) ofProxy(role string, calls float64) []Total {
-	budget := fleet.Operators
+	budget := fleet.OperatorBudget
 	service := string(ServiceList) + " list"
 	whole := string(WholeList) + " list"
 	control := c.controlSetting()
-	traffic := Total{Role: role, Of: "bytes a second, both ways", Unit: "bytes/s", Budget: budget.ProxyTraffic, Terms: []Term{
+	traffic := Total{Role: role, Resource: "bytes a second, both ways", Unit: "bytes/s", Budget: budget.ProxyTraffic, Terms: []Term{
 		term("list watch, heartbeats", listMechanism, Measured, c.proxies(roleProxy, listRest, service), once),
-		term("list watch, backends that restart, one whole list of the fleet", listMechanism, WorkedOut,
+		term("list watch, backends that restart, one whole list of the fleet", listMechanism, Derived,
 			c.proxies(roleProxy, listRestarts, whole), c.restartsASecond),
 		byCalls("siblings' messages, with IP and UDP headers", siblingMechanism, c.calls(siblingBytes), calls, 2),
 		term("configuration watch, heartbeats in", configMechanism, Measured, c.proxies(roleProxy, configRestIn, control), once),
 		term("configuration watch, out", configMechanism, Measured, c.proxies(roleProxy, configRestOut, control), once),
-		term("changes of configuration, in", configMechanism, WorkedOut, c.proxies(roleProxy, configIn, control), c.changesASecond),
-		term("changes of configuration, out", configMechanism, WorkedOut, c.proxies(roleProxy, configOut, control), c.changesASecond),
+		term("changes of configuration, in", configMechanism, Derived, c.proxies(roleProxy, configIn, control), c.changesASecond),
+		term("changes of configuration, out", configMechanism, Derived, c.proxies(roleProxy, configOut, control), c.changesASecond),
 	}}
 	rest := term("at rest, list and configuration watch", processMechanism, Measured,
 		c.proxies(roleProxy, restCPUWatch, control), once)
 	if rest.Series == nil {
 		rest = term("at rest, list watch", processMechanism, Measured, c.proxies(roleProxy, restCPU, service), once)
 	}
-	processor := Total{Role: role, Of: "processor time for control", Unit: "part of a core", Budget: budget.ProxyCPU, Terms: []Term{
+	processor := Total{Role: role, Resource: "processor time for control", Unit: "part of a core", Budget: budget.ProxyCPU, Terms: []Term{
 		rest,
 		byCalls("siblings' messages", siblingMechanism, c.calls(siblingCPU), calls, 1),
-		term("backends that restart", listMechanism, WorkedOut, c.proxies(roleProxy, listRestartCPU, whole), c.restartsASecond),
-		term("changes of configuration", configMechanism, WorkedOut, c.proxies(roleProxy, configCPU, control), c.changesASecond),
+		term("backends that restart", listMechanism, Derived, c.proxies(roleProxy, listRestartCPU, whole), c.restartsASecond),
+		term("changes of configuration", configMechanism, Derived, c.proxies(roleProxy, configCPU, control), c.changesASecond),
 	}}
-	watchMemory := Term{Name: "configuration watch, and what it holds", Mechanism: Missing, At: func(float64) float64 { return 0 }}
+	watchMemory := Term{Name: "configuration watch, and what it holds", Mechanism: MissingMechanism, At: func(float64) float64 { return 0 }}
 	with, without := c.proxies(roleProxy, memoryWatch, control), c.proxies(roleProxy, memoryBytes, service)
 	if with != nil && without != nil {
-		watchMemory = Term{Name: watchMemory.Name, Origin: WorkedOut, Mechanism: configMechanism, Series: with,
+		watchMemory = Term{Name: watchMemory.Name, Origin: Derived, Mechanism: configMechanism, Series: with,
 			At: func(n float64) float64 { return max(0, value(with, n)-value(without, n)) }}
 	}
-	memory := Total{Role: role, Of: "memory", Unit: "bytes", Budget: budget.ProxyMemory, Terms: []Term{
+	memory := Total{Role: role, Resource: "memory", Unit: "bytes", Budget: budget.ProxyMemory, Terms: []Term{
 		term("a process with one whole list of the fleet", processMechanism, Measured, c.proxies(roleProxy, memoryBytes, whole), once),
 		watchMemory,
 	}}
@@ -207,9 +207,9 @@
 func (c calculator) ofMachine(processes float64) (all []Total) {
 	const role = "machine whose backend calls most services"
 	for _, one := range c.ofProxy(role, c.ownCalls()) {
-		all = append(all, Total{Role: role, Of: one.Of, Unit: one.Unit, Budget: one.Budget, Terms: []Term{{
-			Name: fmt.Sprintf("%.0f processes, one for each service that is called", processes), Origin: WorkedOut,
-			Mechanism: Missing + ": one process for several lists",
+		all = append(all, Total{Role: role, Resource: one.Resource, Unit: one.Unit, Budget: one.Budget, Terms: []Term{{
+			Name: fmt.Sprintf("%.0f processes, one for each service that is called", processes), Origin: Derived,
+			Mechanism: MissingMechanism + ": one process for several lists",
 			At:        func(n float64) float64 { return perMachine(one, processes, n) }}}})
 	}
 	return all
@@ -218,7 +218,7 @@
 // perMachine is a total of several processes that share a machine's calls.
 func perMachine(one Total, processes, n float64) (sum float64) {
 	for _, term := range one.Terms {
-		if term.Series != nil && term.Series.Against == Calls {
+		if term.Series != nil && term.Series.Variable == ByCallRate {
 			sum += term.At(n)
 		} else {
 			sum += processes * term.At(n)
@@ -233,17 +233,17 @@
 	setting := c.controlSetting()
 	at := func(name string) *Series { return c.proxies(role, name, setting) }
 	return []Total{
-		{Role: role, Of: "bytes a second, both ways", Unit: "bytes/s", Terms: []Term{
+		{Role: role, Resource: "bytes a second, both ways", Unit: "bytes/s", Terms: []Term{
 			term("at rest, in", mechanism, Measured, at("at rest, in, bytes/s"), once),
 			term("at rest, out", mechanism, Measured, at("at rest, out, bytes/s"), once),
-			term("changes of configuration, in", mechanism, WorkedOut, at(configIn), c.changesASecond),
-			term("changes of configuration, out", mechanism, WorkedOut, at(configOut), c.changesASecond),
+			term("changes of configuration, in", mechanism, Derived, at(configIn), c.changesASecond),
+			term("changes of configuration, out", mechanism, Derived, at(configOut), c.changesASecond),
 		}},
-		{Role: role, Of: "processor time", Unit: "part of a core", Budget: 1, Terms: []Term{
+		{Role: role, Resource: "processor time", Unit: "part of a core", Budget: 1, Terms: []Term{
 			term("at rest", mechanism, Measured, at(restCPU), once),
-			term("changes of configuration", mechanism, WorkedOut, at(configCPU), c.changesASecond),
+			term("changes of configuration", mechanism, Derived, at(configCPU), c.changesASecond),
 		}},
-		{Role: role, Of: "memory", Unit: "bytes", Terms: []Term{
+		{Role: role, Resource: "memory", Unit: "bytes", Terms: []Term{
 			term("the process: log, state, watches", mechanism, Measured, at(memoryBytes), once),
 		}},
 	}
@@ -256,15 +256,15 @@
 	each := func(n float64) float64 { return 1 / n }
 	at := func(name string) *Series { return c.proxies(roleDiscovery, name, setting) }
 	return []Total{
-		{Role: role, Of: "bytes a second, out", Unit: "bytes/s", Terms: []Term{
+		{Role: role, Resource: "bytes a second, out", Unit: "bytes/s", Terms: []Term{
 			term("heartbeats", mechanism, Measured, at("list watch at rest, all agents, out, bytes/s"), each),
-			term("backends that restart", mechanism, WorkedOut, at("each backend restarted once, all agents, out, bytes"),
+			term("backends that restart", mechanism, Derived, at("each backend restarted once, all agents, out, bytes"),
 				func(n float64) float64 { return each(n) * c.restartsASecond(n) }),
 		}},
-		{Role: role, Of: "processor time", Unit: "part of a core", Terms: []Term{
+		{Role: role, Resource: "processor time", Unit: "part of a core", Terms: []Term{
 			term("at rest", mechanism, Measured, at("processor time at rest, all agents, part of a core"), each),
 		}},
-		{Role: role, Of: "memory", Unit: "bytes", Terms: []Term{term("all agents' process, in equal parts", mechanism, Measured,
+		{Role: role, Resource: "memory", Unit: "bytes", Terms: []Term{term("all agents' process, in equal parts", mechanism, Measured,
 			at("memory, all agents, bytes"), each)}},
 	}
 }
@@ -272,7 +272,7 @@
 // Totals are those of all roles.
 func (d *Data) Totals() []Total {
 	c := calculator{data: d, fleet: fleet.Generate(d.Sizes)}
-	_, most := c.fleet.CalledServices()
+	_, most := c.fleet.CalleesPerProxy()
 	all := c.ofProxy("proxy beside a backend", float64(int(c.ownCalls())))
 	all = append(all, c.ofProxy("front proxy", c.frontCalls())...)
 	all = append(all, c.ofMachine(float64(most))...)
@@ -282,9 +282,9 @@
 }
 
 // Over are the totals over their budget at the size.
-func (d *Data) Over() (over []Total) {
+func (d *Data) OverBudget() (over []Total) {
 	for _, t := range d.Totals() {
-		if t.Over(float64(d.Sizes.Proxies)) {
+		if t.OverBudget(float64(d.Sizes.Proxies)) {
 			over = append(over, t)
 		}
 	}
--- a/internal/testbed/backend.go
+++ b/internal/testbed/backend.go
@@ -24,7 +24,7 @@
 
 // backend is one process of a tier.
 type backend struct {
-	rig                     *Rig
+	rig                     *Harness
 	serial, tier, place     int
 	zone, cell              int
 	name, address           string
@@ -37,14 +37,14 @@
 	pool                    *pool    // its connections to that
 	started                 time.Time
 	mu                      sync.Mutex
-	burden                  faults.Burden
+	burden                  faults.Impairment
 	open                    map[net.Conn]bool
 	dead                    chan struct{}
 	chance                  *rand.Rand
 }
 
 // startBackend takes an address and serves there: that and the name of the one it was, if it is one that starts again.
-func (r *Rig) startBackend(tier, place int, speed float64, was *backend, started time.Time) (*backend, error) {
+func (r *Harness) startBackend(tier, place int, speed float64, was *backend, started time.Time) (*backend, error) {
 	t := &r.world.Tiers[tier]
 	address := "127.0.0.1:0"
 	if was != nil {
@@ -59,7 +59,7 @@
 	b := &backend{rig: r, serial: r.serial, tier: tier, place: place, zone: zone,
 		cell: place/r.world.Zones/t.CellSize*r.world.Zones + zone, name: fmt.Sprintf("b-%d-%d", tier, r.serial),
 		address: l.Addr().String(), listener: l, started: started, open: map[net.Conn]bool{}, dead: make(chan struct{}),
-		machine: newMachine(t.Cores, speed, t.ChokeFrom, t.Choke, r.world.Rules.ColdShare, r.world.Rules.ColdSpan),
+		machine: newMachine(t.Cores, speed, t.OverloadFrom, t.OverloadLoss, r.world.Rules.ColdShare, r.world.Rules.WarmUp),
 		slots:   make(chan struct{}, t.Slots), queue: int64(t.Queue), most: int64(t.Connections),
 		chance: rand.New(rand.NewPCG(r.seed, uint64(r.serial)))}
 	b.machine.started = started
@@ -125,7 +125,7 @@
 	return b.chance.Float64()
 }
 
-func (b *backend) bears() faults.Burden {
+func (b *backend) bears() faults.Impairment {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.burden
@@ -217,7 +217,7 @@
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		bears.Spoil = 1
+		bears.LoseAnswers = 1
 	}
 	if bears.Errors > 0 && b.draw() < bears.Errors {
 		if b.draw() < 0.5 {
@@ -232,7 +232,7 @@
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		if _, err := in.Peek(1); err != nil && b.rig.world.Tiers[b.tier].CancelStops && !b.bears().Deaf {
+		if _, err := in.Peek(1); err != nil && b.rig.world.Tiers[b.tier].CancelStops && !b.bears().IgnoresCancels {
 			close(stop)
 		}
 	}()
@@ -265,7 +265,7 @@
 			return false
 		}
 	}
-	if time.Now().After(due) && b.rig.world.Tiers[b.tier].MindsLimit {
+	if time.Now().After(due) && b.rig.world.Tiers[b.tier].RejectsExpired {
 		<-b.slots
 		leave()
 		return no()
@@ -284,7 +284,7 @@
 		return err == nil
 	}
 	body := b.rig.books.answer(id)
-	if bears.Spoil > 0 && b.draw() < bears.Spoil {
+	if bears.LoseAnswers > 0 && b.draw() < bears.LoseAnswers {
 		c.(*net.TCPConn).SetLinger(0)
 		return false
 	}
@@ -300,7 +300,7 @@
 	if b.own != nil {
 		calls = w.Verbs[verb].Calls[b.tier]
 	}
-	part := emulator.Work(&w.Verbs[verb], seed, b.tier) / float64(calls+1)
+	part := emulator.DrawWork(&w.Verbs[verb], seed, b.tier) / float64(calls+1)
 	b.working.Add(1)
 	defer b.working.Add(-1)
 	halt := make(chan struct{})
@@ -330,7 +330,7 @@
 				}
 			}()
 			b.machine.held(1)
-			got := b.rig.ask(ctx, b.pool, want{verb: verb, customer: 0, seed: emulator.Mix(seed, uint64(n+1)), limit: left.Seconds(),
+			got := b.rig.ask(ctx, b.pool, want{verb: verb, customer: 0, seed: emulator.MixSeeds(seed, uint64(n+1)), limit: left.Seconds(),
 				tier: b.tier + 1, instance: b.own.serial})
 			b.machine.held(-1)
 			cancel()
@@ -345,6 +345,6 @@
 
 // ranAs is how the judge is told of effects.
 func ranAs(v *emulator.Verb) (checker.Effect, checker.Scope) {
-	e, s := emulator.Meaning(v)
+	e, s := emulator.EffectAndScope(v)
 	return checker.Effect(e), checker.Scope(s)
 }
--- a/internal/testbed/books.go
+++ b/internal/testbed/books.go
@@ -44,8 +44,8 @@
 	defer b.mu.Unlock()
 	b.all[id] = &r
 	e, s := ranAs(&b.world.Verbs[r.verb])
-	b.judge.Accepted(b.now(), checker.Request{ID: id, Op: r.op, Instance: r.instance, Expires: b.now() + limit, Effect: e, Scope: s,
-		Window: b.world.Verbs[r.verb].Window})
+	b.judge.CommandAccepted(b.now(), checker.Command{ID: id, Operation: r.op, Instance: r.instance, Expires: b.now() + limit, Effect: e, Scope: s,
+		DedupWindow: b.world.Verbs[r.verb].DedupWindow})
 }
 
 // reached is told when a backend has a command whole that was sent at a time; a command that no client sent is not known.
@@ -62,9 +62,9 @@
 	}
 	relay = r.relays
 	r.relays++
-	b.judge.AttemptSent(sent, id, x.serial, x.zone, x.cell, false)
+	b.judge.RelaySent(sent, id, x.serial, x.zone, x.cell, false)
 	if warm := x.machine.warmth(time.Now()); warm < 1 {
-		b.judge.ReachedWarmingUp(b.now(), x.serial, r.instance, b.world.Verbs[verb].Work[x.tier], x.machine.cores*x.machine.speed*warm,
+		b.judge.ColdBackendReached(b.now(), x.serial, r.instance, b.world.Verbs[verb].Work[x.tier], x.machine.cores*x.machine.speed*warm,
 			x.started.Sub(b.start).Seconds())
 	}
 	return relay, true
@@ -75,7 +75,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if relay >= 0 {
-		b.judge.AttemptEnded(id, relay, never)
+		b.judge.RelayEnded(id, relay, never)
 	}
 }
 
@@ -83,7 +83,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, s := ranAs(&b.world.Verbs[verb])
-	b.judge.Executed(b.now(), sent, b.all[id].op, e, s, b.world.Verbs[verb].Window, x.zone, x.cell)
+	b.judge.EffectExecuted(b.now(), sent, b.all[id].op, e, s, b.world.Verbs[verb].DedupWindow, x.zone, x.cell)
 }
 
 func (b *books) ended(id uint64, result result, made bool) {
@@ -92,10 +92,10 @@
 	b.all[id].ended = b.now()
 	switch result {
 	case served, declinedThat, failed:
-		b.judge.RequestEnded(b.now(), id, result == declinedThat, result == served, made)
+		b.judge.CommandEnded(b.now(), id, result == declinedThat, result == served, made)
 	case broken, left, unreached:
 		b.all[id].gone = true
-		b.judge.ClientLeft(id) // its instance is gone, or its client is
+		b.judge.ClientDisconnected(id) // its instance is gone, or its client is
 	}
 }
 
@@ -106,7 +106,7 @@
 	if !started.IsZero() {
 		at = started.Sub(b.start).Seconds()
 	}
-	b.judge.EndpointReceived(b.now(), instance, x.serial, ready, at)
+	b.judge.BackendUpdateReceived(b.now(), instance, x.serial, ready, at)
 }
 
 func (b *books) killed(instance int) {
@@ -130,7 +130,7 @@
 
 // answer is the body that only a backend which has run the command makes.
 func (b *books) answer(id uint64) string {
-	return fmt.Sprintf("made %016x", emulator.Mix(id, 0x616e73))
+	return fmt.Sprintf("made %016x", emulator.MixSeeds(id, 0x616e73))
 }
 
 func (b *books) seed(id uint64) uint64 {
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -101,7 +101,7 @@
 }
 
 // request is the text of a command.
-func (r *Rig) request(id uint64, w want) string {
+func (r *Harness) request(id uint64, w want) string {
 	v := &r.world.Verbs[w.verb]
 	method, body, key := "GET", "", ""
 	if v.Effect != "pure" {
@@ -115,8 +115,8 @@
 }
 
 // ask sends a command to a proxy as a client does, with a new id, and waits for its answer.
-func (r *Rig) ask(ctx context.Context, p *pool, w want) got {
-	id := emulator.Mix(r.seed, r.ids.Add(1))
+func (r *Harness) ask(ctx context.Context, p *pool, w want) got {
+	id := emulator.MixSeeds(r.seed, r.ids.Add(1))
 	if w.op == 0 {
 		w.op = id
 	}
@@ -161,7 +161,7 @@
 }
 
 // exchange writes a command and reads its answer. crossed says that the connection ended before a byte of it came.
-func (r *Rig) exchange(ctx context.Context, c *clientConn, until time.Time, id uint64, text string) (g got, reused, crossed bool) {
+func (r *Harness) exchange(ctx context.Context, c *clientConn, until time.Time, id uint64, text string) (g got, reused, crossed bool) {
 	c.SetDeadline(until)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -193,7 +193,7 @@
 	switch a.StatusCode {
 	case 200:
 		if string(body) != r.books.answer(id) {
-			r.books.client(func(j *checker.Checker) { j.RequestEnded(r.books.now(), id, false, true, false) })
+			r.books.client(func(j *checker.Checker) { j.CommandEnded(r.books.now(), id, false, true, false) })
 			return got{result: silent}, keep, false
 		}
 		return got{result: served}, keep, false
@@ -205,7 +205,7 @@
 }
 
 // choose draws a proxy of the zone by weight among those that the front believes in, or of another zone.
-func (r *Rig) choose(zone int, u float64) *process {
+func (r *Harness) choose(zone int, u float64) *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for z := range r.world.Zones {
@@ -228,21 +228,21 @@
 }
 
 // operation carries one client's want through its tries.
-func (r *Rig) operation(a emulator.Arrival) {
+func (r *Harness) operation(a emulator.Arrival) {
 	defer r.busy.Done()
 	v := &r.world.Verbs[a.Verb]
 	w := &r.world.Clients
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if a.Leaves > 0 {
-		t := time.AfterFunc(time.Until(r.at(a.Leaves)), cancel)
+	if a.LeavesAt > 0 {
+		t := time.AfterFunc(time.Until(r.at(a.LeavesAt)), cancel)
 		defer t.Stop()
 	}
 	chance := rand.New(rand.NewPCG(a.Seed, 1))
 	due := r.at(a.Due)
 	first, mayHaveRun := time.Time{}, false
-	effect, scope := emulator.Meaning(v)
-	loss := checker.Loss{How: checker.Unreached}
+	effect, scope := emulator.EffectAndScope(v)
+	loss := checker.Loss{Cause: checker.Unreached}
 	for tries := 1; ; tries++ {
 		leftTime := time.Until(due).Seconds() + v.Limit
 		limit := min(w.TryShare*v.Limit, leftTime)
@@ -256,43 +256,45 @@
 		took := time.Since(due).Seconds()
 		switch g.result {
 		case served:
-			if a.Counts {
-				worth := a.Worth
+			if a.Measured {
+				worth := a.Utility
 				if took > v.Goal {
-					worth *= v.Late
-					r.books.client(func(j *checker.Checker) { j.Lost(checker.Loss{How: checker.Late, Where: checker.Work}, a.Worth-worth) })
+					worth *= v.LateShare
+					r.books.client(func(j *checker.Checker) {
+						j.OperationLost(checker.Loss{Cause: checker.Late, Place: checker.Work}, a.Utility-worth)
+					})
 				}
-				r.books.client(func(j *checker.Checker) { j.Answered(a.Due, a.Due+took, a.Customer, worth) })
+				r.books.client(func(j *checker.Checker) { j.OperationAnswered(a.Due, a.Due+took, a.Customer, worth) })
 			}
 			return
 		case declinedThat:
-			loss = checker.Loss{How: checker.Rejected}
+			loss = checker.Loss{Cause: checker.Declined}
 		case failed:
-			loss = checker.Loss{How: checker.Terminated, Where: checker.Failed}
+			loss = checker.Loss{Cause: checker.Terminated, Place: checker.BackendFailed}
 		case broken:
-			loss = checker.Loss{How: checker.Died}
+			loss = checker.Loss{Cause: checker.InstanceDied}
 		case silent:
-			loss = checker.Loss{How: checker.Limit, Where: checker.Network}
+			loss = checker.Loss{Cause: checker.TimedOut, Place: checker.Network}
 		case unreached:
-			loss = checker.Loss{How: checker.Unreached}
+			loss = checker.Loss{Cause: checker.Unreached}
 		case left:
-			loss = checker.Loss{How: checker.Left}
+			loss = checker.Loss{Cause: checker.ClientLeft}
 		}
 		mayHaveRun = mayHaveRun || g.result == failed || g.result == broken || g.result == silent
-		backoff := w.Backoff * math.Pow(2, float64(tries-1)) * (0.5 + chance.Float64())
+		backoff := w.RetryBackoff * math.Pow(2, float64(tries-1)) * (0.5 + chance.Float64())
 		most := w.Retries
-		if hard := r.hard(faults.Storm); hard > 0 {
+		if hard := r.hard(faults.RetryStorm); hard > 0 {
 			most += int(math.Ceil(hard))
 			backoff /= 1 + hard
 		}
-		if g.result == declinedThat && chance.Float64() < w.Follow {
+		if g.result == declinedThat && chance.Float64() < w.RetryAfterShare {
 			backoff = max(backoff, g.comeBack)
 		}
 		allowed := effect == balance.Pure || !mayHaveRun ||
-			effect == balance.Receipted && scope == balance.ScopeAll && time.Since(first).Seconds()+backoff+limit < v.Window
+			effect == balance.Receipted && scope == balance.ScopeAll && time.Since(first).Seconds()+backoff+limit < v.DedupWindow
 		if g.result == left || !allowed || tries > most || took+backoff > v.Limit-0.02 {
-			if a.Counts {
-				r.books.client(func(j *checker.Checker) { j.Lost(loss, a.Worth) })
+			if a.Measured {
+				r.books.client(func(j *checker.Checker) { j.OperationLost(loss, a.Utility) })
 			}
 			return
 		}
--- a/internal/testbed/here.go
+++ b/internal/testbed/here.go
@@ -21,14 +21,14 @@
 
 // The environment that makes a program which calls Here the proxy.
 const (
-	HereEnv     = "SANDLAB_PROXY"
+	RunProxyEnv = "SANDLAB_PROXY"
 	profileEnv  = "SANDLAB_PROFILE"
 	operatorEnv = "SANDLAB_OPERATOR"
 )
 
 // Here runs the proxy if the environment says so, and tells whether it did.
-func Here() (bool, error) {
-	if os.Getenv(HereEnv) != "1" {
+func RunProxyIfRequested() (bool, error) {
+	if os.Getenv(RunProxyEnv) != "1" {
 		return false, nil
 	}
 	text, err := os.ReadFile(os.Getenv("NODE_CONFIG"))
--- a/internal/testbed/lives.go
+++ b/internal/testbed/lives.go
@@ -22,16 +22,16 @@
 	wakes = 0.1        // seconds in which a process that goes on has a core: half of 64 want one of a few at once
 )
 
-func (r *Rig) front(i int) *process {
+func (r *Harness) front(i int) *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fronts[i]
 }
 
 // kill ends a proxy at once; the front sends it clients until it notices.
-func (r *Rig) kill(i int, p *process) {
+func (r *Harness) kill(i int, p *process) {
 	p.kill()
-	time.AfterFunc(time.Duration(r.world.Clients.Notice*float64(time.Second)), func() {
+	time.AfterFunc(time.Duration(r.world.Clients.DeathDetection*float64(time.Second)), func() {
 		r.mu.Lock()
 		if r.fronts[i] == p {
 			r.fronts[i] = nil
@@ -41,10 +41,10 @@
 }
 
 // revive starts a proxy in the place of one, at its address.
-func (r *Rig) revive(i int, p *process) *process { return r.reviveAs(i, p, p.me) }
+func (r *Harness) revive(i int, p *process) *process { return r.reviveAs(i, p, p.me) }
 
 // reviveAs is the same with a number that may be another's: then its messages go where that one's went.
-func (r *Rig) reviveAs(i int, p *process, me int) *process {
+func (r *Harness) reviveAs(i int, p *process, me int) *process {
 	if err := r.spoil(p); err != nil {
 		r.fail(err)
 		return nil
@@ -63,8 +63,8 @@
 }
 
 // spoil does to what a proxy has kept what the day has in store for it.
-func (r *Rig) spoil(p *process) error {
-	if r.State == "" || r.State == "kept" {
+func (r *Harness) spoil(p *process) error {
+	if r.SnapshotState == "" || r.SnapshotState == "kept" {
 		return nil
 	}
 	at := filepath.Join(r.dir, "state", p.name()+".state")
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil // it may have ended before it kept anything
 	}
-	switch r.State {
+	switch r.SnapshotState {
 	case "lost":
 		return os.Remove(at)
 	case "torn":
@@ -108,12 +108,12 @@
 }
 
 // turnOver kills or restarts a share of the first tier's proxies.
-func (r *Rig) turnOver(f faults.Fault, wait func(float64) bool) {
-	all := f.Places(len(r.fronts))
+func (r *Harness) turnOver(f faults.Fault, wait func(float64) bool) {
+	all := f.PickIndexes(len(r.fronts))
 	numbers := map[int]int{} // that each comes back with
 	for n, i := range all {
 		of := r.front(all[(n+1)%len(all)])
-		if of == nil || !r.Swap {
+		if of == nil || !r.SwapIndexes {
 			of = r.front(i)
 		}
 		if of != nil {
@@ -140,22 +140,22 @@
 	}
 	var done sync.WaitGroup
 	for n, i := range all {
-		if f.Kind == faults.Restart && !wait(f.From+f.For*float64(n)/float64(len(all))) {
+		if f.Kind == faults.RestartInstances && !wait(f.From+f.For*float64(n)/float64(len(all))) {
 			return
 		}
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			one(i, f.Kind == faults.Restart)
+			one(i, f.Kind == faults.RestartInstances)
 		}()
 	}
 	done.Wait()
 }
 
 // stall has a share of the proxies stand still.
-func (r *Rig) stall(f faults.Fault, wait func(float64) bool) {
+func (r *Harness) stall(f faults.Fault, wait func(float64) bool) {
 	var still []*process
-	for _, i := range f.Places(len(r.fronts)) {
+	for _, i := range f.PickIndexes(len(r.fronts)) {
 		if p := r.front(i); p != nil && p.signal(syscall.SIGSTOP) {
 			still = append(still, p)
 		}
@@ -168,15 +168,15 @@
 	for _, p := range still {
 		to := r.clock() // noted first: it answers within a millisecond
 		p.goesOn(to)
-		r.books.client(func(j *checker.Checker) { j.Stalled(p.serial, from, to+wakes) })
+		r.books.client(func(j *checker.Checker) { j.InstanceStalled(p.serial, from, to+wakes) })
 		p.signal(syscall.SIGCONT)
 	}
 }
 
 // crashLoop kills a share of the proxies again and again, each so long after it was ready.
-func (r *Rig) crashLoop(f faults.Fault, wait func(float64) bool) {
+func (r *Harness) crashLoop(f faults.Fault, wait func(float64) bool) {
 	var done sync.WaitGroup
-	for _, i := range f.Places(len(r.fronts)) {
+	for _, i := range f.PickIndexes(len(r.fronts)) {
 		done.Go(func() {
 			for p := r.front(i); p != nil && r.clock() < f.From+f.For; {
 				r.kill(i, p)
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -32,23 +32,23 @@
 )
 
 // Measure is one line: so many connections, straight to the backends or through the proxy.
-type Measure struct {
+type Measurement struct {
 	Connections, Body int
-	Closed            float64    // commands a second, each connection sending when it has its answer
+	ClosedLoopRate    float64    // commands a second, each connection sending when it has its answer
 	CPU               float64    // seconds of the proxy's core for each command, 0 straight
-	Rate              float64    // commands a second of the open loop
-	Late              [3]float64 // median, 99%, 99.9% in seconds from when they were due
+	OpenLoopRate      float64    // commands a second of the open loop
+	Latency           [3]float64 // median, 99%, 99.9% in seconds from when they were due
 	Failed            int
-	Dearest           []string // functions of the proxy's profile in the closed loop
+	HotFunctions      []string // functions of the proxy's profile in the closed loop
 }
 
 // Load measures one proxy before stand-ins that answer at once, and the same clients straight to these.
-type Load struct {
-	Seconds float64
-	Program []string // starts the proxy
-	Env     []string
-	Profile bool    // the program is one that calls Here
-	Rate    float64 // commands a second of the open loop, 0: half of what the closed loop reached through the proxy
+type LoadTest struct {
+	Seconds      float64
+	Program      []string // starts the proxy
+	Env          []string
+	Profile      bool    // the program is one that calls Here
+	OpenLoopRate float64 // commands a second of the open loop, 0: half of what the closed loop reached through the proxy
 }
 
 // answerAtOnce answers every command as soon as it is whole, over so much of the machine as it needs.
@@ -121,7 +121,7 @@
 	}
 	c.n++
 	text := fmt.Appendf(nil, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %016x\r\nReq-Kind: pay\r\nReq-Owner: c0\r\nReq-Deadline: 10\r\nContent-Length: %d\r\n\r\n%s",
-		emulator.Mix(c.base, c.n), len(c.body), c.body)
+		emulator.MixSeeds(c.base, c.n), len(c.body), c.body)
 	if _, err := c.conn.Write(text); err != nil {
 		return c.lost(err)
 	}
@@ -260,7 +260,7 @@
 }
 
 // Run measures at so many connections with bodies of so many bytes: straight first, then through a proxy.
-func (l *Load) Run(ctx context.Context, conns, body int) (direct, through Measure, err error) {
+func (l *LoadTest) Run(ctx context.Context, conns, body int) (direct, through Measurement, err error) {
 	dir, err := os.MkdirTemp("", "sandlab-")
 	if err != nil {
 		return direct, through, err
@@ -271,7 +271,7 @@
 	w.Zones, w.Customers = 1, []emulator.Customer{{Share: 1, Allowance: 1}}
 	w.Rate = 1e6
 	w.Verbs = []emulator.Verb{{Name: "pay", Effect: "effectful", Goal: 5, Limit: 10, Utility: 1, Share: 1, Work: []float64{0.001}}}
-	r := &Rig{world: w, seed: 1, program: l.Program, env: l.Env, dir: dir, lists: []*tierList{newTierList()},
+	r := &Harness{world: w, seed: 1, program: l.Program, env: l.Env, dir: dir, lists: []*tierList{newTierList()},
 		books: &books{world: &w, start: time.Now(), all: map[uint64]*record{}}}
 	text := bytes.Repeat([]byte("x"), body)
 	var at []string
@@ -296,16 +296,16 @@
 	}
 	var used []float64
 	none := func() {}
-	direct, through = Measure{Connections: conns, Body: body}, Measure{Connections: conns, Body: body}
-	direct.Closed, direct.Failed = closed(ctx, at, conns, string(text), l.Seconds, none)
-	through.Closed, through.Failed = closed(ctx, []string{p.listen}, conns, string(text), l.Seconds,
+	direct, through = Measurement{Connections: conns, Body: body}, Measurement{Connections: conns, Body: body}
+	direct.ClosedLoopRate, direct.Failed = closed(ctx, at, conns, string(text), l.Seconds, none)
+	through.ClosedLoopRate, through.Failed = closed(ctx, []string{p.listen}, conns, string(text), l.Seconds,
 		func() { used = append(used, processor(p.cmd.Process.Pid)) })
-	if through.Closed > 0 {
-		through.CPU = (used[1] - used[0]) / l.Seconds / through.Closed
+	if through.ClosedLoopRate > 0 {
+		through.CPU = (used[1] - used[0]) / l.Seconds / through.ClosedLoopRate
 	}
 	p.stop(endWithin)
 	if l.Profile {
-		if through.Dearest, err = dearest(place, 5); err != nil {
+		if through.HotFunctions, err = dearest(place, 5); err != nil {
 			return direct, through, err
 		}
 	}
@@ -315,15 +315,15 @@
 		return direct, through, err
 	}
 	defer p.stop(endWithin)
-	rate := l.Rate
+	rate := l.OpenLoopRate
 	if rate <= 0 {
-		rate = openPart * through.Closed
+		rate = openPart * through.ClosedLoopRate
 	}
-	direct.Rate, through.Rate = rate, rate
+	direct.OpenLoopRate, through.OpenLoopRate = rate, rate
 	var bad int
-	direct.Late, bad = open(ctx, at, conns, string(text), rate, l.Seconds)
+	direct.Latency, bad = open(ctx, at, conns, string(text), rate, l.Seconds)
 	direct.Failed += bad
-	through.Late, bad = open(ctx, []string{p.listen}, conns, string(text), rate, l.Seconds)
+	through.Latency, bad = open(ctx, []string{p.listen}, conns, string(text), rate, l.Seconds)
 	through.Failed += bad
 	return direct, through, ctx.Err()
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -26,7 +26,7 @@
 
 // process is one proxy.
 type process struct {
-	rig                    *Rig
+	rig                    *Harness
 	serial, tier, me, zone int
 	listen                 string
 	weight                 float64
@@ -52,7 +52,7 @@
 }
 
 // config is what the proxy is told.
-func (r *Rig) config(p *process, siblings int) map[string]any {
+func (r *Harness) config(p *process, siblings int) map[string]any {
 	w := &r.world
 	var verbs, realms []map[string]any
 	for _, v := range w.Verbs {
@@ -61,8 +61,8 @@
 		if scope == "" {
 			scope = "all"
 		}
-		verbs = append(verbs, map[string]any{"name": v.Name, "effect": effect, "key_scope": scope, "window_ms": 1000 * v.Window,
-			"response_goal_ms": 1000 * v.Goal, "time_limit_ms": 1000 * v.Limit, "utility": v.Utility, "overdue_utility": v.Late, "stream": false})
+		verbs = append(verbs, map[string]any{"name": v.Name, "effect": effect, "key_scope": scope, "window_ms": 1000 * v.DedupWindow,
+			"response_goal_ms": 1000 * v.Goal, "time_limit_ms": 1000 * v.Limit, "utility": v.Utility, "overdue_utility": v.LateShare, "stream": false})
 	}
 	if p.tier == 0 {
 		for i, c := range w.Customers {
@@ -81,14 +81,14 @@
 		"peers": peers,
 		"name":  p.name(), "listen": p.listen, "discovery": p.agent.listener.Addr().String(),
 		"seed":   fmt.Sprintf("%016x", r.seed+uint64(p.serial)),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": cmp.Or(r.Strain.Sockets, 4096)},
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": cmp.Or(r.Stress.DescriptorLimit, 4096)},
 		"settings": map[string]any{
 			"me": p.me, "siblings": siblings, "tier": p.tier, "zone": p.zone, "discovery": "pushed", "azs": zones, "tick_ms": 1000 * w.Tick,
-			"limits": map[string]any{"max_relays": w.Rules.Relays, "max_open": 5000, "peers": len(peers) > 0, "second_copies": w.Rules.Copies, "cancel": w.Rules.Cancel,
-				"retry_after": w.Rules.ComeBack > 0, "max_retry_after_ms": 1000 * w.Rules.ComeBack, "connect_timeout_ms": 1000 * w.Rules.Connect,
-				"conn_idle_ms": 1000 * w.Tiers[p.tier].Idle},
-			"load_info": map[string]any{"fields": []string{}, "how": "none"}, "overage_utility": w.Clients.Over,
-			"safety": map[string]any{"cold_share": w.Rules.ColdShare, "cold_ms": 1000 * w.Rules.ColdSpan, "fall_multiple": w.Rules.ColdMultiple},
+			"limits": map[string]any{"max_relays": w.Rules.MaxRelays, "max_open": 5000, "peers": len(peers) > 0, "second_copies": w.Rules.SecondCopies, "cancel": w.Rules.CancelRelays,
+				"retry_after": w.Rules.MaxRetryAfter > 0, "max_retry_after_ms": 1000 * w.Rules.MaxRetryAfter, "connect_timeout_ms": 1000 * w.Rules.ConnectTimeout,
+				"conn_idle_ms": 1000 * w.Tiers[p.tier].IdleTimeout},
+			"load_info": map[string]any{"fields": []string{}, "how": "none"}, "overage_utility": w.Clients.OverageUtility,
+			"safety": map[string]any{"cold_share": w.Rules.ColdShare, "cold_ms": 1000 * w.Rules.WarmUp, "fall_multiple": w.Rules.ColdMultiple},
 			"realms": realms, "verbs": verbs,
 		},
 	}
@@ -99,8 +99,8 @@
 
 // operator writes the operators' file of the day where proxies keep what they know: once, since a proxy that reads it while
 // it is written anew would find it empty.
-func (r *Rig) operator() error {
-	if r.State == "" {
+func (r *Harness) operator() error {
+	if r.SnapshotState == "" {
 		return nil
 	}
 	folder := filepath.Join(r.dir, "state")
@@ -118,7 +118,7 @@
 
 // startProcess starts a proxy and waits until it is ready. An address that was free may be another's by the time that
 // the proxy listens; then it is another one's turn.
-func (r *Rig) startProcess(tier, me, zone, siblings int, listen string) (p *process, err error) {
+func (r *Harness) startProcess(tier, me, zone, siblings int, listen string) (p *process, err error) {
 	for range 5 {
 		if p, err = r.startOnce(tier, me, zone, siblings, listen); err == nil || listen != "" || !strings.Contains(err.Error(), taken) {
 			break
@@ -127,7 +127,7 @@
 	return p, err
 }
 
-func (r *Rig) startOnce(tier, me, zone, siblings int, listen string) (*process, error) {
+func (r *Harness) startOnce(tier, me, zone, siblings int, listen string) (*process, error) {
 	var err error
 	p := &process{rig: r, tier: tier, me: me, zone: zone, listen: listen, weight: 1, ended: make(chan struct{})}
 	if p.listen == "" {
@@ -152,7 +152,7 @@
 	}
 	args, env := r.program[1:], append(r.env[:len(r.env):len(r.env)], "NODE_CONFIG="+place, "TMPDIR="+r.dir)
 	if tier == 0 {
-		env = append(env, r.Strain.environment()...)
+		env = append(env, r.Stress.environment()...)
 	}
 	if r.words != "" && tier == 0 {
 		env = append(env, operatorEnv+"="+r.words)
@@ -318,7 +318,7 @@
 	lag      time.Duration
 }
 
-func (r *Rig) startAgent(p *process) (*agent, error) {
+func (r *Harness) startAgent(p *process) (*agent, error) {
 	l, err := listen()
 	if err != nil {
 		return nil, err
--- a/internal/testbed/rolling.go
+++ b/internal/testbed/rolling.go
@@ -36,29 +36,29 @@
 )
 
 // Rolled is what came of a rolling restart, by the clients' own books.
-type Rolled struct {
-	Taken, Served, Declined, Failed int
-	Crossed                         int // sent again, since their connection had been closed unread
-	Unheard                         int // new connections closed without a word
-	Killed                          int // processes that had not ended by themselves when the kill came
-	Lost                            []string
-	Account                         *checker.Account // of the other rules
-	Lateness                        float64          // seconds, the most by which the rig itself woke late: a starved process is no measure
-	Limit                           float64          // seconds, the longest that was drawn
-	Tiers                           int
+type RollingResult struct {
+	Sent, Served, Declined, Failed int
+	ClosedWhileIdle                int // sent again, since their connection had been closed unread
+	ClosedUnanswered               int // new connections closed without a word
+	Killed                         int // processes that had not ended by themselves when the kill came
+	Lost                           []string
+	Account                        *checker.Report // of the other rules
+	MaxSendDelay                   float64         // seconds, the most by which the rig itself woke late: a starved process is no measure
+	MaxTimeLimit                   float64         // seconds, the longest that was drawn
+	Tiers                          int
 }
 
 // Rolling draws a world and its troubles: so many proxies, time limits from 0.2 to 10 s, one to three tiers, half of the
 // backends replaced, one that hangs.
-func Rolling(proxies int, seed uint64) (emulator.World, faults.Plan) {
+func RandomRollingRestart(proxies int, seed uint64) (emulator.World, faults.Plan) {
 	chance := rand.New(rand.NewPCG(seed, 0x726f6c6c))
 	w := emulator.Default()
 	limit := 0.2 * math.Exp(chance.Float64()*math.Log(10/0.2))
 	tiers := 1 + chance.IntN(3)
-	w.Zones, w.Instances, w.Warmup, w.Clients.Early, w.Skew = 1+chance.IntN(2), proxies, 0.5, 0, 0.5
-	w.Rules.ColdSpan = 2
+	w.Zones, w.Instances, w.Warmup, w.Clients.EarlyLeaveShare, w.InstanceSkew = 1+chance.IntN(2), proxies, 0.5, 0, 0.5
+	w.Rules.WarmUp = 2
 	steps := math.Ceil(float64(proxies) / float64(group(proxies)))
-	w.Length = 1 + steps*apart(limit) + killAt(limit) + 1
+	w.Duration = 1 + steps*apart(limit) + killAt(limit) + 1
 	scale := limit / 2 // the longest limit of the world as it is
 	for i := range w.Verbs {
 		v := &w.Verbs[i]
@@ -68,7 +68,7 @@
 		}
 	}
 	if tiers == 1 {
-		w.OneTier()
+		w.KeepFirstTier()
 	} else if tiers == 3 {
 		w.Tiers = append(w.Tiers, w.Tiers[1])
 		for i := range w.Verbs {
@@ -82,7 +82,7 @@
 	a := func(kind faults.Kind, from, long, share float64) faults.Fault {
 		return faults.Fault{Kind: kind, Zone: -1, To: -1, From: from, For: long, Share: share, Seed: chance.Uint64() >> 1}
 	}
-	return w, faults.Plan{a(faults.Roll, 1.2, w.Length/2, 0.5), a(faults.Hang, 0.5, w.Length-1, 0.05)}
+	return w, faults.Plan{a(faults.RollingReplace, 1.2, w.Duration/2, 0.5), a(faults.Hang, 0.5, w.Duration-1, 0.05)}
 }
 
 // group is how many of so many proxies are asked to end at a time.
@@ -95,7 +95,7 @@
 func apart(limit float64) float64 { return killAt(limit) / 3 }
 
 // longest is the longest time limit of the day.
-func (r *Rig) longest() (limit float64) {
+func (r *Harness) longest() (limit float64) {
 	for _, v := range r.world.Verbs {
 		limit = max(limit, v.Limit)
 	}
@@ -104,14 +104,14 @@
 
 // Roll plays the day: so many clients to a proxy, each with one connection at a time. hup has a new configuration come in
 // the middle, where the program knows that signal.
-func (r *Rig) Roll(ctx context.Context, clients int, hup bool) (out Rolled, err error) {
+func (r *Harness) RunRollingRestart(ctx context.Context, clients int, hup bool) (out RollingResult, err error) {
 	defer r.end()
 	if err := r.open(); err != nil {
 		return out, err
 	}
-	out.Limit, out.Tiers = r.longest(), len(r.world.Tiers)
+	out.MaxTimeLimit, out.Tiers = r.longest(), len(r.world.Tiers)
 	r.begin(ctx)
-	day, over := context.WithDeadline(ctx, r.at(r.world.Length))
+	day, over := context.WithDeadline(ctx, r.at(r.world.Duration))
 	defer over()
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -120,7 +120,7 @@
 			due = due.Add(look)
 			time.Sleep(time.Until(due))
 			mu.Lock()
-			out.Lateness = max(out.Lateness, time.Since(due).Seconds())
+			out.MaxSendDelay = max(out.MaxSendDelay, time.Since(due).Seconds())
 			mu.Unlock()
 		}
 	})
@@ -137,7 +137,7 @@
 	var restarts sync.WaitGroup
 	for n, places := range slices.Collect(slices.Chunk(rand.New(rand.NewPCG(r.seed, 9)).Perm(len(r.fronts)), group(len(r.fronts)))) {
 		select {
-		case <-time.After(time.Until(r.at(1 + float64(n)*apart(out.Limit)))):
+		case <-time.After(time.Until(r.at(1 + float64(n)*apart(out.MaxTimeLimit)))):
 		case <-day.Done():
 		}
 		for _, i := range places {
@@ -161,15 +161,15 @@
 }
 
 // awaitCalls waits until each call has ended or is overdue: a tier below may still be at one whose answer nobody waits for.
-func (r *Rig) awaitCalls() {
+func (r *Harness) awaitCalls() {
 	for due := math.Inf(1); r.books.now() < due; time.Sleep(look) {
-		r.books.client(func(j *checker.Checker) { due = j.OpenUntil() })
+		r.books.client(func(j *checker.Checker) { due = j.LatestDeadline() })
 	}
 }
 
 // restart asks a proxy to end, kills it when that may come, and starts it anew; it tells whether the kill was needed. With hup it
 // is told to read its configuration again in the same moment.
-func (r *Rig) restart(i int, hup bool) (killed bool) {
+func (r *Harness) restart(i int, hup bool) (killed bool) {
 	p := r.front(i)
 	if p == nil {
 		return false
@@ -178,7 +178,7 @@
 		p.signal(syscall.SIGHUP)
 	}
 	p.asksToEnd(r.clock())
-	r.Strain.signals(p, r.seed, killAt(r.longest()))
+	r.Stress.signals(p, r.seed, killAt(r.longest()))
 	time.AfterFunc(time.Duration(noticed*float64(time.Second)), func() { // the front sends it no new connections from now on
 		r.mu.Lock()
 		if r.fronts[i] == p {
@@ -193,20 +193,20 @@
 	return ok && s.Signaled()
 }
 
-func (o *Rolled) add(x *Rolled) {
-	o.Taken, o.Served, o.Declined, o.Failed = o.Taken+x.Taken, o.Served+x.Served, o.Declined+x.Declined, o.Failed+x.Failed
-	o.Crossed, o.Unheard, o.Lost = o.Crossed+x.Crossed, o.Unheard+x.Unheard, append(o.Lost, x.Lost...)
+func (o *RollingResult) add(x *RollingResult) {
+	o.Sent, o.Served, o.Declined, o.Failed = o.Sent+x.Sent, o.Served+x.Served, o.Declined+x.Declined, o.Failed+x.Failed
+	o.ClosedWhileIdle, o.ClosedUnanswered, o.Lost = o.ClosedWhileIdle+x.ClosedWhileIdle, o.ClosedUnanswered+x.ClosedUnanswered, append(o.Lost, x.Lost...)
 }
 
 // rolling is a client that keeps its connection for as long as it stays open.
 type rolling struct {
-	rig    *Rig
+	rig    *Harness
 	chance *rand.Rand
 	zone   int
 	conn   *clientConn
 	to     *process
 	used   bool // the connection has carried a command
-	got    Rolled
+	got    RollingResult
 }
 
 func (c *rolling) live(day context.Context) {
@@ -249,7 +249,7 @@
 // ask sends one command and files what came of it.
 func (c *rolling) ask() {
 	r := c.rig
-	id := emulator.Mix(r.seed, r.ids.Add(1))
+	id := emulator.MixSeeds(r.seed, r.ids.Add(1))
 	u, verb := c.chance.Float64(), 0
 	for verb < len(r.world.Verbs)-1 && u >= r.world.Verbs[verb].Share {
 		u -= r.world.Verbs[verb].Share
@@ -273,7 +273,7 @@
 	r.books.ended(id, map[bool]result{true: broken, false: g.result}[g.result == silent], true)
 	took, used := time.Since(wrote).Seconds(), c.used
 	c.used = true
-	c.got.Taken++
+	c.got.Sent++
 	switch g.result {
 	case served:
 		c.got.Served++
@@ -287,9 +287,9 @@
 		relays := r.books.relayed(id)
 		switch {
 		case relays == 0 && unread && !used:
-			c.got.Unheard++
+			c.got.ClosedUnanswered++
 		case relays == 0 && unread && took < crossed:
-			c.got.Crossed++
+			c.got.ClosedWhileIdle++
 		default:
 			c.lost(id, from, fmt.Sprintf("its connection ended after %.3f s, %d relays, answer begun %t", took, relays, !unread))
 		}
--- a/internal/testbed/rolling_test.go
+++ b/internal/testbed/rolling_test.go
@@ -29,28 +29,28 @@
 			if !byHand {
 				t.Parallel()
 			}
-			w, plan := Rolling(proxies, seed)
-			if err := plan.Check(w.Extent()); err != nil {
+			w, plan := RandomRollingRestart(proxies, seed)
+			if err := plan.Check(w.Bounds()); err != nil {
 				t.Fatal(err)
 			}
 			r, err := New(w, plan, seed, []string{program, "serve"}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			out, err := r.Roll(context.Background(), 4, true)
+			out, err := r.RunRollingRestart(context.Background(), 4, true)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Logf("limit %.2f s, %d tiers: taken %d served %d declined %d failed %d crossed %d unheard %d, killed %d, lost %d, late by %.3f s",
-				out.Limit, out.Tiers, out.Taken, out.Served, out.Declined, out.Failed, out.Crossed, out.Unheard, out.Killed, len(out.Lost), out.Lateness)
-			if out.Lateness > 0.1 { // the margins before the kill are 0.3 s
-				t.Skipf("the rig itself was late by %.2f s: the machine at hand is no measure", out.Lateness)
+				out.MaxTimeLimit, out.Tiers, out.Sent, out.Served, out.Declined, out.Failed, out.ClosedWhileIdle, out.ClosedUnanswered, out.Killed, len(out.Lost), out.MaxSendDelay)
+			if out.MaxSendDelay > 0.1 { // the margins before the kill are 0.3 s
+				t.Skipf("the rig itself was late by %.2f s: the machine at hand is no measure", out.MaxSendDelay)
 			}
 			for _, l := range out.Lost {
 				t.Error("lost: " + l)
 			}
-			if out.Unheard > 5+out.Taken/200 || out.Served*5 < out.Taken {
-				t.Errorf("%d unheard, %d served of %d", out.Unheard, out.Served, out.Taken)
+			if out.ClosedUnanswered > 5+out.Sent/200 || out.Served*5 < out.Sent {
+				t.Errorf("%d unheard, %d served of %d", out.ClosedUnanswered, out.Served, out.Sent)
 			}
 		})
 	}
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -25,16 +25,16 @@
 )
 
 // Strain is what processes suffer beside the restart. The zero value is nothing.
-type Strain struct {
-	Rules   string // of internal/injected; needs a program that knows them
-	Signals bool   // SIGTERM more than once, SIGINT and SIGHUP around it
-	Idle    int    // clients that say nothing, to each proxy
-	Sockets int    // descriptors that a proxy may hold, 0: plenty
-	State   bool   // proxies keep what they know on a disk, which fails by the rules
+type Stress struct {
+	FaultRules      string // of internal/injected; needs a program that knows them
+	ExtraSignals    bool   // SIGTERM more than once, SIGINT and SIGHUP around it
+	IdleClients     int    // clients that say nothing, to each proxy
+	DescriptorLimit int    // descriptors that a proxy may hold, 0: plenty
+	KeepSnapshots   bool   // proxies keep what they know on a disk, which fails by the rules
 }
 
 // Strained draws a strain.
-func Strained(seed uint64) Strain {
+func RandomStress(seed uint64) Stress {
 	chance := rand.New(rand.NewPCG(seed, 0x736f616b))
 	rules := []string{fmt.Sprintf("seed=%d", seed)}
 	perhaps := func(part float64, all ...string) {
@@ -50,28 +50,28 @@
 	perhaps(0.3, "epoll_wait%11=EINTR")
 	perhaps(0.5, "socket@1=ENFILE", "bind@1-3=EADDRNOTAVAIL", "listen@1=EADDRINUSE", "epoll_create@1=ENOMEM")
 	perhaps(0.4, "clock~10", "clock~3600")
-	s := Strain{Signals: chance.Float64() < 0.7, State: chance.Float64() < 0.4}
-	if s.State {
+	s := Stress{ExtraSignals: chance.Float64() < 0.7, KeepSnapshots: chance.Float64() < 0.4}
+	if s.KeepSnapshots {
 		perhaps(0.7, "sync_file%5=EIO", "write_file%5=ENOSPC", "create_file%3=ENOSPC")
 	}
 	if chance.Float64() < 0.4 {
-		s.Idle, s.Sockets = 1+chance.IntN(idleMost), tightSockets
+		s.IdleClients, s.DescriptorLimit = 1+chance.IntN(idleMost), tightSockets
 	}
-	s.Rules = strings.Join(rules, ",")
+	s.FaultRules = strings.Join(rules, ",")
 	return s
 }
 
 // environment has a process suffer it.
-func (s Strain) environment() []string {
-	if s.Rules == "" {
+func (s Stress) environment() []string {
+	if s.FaultRules == "" {
 		return nil
 	}
-	return []string{faultinject.Env + "=" + s.Rules}
+	return []string{faultinject.Env + "=" + s.FaultRules}
 }
 
 // signals sends a process that is asked to end a series of further signals, drawn by its number, until the kill comes.
-func (s Strain) signals(p *process, seed uint64, within float64) {
-	if !s.Signals {
+func (s Stress) signals(p *process, seed uint64, within float64) {
+	if !s.ExtraSignals {
 		return
 	}
 	chance := rand.New(rand.NewPCG(seed, uint64(p.serial)))
@@ -83,8 +83,8 @@
 }
 
 // idle keeps so many connections open to each proxy that carry nothing, for as long as the day lasts.
-func (r *Rig) idle(day context.Context, all *sync.WaitGroup) {
-	for n := range r.Strain.Idle * len(r.fronts) {
+func (r *Harness) idle(day context.Context, all *sync.WaitGroup) {
+	for n := range r.Stress.IdleClients * len(r.fronts) {
 		all.Go(func() {
 			chance := rand.New(rand.NewPCG(r.seed, 0x69646c65+uint64(n)))
 			for day.Err() == nil {
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -28,34 +28,34 @@
 			if !byHand {
 				t.Parallel()
 			}
-			w, plan := Rolling(10, seed)
-			w.Rules.Slack = overdue - 0.05 // the newest terms: half a second late a request is lost, before it earns nothing
+			w, plan := RandomRollingRestart(10, seed)
+			w.Rules.AnswerSlack = overdue - 0.05 // the newest terms: half a second late a request is lost, before it earns nothing
 			r, err := New(w, plan, seed, []string{program, "serve"}, []string{"SANDPASS_ITSELF=1"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.Strain = Strained(seed)
-			if r.Strain.State {
-				r.State = "kept"
+			r.Stress = RandomStress(seed)
+			if r.Stress.KeepSnapshots {
+				r.SnapshotState = "kept"
 			}
-			out, err := r.Roll(context.Background(), 4, true)
+			out, err := r.RunRollingRestart(context.Background(), 4, true)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Logf("%+v: limit %.2f s, %d tiers: taken %d served %d declined %d failed %d crossed %d unheard %d, killed %d, lost %d, rules %v, late by %.3f s",
-				r.Strain, out.Limit, out.Tiers, out.Taken, out.Served, out.Declined, out.Failed, out.Crossed, out.Unheard, out.Killed, len(out.Lost),
-				out.Account.Rules, out.Lateness)
+				r.Stress, out.MaxTimeLimit, out.Tiers, out.Sent, out.Served, out.Declined, out.Failed, out.ClosedWhileIdle, out.ClosedUnanswered, out.Killed, len(out.Lost),
+				out.Account.RuleCounts, out.MaxSendDelay)
 			for _, l := range out.Lost {
 				t.Error("lost: " + l)
 			}
-			for _, b := range out.Account.Broken {
+			for _, b := range out.Account.Violations {
 				t.Errorf("broken: %+v", b)
 			}
-			if r.Strain.Idle == 0 && out.Unheard > 5+out.Taken/200 {
-				t.Errorf("%d new connections closed without a word", out.Unheard)
+			if r.Stress.IdleClients == 0 && out.ClosedUnanswered > 5+out.Sent/200 {
+				t.Errorf("%d new connections closed without a word", out.ClosedUnanswered)
 			}
-			if out.Served*5 < out.Taken {
-				t.Errorf("%d served of %d", out.Served, out.Taken)
+			if out.Served*5 < out.Sent {
+				t.Errorf("%d served of %d", out.Served, out.Sent)
 			}
 		})
 	}
--- a/internal/testbed/table.go
+++ b/internal/testbed/table.go
@@ -12,14 +12,14 @@
 
 // Table measures each program at each number of connections and size of bodies, so often in turn, and writes medians
 // with their spread as Markdown.
-func Table(ctx context.Context, out io.Writer, loads []Load, names []string, connections, bodies []int, times int) error {
+func WriteTable(ctx context.Context, out io.Writer, loads []LoadTest, names []string, connections, bodies []int, times int) error {
 	fmt.Fprintln(out, "| connections | body | path | commands/s | CPU us | open loop/s | added p50 us | p99 us | p99.9 us | failed |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	var dear []string
 	for _, body := range bodies {
 		for _, conns := range connections {
-			straight := []Measure{}
-			through := make([][]Measure, len(loads))
+			straight := []Measurement{}
+			through := make([][]Measurement, len(loads))
 			for range times {
 				for i := range loads { // in turn, so that a slower moment of the machine hits all alike
 					d, t, err := loads[i].Run(ctx, conns, body)
@@ -36,8 +36,8 @@
 					name = "proxy"
 				}
 				row(out, name, all, straight)
-				if len(all[0].Dearest) > 0 {
-					dear = append(dear, fmt.Sprintf("%d connections, %d bytes: %s", conns, body, strings.Join(all[0].Dearest, ", ")))
+				if len(all[0].HotFunctions) > 0 {
+					dear = append(dear, fmt.Sprintf("%d connections, %d bytes: %s", conns, body, strings.Join(all[0].HotFunctions, ", ")))
 				}
 			}
 		}
@@ -49,8 +49,8 @@
 }
 
 // row writes a line. Latency is what is added to the straight way's median of the same quantile.
-func row(out io.Writer, name string, all, straight []Measure) {
-	of := func(ms []Measure, f func(Measure) float64) (median, least, most float64) {
+func row(out io.Writer, name string, all, straight []Measurement) {
+	of := func(ms []Measurement, f func(Measurement) float64) (median, least, most float64) {
 		var v []float64
 		for _, m := range ms {
 			v = append(v, f(m))
@@ -58,16 +58,16 @@
 		slices.Sort(v)
 		return v[len(v)/2], v[0], v[len(v)-1]
 	}
-	rate, low, high := of(all, func(m Measure) float64 { return m.Closed })
-	cpu, _, _ := of(all, func(m Measure) float64 { return 1e6 * m.CPU })
-	open, _, _ := of(all, func(m Measure) float64 { return m.Rate })
+	rate, low, high := of(all, func(m Measurement) float64 { return m.ClosedLoopRate })
+	cpu, _, _ := of(all, func(m Measurement) float64 { return 1e6 * m.CPU })
+	open, _, _ := of(all, func(m Measurement) float64 { return m.OpenLoopRate })
 	failed := 0
 	for _, m := range all {
 		failed += m.Failed
 	}
 	fmt.Fprintf(out, "| %d | %d | %s | %.0f (%.0f to %.0f) | %.1f | %.0f |", all[0].Connections, all[0].Body, name, rate, low, high, cpu, open)
 	for k := range 3 {
-		f := func(m Measure) float64 { return 1e6 * m.Late[k] }
+		f := func(m Measurement) float64 { return 1e6 * m.Latency[k] }
 		v, low, high := of(all, f)
 		base := 0.0
 		if straight != nil {
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -27,14 +27,14 @@
 
 // can are the faults that sockets on loopback can carry out.
 var can = map[faults.Kind]bool{
-	faults.Crash: true, faults.Hang: true, faults.Slow: true, faults.Flicker: true, faults.Errors: true, faults.Refuse: true,
-	faults.Cut: true, faults.Deaf: true, faults.Spoil: true, faults.Reset: true, faults.Roll: true, faults.Zone: true, faults.Silent: true,
-	faults.Delay: true, faults.Loss: true, faults.Muddle: true, faults.Stall: true, faults.Loop: true,
-	faults.Kill: true, faults.Restart: true, faults.Burst: true, faults.Flood: true, faults.Shift: true, faults.Rude: true, faults.Storm: true,
+	faults.Crash: true, faults.Hang: true, faults.Slow: true, faults.NoisyNeighbor: true, faults.Errors: true, faults.Refuse: true,
+	faults.Partition: true, faults.IgnoreCancels: true, faults.LoseAnswers: true, faults.Reset: true, faults.RollingReplace: true, faults.ZoneLoss: true, faults.DiscoverySilent: true,
+	faults.Delay: true, faults.PacketLoss: true, faults.ReorderMessages: true, faults.StallInstances: true, faults.CrashLoop: true,
+	faults.KillInstances: true, faults.RestartInstances: true, faults.LoadBurst: true, faults.CustomerFlood: true, faults.ZoneShift: true, faults.ClientsLeave: true, faults.RetryStorm: true,
 }
 
 // Rig is one live day. Make it with New.
-type Rig struct {
+type Harness struct {
 	world    emulator.World
 	plan     faults.Plan
 	seed     uint64
@@ -49,58 +49,60 @@
 	busy     sync.WaitGroup
 	troubles sync.WaitGroup
 
-	mu        sync.Mutex
-	tiers     [][]*backend
-	all       []*backend
-	fronts    []*process
-	running   []*process
-	processes int
-	serial    int
-	active    []bool
-	targets   [][]*backend
-	lateness  float64 // seconds by which the latest command was sent after it was due
-	failure   error
-	back      float64 // when the last proxy that failed was ready again
-	waysMu    sync.Mutex
-	ways      map[way]*stretch
-	pairs     []between
-	peers     [][]string // by instance of the first tier, where it finds each sibling's messages
-	State     string     // whether proxies keep what they know over their end, and what becomes of it; one of States
-	Swap      bool       // who was killed comes back with the number of the next that was: of the same fault, which kills all at once
-	Strain    Strain     // what the processes of the first tier suffer beside the plan
-	words     string     // where the operators' file of the day is, if there is one
-	quiet     bool       // no judge: what is listed and killed is nobody's affair
+	mu            sync.Mutex
+	tiers         [][]*backend
+	all           []*backend
+	fronts        []*process
+	running       []*process
+	processes     int
+	serial        int
+	active        []bool
+	targets       [][]*backend
+	lateness      float64 // seconds by which the latest command was sent after it was due
+	failure       error
+	back          float64 // when the last proxy that failed was ready again
+	waysMu        sync.Mutex
+	ways          map[way]*stretch
+	pairs         []between
+	peers         [][]string // by instance of the first tier, where it finds each sibling's messages
+	SnapshotState string     // whether proxies keep what they know over their end, and what becomes of it; one of States
+	SwapIndexes   bool       // who was killed comes back with the number of the next that was: of the same fault, which kills all at once
+	Stress        Stress     // what the processes of the first tier suffer beside the plan
+	words         string     // where the operators' file of the day is, if there is one
+	quiet         bool       // no judge: what is listed and killed is nobody's affair
 }
 
 // States are what may become of what a proxy keeps while it is down; "" keeps nothing.
-var States = []string{"", "kept", "lost", "torn", "old"}
+var SnapshotStates = []string{"", "kept", "lost", "torn", "old"}
 
 // Outcome is what came of a live day.
-type Outcome struct {
-	Account  *checker.Account
-	Lateness float64   // seconds, the most by which a command was sent after it was due: the rig's own fault
-	CPU      []float64 // seconds of a core, of each first-tier proxy that ran to the end
-	Back     float64   // when the last proxy that had failed was ready again, 0 if none was
-	Full     []float64 // seconds that proxies which came back say they took until all was as usual
+type RunOutcome struct {
+	Account         *checker.Report
+	MaxSendDelay    float64   // seconds, the most by which a command was sent after it was due: the rig's own fault
+	CPU             []float64 // seconds of a core, of each first-tier proxy that ran to the end
+	LastRestart     float64   // when the last proxy that had failed was ready again, 0 if none was
+	RecoverySeconds []float64 // seconds that proxies which came back say they took until all was as usual
 }
 
 // New takes a world and a plan that were checked, and the command that starts one proxy (with further environment).
-func New(w emulator.World, plan faults.Plan, seed uint64, program, env []string) (*Rig, error) {
+func New(w emulator.World, plan faults.Plan, seed uint64, program, env []string) (*Harness, error) {
 	for i, f := range plan {
 		if !can[f.Kind] {
 			return nil, fmt.Errorf("fault[%d] (%s): sockets on loopback can't carry this out; the emulator can", i, f.Kind)
 		}
 	}
-	return &Rig{world: w, plan: plan, seed: seed, program: program, env: env, over: make(chan struct{}),
+	return &Harness{world: w, plan: plan, seed: seed, program: program, env: env, over: make(chan struct{}),
 		active: make([]bool, len(plan)), targets: make([][]*backend, len(plan))}, nil
 }
 
 // clock is the time of the day.
-func (r *Rig) clock() float64 { return time.Since(r.start).Seconds() }
+func (r *Harness) clock() float64 { return time.Since(r.start).Seconds() }
 
-func (r *Rig) at(t float64) time.Time { return r.start.Add(time.Duration(t * float64(time.Second))) }
+func (r *Harness) at(t float64) time.Time {
+	return r.start.Add(time.Duration(t * float64(time.Second)))
+}
 
-func (r *Rig) verbOf(path string) int {
+func (r *Harness) verbOf(path string) int {
 	for i, v := range r.world.Verbs {
 		if path == "/"+v.Name {
 			return i
@@ -110,20 +112,20 @@
 }
 
 // hard is how hard a kind of trouble is just now, 0 while none is in force.
-func (r *Rig) hard(k faults.Kind) float64 {
+func (r *Harness) hard(k faults.Kind) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	most := 0.0
 	for i, f := range r.plan {
 		if r.active[i] && f.Kind == k {
-			most = max(most, f.At(r.clock()))
+			most = max(most, f.SeverityAt(r.clock()))
 		}
 	}
 	return most
 }
 
 // open starts all, with books that begin empty.
-func (r *Rig) open() (err error) {
+func (r *Harness) open() (err error) {
 	if r.dir, err = os.MkdirTemp("", "sandlab-"); err != nil {
 		return err
 	}
@@ -131,14 +133,14 @@
 		return err
 	}
 	w := &r.world
-	r.books = &books{world: w, start: time.Now(), all: map[uint64]*record{}, judge: checker.New(checker.Terms{Slack: 0.05 + w.Rules.Slack,
-		Grace: w.Rules.Grace, Multiple: w.Rules.ColdMultiple, Window: w.Rules.ColdWindow, Hedges: w.Rules.Copies, AttemptPrice: w.Prices.Relay,
-		LateRejectionPrice: w.Prices.LateNo, Length: w.Length, Tenants: len(w.Customers)})}
+	r.books = &books{world: w, start: time.Now(), all: map[uint64]*record{}, judge: checker.New(checker.Config{AnswerSlack: 0.05 + w.Rules.AnswerSlack,
+		DrainGrace: w.Rules.DrainGrace, ColdMultiple: w.Rules.ColdMultiple, ColdWindow: w.Rules.ColdWindow, SecondCopies: w.Rules.SecondCopies, RelayPrice: w.Prices.Relay,
+		LateDeclinePrice: w.Prices.LateDecline, Duration: w.Duration, Customers: len(w.Customers)})}
 	return r.build()
 }
 
 // begin starts the day's clock and its troubles.
-func (r *Rig) begin(ctx context.Context) {
+func (r *Harness) begin(ctx context.Context) {
 	r.start = time.Now()
 	r.books.mu.Lock()
 	r.books.start = r.start
@@ -150,7 +152,7 @@
 }
 
 // Play starts all, plays the day and ends all.
-func (r *Rig) Play(ctx context.Context) (out Outcome, err error) {
+func (r *Harness) Run(ctx context.Context) (out RunOutcome, err error) {
 	defer r.end()
 	if err := r.open(); err != nil {
 		return out, err
@@ -165,8 +167,8 @@
 			return out, ctx.Err()
 		}
 		r.lateness = max(r.lateness, time.Since(r.at(a.Due)).Seconds())
-		if a.Counts {
-			r.books.client(func(j *checker.Checker) { j.Asked(a.Due, a.Customer, a.Worth) })
+		if a.Measured {
+			r.books.client(func(j *checker.Checker) { j.OperationRequested(a.Due, a.Customer, a.Utility) })
 		}
 		r.busy.Add(1)
 		go r.operation(a)
@@ -178,7 +180,7 @@
 	}
 	// The books are closed before proxies end: what one still owes then is not forgiven.
 	r.books.mu.Lock()
-	out.Account, out.Lateness, out.Back = r.books.judge.Close(r.books.now()), r.lateness, r.back
+	out.Account, out.MaxSendDelay, out.LastRestart = r.books.judge.Close(r.books.now()), r.lateness, r.back
 	r.books.mu.Unlock()
 	var stops sync.WaitGroup
 	for _, p := range r.fronts {
@@ -191,7 +193,7 @@
 		if p != nil {
 			out.CPU = append(out.CPU, p.cpu())
 			if p.again {
-				out.Full = append(out.Full, p.full()...)
+				out.RecoverySeconds = append(out.RecoverySeconds, p.full()...)
 			}
 		}
 	}
@@ -199,7 +201,7 @@
 }
 
 // build starts backends and proxies, the last tier first.
-func (r *Rig) build() error {
+func (r *Harness) build() error {
 	w := &r.world
 	for range w.Tiers {
 		r.lists = append(r.lists, newTierList())
@@ -223,7 +225,7 @@
 		if err != nil {
 			return err
 		}
-		p.weight = math.Exp(w.Skew * skew.NormFloat64())
+		p.weight = math.Exp(w.InstanceSkew * skew.NormFloat64())
 		r.mu.Lock()
 		r.fronts, r.running = append(r.fronts, p), append(r.running, p)
 		r.mu.Unlock()
@@ -232,7 +234,7 @@
 }
 
 // place starts a backend, with its proxy to the next tier, and lists it.
-func (r *Rig) place(tier, at int, speed float64, started time.Time) error {
+func (r *Harness) place(tier, at int, speed float64, started time.Time) error {
 	r.mu.Lock()
 	b, err := r.startBackend(tier, at, speed, nil, started)
 	if err != nil {
@@ -262,7 +264,7 @@
 }
 
 // end ends all that was started.
-func (r *Rig) end() {
+func (r *Harness) end() {
 	close(r.over)
 	r.mu.Lock()
 	all, running := r.all, r.running
@@ -281,7 +283,7 @@
 }
 
 // trouble carries one fault out.
-func (r *Rig) trouble(ctx context.Context, n int) {
+func (r *Harness) trouble(ctx context.Context, n int) {
 	defer r.troubles.Done()
 	f := r.plan[n]
 	wait := func(t float64) bool {
@@ -310,7 +312,7 @@
 	}()
 	r.burdenAll()
 	switch f.Kind {
-	case faults.Crash, faults.Zone:
+	case faults.Crash, faults.ZoneLoss:
 		for _, b := range hit {
 			b.stop()
 		}
@@ -324,7 +326,7 @@
 				r.again(b)
 			}
 		}
-	case faults.Roll:
+	case faults.RollingReplace:
 		for i, b := range hit {
 			if !wait(f.From + f.For*float64(i)/float64(len(hit))) {
 				return
@@ -333,7 +335,7 @@
 			go func() {
 				defer r.troubles.Done()
 				r.lists[b.tier].add(b, "draining")
-				if !wait(r.clock() + r.world.Rules.Drain) {
+				if !wait(r.clock() + r.world.Rules.DrainTime) {
 					return
 				}
 				b.stop()
@@ -343,7 +345,7 @@
 				}
 			}()
 		}
-	case faults.Silent:
+	case faults.DiscoverySilent:
 		for _, l := range r.lists {
 			l.hush(true)
 		}
@@ -351,15 +353,15 @@
 		for _, l := range r.lists {
 			l.hush(false)
 		}
-	case faults.Kill, faults.Restart:
+	case faults.KillInstances, faults.RestartInstances:
 		r.turnOver(f, wait)
-	case faults.Stall:
+	case faults.StallInstances:
 		r.stall(f, wait)
-	case faults.Loop:
+	case faults.CrashLoop:
 		r.crashLoop(f, wait)
 	default:
 		step := rampStep
-		if !f.Ramps() && f.Kind != faults.Flicker {
+		if !f.Ramps() && f.Kind != faults.NoisyNeighbor {
 			wait(end)
 			return
 		}
@@ -372,7 +374,7 @@
 	}
 }
 
-func (r *Rig) fail(err error) {
+func (r *Harness) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.failure == nil {
@@ -381,12 +383,12 @@
 }
 
 // hit draws what a fault hits; r.mu is held.
-func (r *Rig) hit(f faults.Fault) []*backend {
-	return faults.Hit(f, r.tiers[f.Tier], func(b *backend) int { return b.zone })
+func (r *Harness) hit(f faults.Fault) []*backend {
+	return faults.PickBackends(f, r.tiers[f.Tier], func(b *backend) int { return b.zone })
 }
 
 // again starts a backend's process anew at its address, cold, under its name.
-func (r *Rig) again(old *backend) {
+func (r *Harness) again(old *backend) {
 	r.mu.Lock()
 	b, err := r.startBackend(old.tier, old.place, old.machine.speed, old, time.Now())
 	if err == nil {
@@ -410,14 +412,14 @@
 }
 
 // burdenAll takes anew what each backend has to bear, from all faults in force.
-func (r *Rig) burdenAll() {
+func (r *Harness) burdenAll() {
 	defer r.turn()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
 	for _, tier := range r.tiers {
 		for _, b := range tier {
-			var u faults.Burden
+			var u faults.Impairment
 			for i, f := range r.plan {
 				if r.active[i] && slices.Contains(r.targets[i], b) {
 					u.Add(f, now)
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -24,7 +24,7 @@
 		wrongProxy(os.Getenv("WRONG_PROXY"))
 		return
 	}
-	if was, err := Here(); was {
+	if was, err := RunProxyIfRequested(); was {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -82,22 +82,22 @@
 // tiny is a world of a few processes.
 func tiny() emulator.World {
 	w := emulator.Default()
-	w.Length, w.Warmup, w.Zones, w.Instances, w.Rate = 6, 0.5, 2, 2, 60
+	w.Duration, w.Warmup, w.Zones, w.Instances, w.Rate = 6, 0.5, 2, 2, 60
 	w.Tiers[0].Backends, w.Tiers[1].Backends = 4, 3
-	w.Rules.ColdSpan, w.Rules.Drain, w.Clients.Early = 2, 0.8, 0
+	w.Rules.WarmUp, w.Rules.DrainTime, w.Clients.EarlyLeaveShare = 2, 0.8, 0
 	return w
 }
 
-func play(t *testing.T, w emulator.World, plan faults.Plan, env ...string) Outcome {
+func play(t *testing.T, w emulator.World, plan faults.Plan, env ...string) RunOutcome {
 	t.Helper()
-	if err := plan.Check(w.Extent()); err != nil {
+	if err := plan.Check(w.Bounds()); err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(w, plan, 5, []string{os.Args[0]}, append([]string{HereEnv + "=1"}, env...))
+	r, err := New(w, plan, 5, []string{os.Args[0]}, append([]string{RunProxyEnv + "=1"}, env...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := r.Play(context.Background())
+	out, err := r.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,21 +113,21 @@
 		{"backends", faults.Plan{
 			{Kind: faults.Crash, Zone: -1, To: -1, Share: 0.25, From: 1.5, For: 1.5},
 			{Kind: faults.Slow, Tier: 1, Zone: -1, To: -1, Share: 0.3, From: 2, For: 2, Hard: 0.7},
-			{Kind: faults.Spoil, Tier: 0, Zone: -1, To: -1, Share: 1, From: 1, For: 3, Hard: 0.05},
+			{Kind: faults.LoseAnswers, Tier: 0, Zone: -1, To: -1, Share: 1, From: 1, For: 3, Hard: 0.05},
 			{Kind: faults.Refuse, Tier: 1, Zone: -1, To: -1, Share: 0.3, From: 3, For: 2, Hard: 0.5},
 		}},
 		{"fleet", faults.Plan{
-			{Kind: faults.Roll, Zone: -1, To: -1, Share: 0.5, From: 1, For: 1.5},
-			{Kind: faults.Restart, Zone: -1, To: -1, Share: 0.5, From: 1.5, For: 1},
-			{Kind: faults.Silent, Zone: -1, To: -1, From: 3, For: 1},
+			{Kind: faults.RollingReplace, Zone: -1, To: -1, Share: 0.5, From: 1, For: 1.5},
+			{Kind: faults.RestartInstances, Zone: -1, To: -1, Share: 0.5, From: 1.5, For: 1},
+			{Kind: faults.DiscoverySilent, Zone: -1, To: -1, From: 3, For: 1},
 		}},
 		{"links", faults.Plan{
-			{Kind: faults.Cut, Zone: 1, To: -1, From: 1, For: 1.5, Hard: 1},
+			{Kind: faults.Partition, Zone: 1, To: -1, From: 1, For: 1.5, Hard: 1},
 			{Kind: faults.Crash, Zone: -1, To: -1, Share: 0.25, From: 3, For: 1},
 		}},
 		{"one-way cut and a kill", faults.Plan{
-			{Kind: faults.Cut, Zone: 0, To: 1, From: 1, For: 2, Hard: 0.5},
-			{Kind: faults.Kill, Zone: -1, To: -1, Share: 0.5, From: 1.5, For: 1},
+			{Kind: faults.Partition, Zone: 0, To: 1, From: 1, For: 2, Hard: 0.5},
+			{Kind: faults.KillInstances, Zone: -1, To: -1, Share: 0.5, From: 1.5, For: 1},
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -135,13 +135,13 @@
 			w := tiny()
 			out := play(t, w, c.plan)
 			a := out.Account
-			if want := len(emulator.Arrivals(w, c.plan, 5)); a.Ops == 0 || a.Ops > want {
-				t.Errorf("%d operations of %d", a.Ops, want)
+			if want := len(emulator.Arrivals(w, c.plan, 5)); a.Operations == 0 || a.Operations > want {
+				t.Errorf("%d operations of %d", a.Operations, want)
 			}
-			if a.Count() > 0 && out.Lateness < 0.04 { // else the machine at hand is no measure
-				t.Errorf("rules: %v", a.Broken)
+			if a.ViolationCount() > 0 && out.MaxSendDelay < 0.04 { // else the machine at hand is no measure
+				t.Errorf("rules: %v", a.Violations)
 			}
-			if served := a.Served / a.Asked; served < 0.6 {
+			if served := a.ServedUtility / a.OfferedUtility; served < 0.6 {
 				t.Errorf("served %.2f; lost %v", served, a.Losses)
 			}
 		})
@@ -153,25 +153,25 @@
 		rule checker.Rule
 		want string
 	}{
-		"twice":   {checker.Twice, "may have run"},
-		"made-up": {checker.Answer, "what no backend made"},
-		"silent":  {checker.Answer, "never had a final answer"},
+		"twice":   {checker.NoDoubleEffect, "may have run"},
+		"made-up": {checker.OneAnswer, "what no backend made"},
+		"silent":  {checker.OneAnswer, "never had a final answer"},
 	} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			w := tiny()
-			w.Length, w.Rate = 2, 20
-			w.OneTier()
+			w.Duration, w.Rate = 2, 20
+			w.KeepFirstTier()
 			a := play(t, w, nil, "WRONG_PROXY="+how).Account
-			if a.Rules[c.rule] == 0 || !strings.Contains(fmt.Sprint(a.Broken), c.want) {
-				t.Errorf("want rule %d and %q, have %v", c.rule, c.want, a.Broken)
+			if a.RuleCounts[c.rule] == 0 || !strings.Contains(fmt.Sprint(a.Violations), c.want) {
+				t.Errorf("want rule %d and %q, have %v", c.rule, c.want, a.Violations)
 			}
 		})
 	}
 }
 
 func TestWhatSocketsCannotDoIsNamed(t *testing.T) {
-	_, err := New(tiny(), faults.Plan{{Kind: faults.Slow}, {Kind: faults.Skew}}, 1, nil, nil)
+	_, err := New(tiny(), faults.Plan{{Kind: faults.Slow}, {Kind: faults.DeadlineSkew}}, 1, nil, nil)
 	if err == nil || !strings.Contains(err.Error(), "fault[1] (skew): sockets on loopback can't carry this out") {
 		t.Error(err)
 	}
@@ -182,16 +182,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.Play(context.Background()); err == nil || !strings.Contains(err.Error(), "ended before it was ready: no licence") {
+	if _, err := r.Run(context.Background()); err == nil || !strings.Contains(err.Error(), "ended before it was ready: no licence") {
 		t.Error(err)
 	}
 }
 
 // The measure must see a proxy that adds time, and count from when a command was due.
 func TestLoadMeasures(t *testing.T) {
-	l := Load{Seconds: 0.4, Program: []string{os.Args[0]}, Env: []string{HereEnv + "=1"}, Profile: true, Rate: 300}
+	l := LoadTest{Seconds: 0.4, Program: []string{os.Args[0]}, Env: []string{RunProxyEnv + "=1"}, Profile: true, OpenLoopRate: 300}
 	var b strings.Builder
-	if err := Table(context.Background(), &b, []Load{l}, []string{""}, []int{4}, []int{100}, 1); err != nil {
+	if err := WriteTable(context.Background(), &b, []LoadTest{l}, []string{""}, []int{4}, []int{100}, 1); err != nil {
 		t.Fatal(err)
 	}
 	if text := b.String(); strings.Count(text, "\n| 4 | 100 | ") != 2 || !strings.Contains(text, "Dearest at 4 connections, 100 bytes: ") {
@@ -201,7 +201,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Closed <= 0 || m.Closed >= d.Closed || m.CPU <= 0 || m.Failed+d.Failed > 0 || m.Late[0] <= 0 {
+	if m.ClosedLoopRate <= 0 || m.ClosedLoopRate >= d.ClosedLoopRate || m.CPU <= 0 || m.Failed+d.Failed > 0 || m.Latency[0] <= 0 {
 		t.Errorf("straight %+v, through %+v", d, m)
 	}
 }
--- a/internal/testbed/ways.go
+++ b/internal/testbed/ways.go
@@ -20,26 +20,26 @@
 }
 
 type stretch struct {
-	*faultnet.Stream
+	*faultnet.StreamForwarder
 	to  int  // zone of the backend
 	cut bool // one direction or both
 }
 
 // between is the way of messages between two siblings.
 type between struct {
-	*faultnet.Pair
+	*faultnet.DatagramForwarder
 	from, to int // their zones
 }
 
 // hasWays tells whether the plan has faults of links.
-func (r *Rig) hasWays() bool {
+func (r *Harness) hasWays() bool {
 	return slices.ContainsFunc(r.plan, func(f faults.Fault) bool {
-		return f.Kind == faults.Cut || f.Kind == faults.Delay || f.Kind == faults.Loss || f.Kind == faults.Muddle
+		return f.Kind == faults.Partition || f.Kind == faults.Delay || f.Kind == faults.PacketLoss || f.Kind == faults.ReorderMessages
 	})
 }
 
 // through is where proxies of a zone find a backend.
-func (r *Rig) through(from int, b *backend) (string, error) {
+func (r *Harness) through(from int, b *backend) (string, error) {
 	if !r.hasWays() {
 		return b.address, nil
 	}
@@ -47,26 +47,26 @@
 	defer r.waysMu.Unlock()
 	k := way{from, b.address}
 	if r.ways[k] == nil {
-		made, err := faultnet.NewStream(b.address, r.seed+uint64(len(r.ways)))
+		made, err := faultnet.NewStreamForwarder(b.address, r.seed+uint64(len(r.ways)))
 		if err != nil {
 			return "", err
 		}
 		if r.ways == nil {
 			r.ways = map[way]*stretch{}
 		}
-		r.ways[k] = &stretch{Stream: made, to: b.zone}
+		r.ways[k] = &stretch{StreamForwarder: made, to: b.zone}
 		r.fit(k)
 	}
 	return r.ways[k].Addr(), nil
 }
 
 // left is when the first so many bytes of a connection were sent to a backend, if a way that may hold them up is between.
-func (r *Rig) left(b *backend, from net.Addr, bytes int64) (at float64, known bool) {
+func (r *Harness) left(b *backend, from net.Addr, bytes int64) (at float64, known bool) {
 	r.waysMu.Lock()
 	defer r.waysMu.Unlock()
 	for z := range r.world.Zones { // at most one of them knows the connection
 		if s := r.ways[way{z, b.address}]; s != nil {
-			if t, ok := s.Left(from, bytes); ok {
+			if t, ok := s.ReceivedAt(from, bytes); ok {
 				return t.Sub(r.start).Seconds(), true
 			}
 		}
@@ -76,7 +76,7 @@
 
 // meetings gives each instance of the first tier an address for messages, and each the addresses at which it finds the
 // others; nil where siblings say nothing to one another.
-func (r *Rig) meetings() error {
+func (r *Harness) meetings() error {
 	if !r.world.Rules.Peers {
 		return nil
 	}
@@ -99,11 +99,11 @@
 	}
 	for i := range n {
 		for k := range i {
-			p, err := faultnet.NewPair(netip.MustParseAddrPort(own[k]), netip.MustParseAddrPort(own[i]), r.seed+uint64(i*n+k))
+			p, err := faultnet.NewDatagramForwarder(netip.MustParseAddrPort(own[k]), netip.MustParseAddrPort(own[i]), r.seed+uint64(i*n+k))
 			if err != nil {
 				return fmt.Errorf("a way between two siblings: %w", err)
 			}
-			r.peers[k][i], r.peers[i][k] = p.ForLeft(), p.ForRight()
+			r.peers[k][i], r.peers[i][k] = p.AddrForLeft(), p.AddrForRight()
 			r.pairs = append(r.pairs, between{p, k % r.world.Zones, i % r.world.Zones})
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 // weather is what the faults in force make of what goes from one zone to another.
-func (r *Rig) weather(from, to int) (w faultnet.Weather) {
+func (r *Harness) weather(from, to int) (w faultnet.Conditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, f := range r.plan {
@@ -120,46 +120,46 @@
 		}
 		now := r.clock()
 		switch {
-		case f.Cuts(from, to):
-			w.Cut = true
-		case f.Kind == faults.Delay && f.Touches(from, to):
-			w.Delay += f.At(now)
-		case f.Kind == faults.Loss && f.Touches(from, to):
-			w.Loss = 1 - (1-w.Loss)*(1-f.At(now))
-		case f.Kind == faults.Muddle:
-			w.Twice, w.Swap = f.At(now), f.At(now)
+		case f.Blocks(from, to):
+			w.Blocked = true
+		case f.Kind == faults.Delay && f.AffectsPath(from, to):
+			w.Delay += f.SeverityAt(now)
+		case f.Kind == faults.PacketLoss && f.AffectsPath(from, to):
+			w.Loss = 1 - (1-w.Loss)*(1-f.SeverityAt(now))
+		case f.Kind == faults.ReorderMessages:
+			w.Duplicate, w.Reorder = f.SeverityAt(now), f.SeverityAt(now)
 		}
 	}
-	w.Jitter, w.Again = r.world.Net.Jitter*w.Delay, r.world.Net.Again
+	w.Jitter, w.RetransmitDelay = r.world.Net.Jitter*w.Delay, r.world.Net.RetransmitDelay
 	return w
 }
 
 // fit has a way's weather follow the faults in force; r.waysMu is held. When a cut ends the connections break that stood
 // in it, as in the emulator: what their senders have long given up must not reach a backend as if it were new.
-func (r *Rig) fit(k way) {
+func (r *Harness) fit(k way) {
 	s := r.ways[k]
 	there, back := r.weather(k.from, s.to), r.weather(s.to, k.from)
-	if s.cut && !there.Cut && !back.Cut {
+	if s.cut && !there.Blocked && !back.Blocked {
 		s.Reset()
 	}
-	s.cut = there.Cut || back.Cut
-	s.Set(there, back)
+	s.cut = there.Blocked || back.Blocked
+	s.SetConditions(there, back)
 }
 
 // turn has all ways follow the faults in force.
-func (r *Rig) turn() {
+func (r *Harness) turn() {
 	r.waysMu.Lock()
 	defer r.waysMu.Unlock()
 	for k := range r.ways { // each by itself, so no order is needed
 		r.fit(k)
 	}
 	for _, p := range r.pairs {
-		p.Set(r.weather(p.from, p.to), r.weather(p.to, p.from))
+		p.SetConditions(r.weather(p.from, p.to), r.weather(p.to, p.from))
 	}
 }
 
 // endWays closes all forwarders.
-func (r *Rig) endWays() {
+func (r *Harness) endWays() {
 	r.waysMu.Lock()
 	defer r.waysMu.Unlock()
 	for _, s := range r.ways {
