--- a/internal/configwatch/statemachine_test.go
+++ b/internal/configwatch/statemachine_test.go
@@ -159,15 +159,15 @@
 		"too large": {func(u *revision.Update) {
 			full(u)
 			u.Scopes[1].Document = revision.Document(`{"a":"` + strings.Repeat("x", revision.MaxDocumentBytes) + `"}`)
-		}, "the limit is", true},
+		}, "are allowed", true},
 		"too large as a patch": {func(u *revision.Update) {
 			u.Scopes[0].Patch = revision.Document(`{"a":"` + strings.Repeat("x", revision.MaxDocumentBytes) + `"}`)
-		}, "the limit is", false},
+		}, "are allowed", false},
 		"too large together": {func(u *revision.Update) {
 			full(u)
 			u.Scopes[0].Document = revision.Document(`{"a":"` + strings.Repeat("x", 600_000) + `"}`)
 			u.Scopes[1].Document = revision.Document(`{"b":"` + strings.Repeat("x", 600_000) + `"}`)
-		}, "the limit is", true},
+		}, "are allowed", true},
 	} {
 		m, update := newTestMachine(testConfiguration(t), true), testUpdate(t)
 		c.modify(&update)
--- a/internal/revision/document.go
+++ b/internal/revision/document.go
@@ -28,7 +28,7 @@
 // the key whose value is null, which a merge patch could not represent.
 func Canonicalize(text []byte) (Document, error) {
 	if len(text) > MaxDocumentBytes {
-		return nil, fmt.Errorf("the document has %d bytes, the limit is %d", len(text), MaxDocumentBytes)
+		return nil, fmt.Errorf("the document has %d bytes, %d are allowed", len(text), MaxDocumentBytes)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -38,7 +38,7 @@
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		line, column := position(text, decoder.InputOffset())
-		return nil, fmt.Errorf("line %d, column %d: data follows the document", line, column)
+		return nil, fmt.Errorf("line %d, column %d: something follows the document", line, column)
 	}
 	if value == nil {
 		return nil, errors.New("line 1, column 1: the document is not an object")
@@ -62,7 +62,7 @@
 		err = errors.New("the document is not an object")
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
 		offset = int64(len(text))
-		err = errors.New("the document is truncated")
+		err = errors.New("the document breaks off")
 	}
 	line, column := position(text, offset)
 	return fmt.Errorf("line %d, column %d: %w", line, column, err)
@@ -78,7 +78,7 @@
 // checkValue returns an error for a null, or for nesting deeper than maxDepth.
 func checkValue(value any, path string, depth int) error {
 	if depth > maxDepth {
-		return fmt.Errorf("%s: nested deeper than %d levels", path, maxDepth)
+		return fmt.Errorf("%s: nested over %d levels", path, maxDepth)
 	}
 	switch value := value.(type) {
 	case nil:
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -25,15 +25,15 @@
 func TestErrorsOfInvalidDocuments(t *testing.T) {
 	for text, want := range map[string]string{
 		"{\n \"a\": }":     "line 2, column",
-		"{\"a\": 1":        "is truncated",
+		"{\"a\": 1":        "breaks off",
 		"[1]":              "not an object",
 		"null":             "not an object",
-		"{} {}":            "data follows",
+		"{} {}":            "something follows",
 		`{"a":{"b":null}}`: "a.b is null",
-		"":                 "is truncated",
+		"":                 "breaks off",
 		`{"a":[{"c":null}]}` + strings.Repeat(" ", 3):               "a[0].c is null",
 		strings.Repeat(`{"a":`, 70) + "1" + strings.Repeat("}", 70): "nested",
-		strings.Repeat(" ", MaxDocumentBytes+1):                     "the limit is",
+		strings.Repeat(" ", MaxDocumentBytes+1):                     "are allowed",
 	} {
 		_, err := Canonicalize([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
