--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -58,7 +58,7 @@
 		if outcome := s.Apply(command); outcome.Err != nil {
 			b.Fatal(outcome.Err)
 		}
-		tell(b, s, sessions)
+		deliverUpdates(b, s, sessions)
 	}
 }
 
@@ -72,11 +72,11 @@
 		}
 		sessions = append(sessions, session)
 	}
-	tell(b, s, sessions)
+	deliverUpdates(b, s, sessions)
 	return sessions
 }
 
-func tell(b *testing.B, s *State, sessions []*Session) {
+func deliverUpdates(b *testing.B, s *State, sessions []*Session) {
 	for _, session := range sessions {
 		update, err := session.NextUpdate(s)
 		if err != nil || update == nil {
--- a/internal/control/guard_test.go
+++ b/internal/control/canarycontroller_test.go
@@ -11,7 +11,7 @@
 )
 
 // zones gives so many proxies in each of some zones.
-func zones(count, each int) []revision.Identity {
+func proxiesInZones(count, each int) []revision.Identity {
 	var identities []revision.Identity
 	for zone := range count {
 		for i := range each {
@@ -36,20 +36,20 @@
 		scope     revision.Scope
 		want      string
 	}{
-		"the fleet":         {zones(3, 20), revision.FleetScope, "z00-00 z01-00 z02-00"},
-		"a share":           {zones(11, 2), revision.FleetScope, "z00-00 z01-00"},
-		"one at least":      {zones(3, 1), revision.FleetScope, "z00-00"},
-		"a zone":            {zones(4, 20), zone, "z03-00"},
-		"a service":         {zones(3, 20), service, "z00-01 z01-01 z02-01"},
-		"a proxy":           {zones(3, 20), one, "z01-02"},
-		"none concerned":    {zones(1, 20), zone, ""},
+		"the fleet":         {proxiesInZones(3, 20), revision.FleetScope, "z00-00 z01-00 z02-00"},
+		"a share":           {proxiesInZones(11, 2), revision.FleetScope, "z00-00 z01-00"},
+		"one at least":      {proxiesInZones(3, 1), revision.FleetScope, "z00-00"},
+		"a zone":            {proxiesInZones(4, 20), zone, "z03-00"},
+		"a service":         {proxiesInZones(3, 20), service, "z00-01 z01-01 z02-01"},
+		"a proxy":           {proxiesInZones(3, 20), one, "z01-02"},
+		"none concerned":    {proxiesInZones(1, 20), zone, ""},
 		"none is connected": {nil, revision.FleetScope, ""},
 	} {
 		if got := strings.Join(g.SelectCanaries(test.connected, test.scope), " "); got != test.want {
 			t.Errorf("%s: %s; wanted %s", name, got, test.want)
 		}
 	}
-	shuffled := zones(11, 51)
+	shuffled := proxiesInZones(11, 51)
 	slices.Reverse(shuffled)
 	if canaries := g.SelectCanaries(shuffled, revision.FleetScope); len(canaries) != 11 || canaries[0] != "z00-00" {
 		t.Errorf("of 561 proxies: %v", canaries)
@@ -88,7 +88,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewState(simFleet)
-			accept(t, s, apply("1", revision.FleetScope, 0, "{}"), tried("2", revision.FleetScope, 1, "{}", "p1", "p2", "p3"))
+			mustApply(t, s, apply("1", revision.FleetScope, 0, "{}"), applyWithCanaries("2", revision.FleetScope, 1, "{}", "p1", "p2", "p3"))
 			g := NewCanaryController(CanaryConfig{})
 			var due []string
 			words := test.words
@@ -126,10 +126,10 @@
 		"late": {PostReleaseWatchSeconds + 2, StageReleased},
 	} {
 		s := NewState(simFleet)
-		accept(t, s, apply("1", revision.FleetScope, 0, "{}"), tried("2", revision.FleetScope, 1, "{}", "p1"))
+		mustApply(t, s, apply("1", revision.FleetScope, 0, "{}"), applyWithCanaries("2", revision.FleetScope, 1, "{}", "p1"))
 		g := NewCanaryController(CanaryConfig{})
 		g.PendingCommands(0, s)
-		accept(t, s, release(2))
+		mustApply(t, s, release(2))
 		g.PendingCommands(1, s)
 		g.PendingCommands(test.at, s)
 		g.RecordReport(test.at, "p5", refusal)
@@ -144,19 +144,19 @@
 
 func TestAtOnceIsNeverHeld(t *testing.T) {
 	s := NewState(simFleet)
-	command := tried("1", revision.FleetScope, 0, "{}", "p1")
+	command := applyWithCanaries("1", revision.FleetScope, 0, "{}", "p1")
 	command.Apply.AtOnce = true
-	accept(t, s, command)
+	mustApply(t, s, command)
 	g := NewCanaryController(CanaryConfig{})
 	g.RecordReport(0, "p1", revision.Report{Revision: 1, Verdict: revision.Refused})
-	if due := g.PendingCommands(9, s); len(due) != 0 || s.chains[revision.FleetScope].released() == nil {
+	if due := g.PendingCommands(9, s); len(due) != 0 || s.chains[revision.FleetScope].latestReleased() == nil {
 		t.Errorf("%v is due, %s", due, stages(s))
 	}
 }
 
 func TestACommandThatWasDroppedIsGivenAgain(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s, tried("1", revision.FleetScope, 0, "{}", "p1"))
+	mustApply(t, s, applyWithCanaries("1", revision.FleetScope, 0, "{}", "p1"))
 	g := NewCanaryController(CanaryConfig{})
 	g.RecordReport(0, "p1", revision.Report{Revision: 1, Verdict: revision.InForce})
 	var given []float64
@@ -173,10 +173,10 @@
 
 func TestASilentCanaryLetsAnotherGoFirst(t *testing.T) {
 	s := NewState(simFleet)
-	connected := zones(2, 20)
+	connected := proxiesInZones(2, 20)
 	g := NewCanaryController(CanaryConfig{})
 	canaries := g.SelectCanaries(connected, revision.FleetScope)
-	accept(t, s, tried("1", revision.FleetScope, 0, "{}", canaries...))
+	mustApply(t, s, applyWithCanaries("1", revision.FleetScope, 0, "{}", canaries...))
 	g.PendingCommands(0, s)
 	g.RecordReport(0, canaries[0], revision.Report{Revision: 1, Verdict: revision.InForce})
 	g.PendingCommands(1, s)
@@ -191,9 +191,9 @@
 
 func TestANewLeaderLearnsWhatCanariesSaid(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s, tried("1", revision.FleetScope, 0, "{}", "p1"))
+	mustApply(t, s, applyWithCanaries("1", revision.FleetScope, 0, "{}", "p1"))
 	view := NewFleetView()
-	identity := someone
+	identity := testIdentity
 	view.RecordWatchOpened(time.Unix(1, 0), "r1", revision.Hello{Identity: identity})
 	view.RecordReport(time.Unix(2, 0), "r1", revision.Hello{Identity: identity}, revision.Report{
 		Revision: 1, Verdict: revision.Refused, Reason: "no such key",
--- a/internal/control/chain.go
+++ b/internal/control/chain.go
@@ -7,9 +7,10 @@
 	"sandpass/internal/revision"
 )
 
-// chain is the revisions of one scope that are kept, ascending.
+// chain holds the retained revisions of one scope, in ascending order of their numbers.
 type chain []*Entry
 
+// latestNumber returns the number of the newest revision, or 0 if there is none.
 func (c chain) latestNumber() revision.Number {
 	if len(c) == 0 {
 		return 0
@@ -17,7 +18,7 @@
 	return c[len(c)-1].Number
 }
 
-// find gives the revision of a number, nil for none.
+// find returns the revision with the given number, or nil.
 func (c chain) find(number revision.Number) *Entry {
 	i, found := slices.BinarySearchFunc(c, number, func(entry *Entry, number revision.Number) int {
 		return cmp.Compare(entry.Number, number)
@@ -28,73 +29,75 @@
 	return c[i]
 }
 
-// offered says whether all proxies were offered a revision and none refused it in time.
-func offered(entry *Entry) bool { return entry.WasReleased && entry.Stage != StageHeld }
+// releasedAndNotHeld reports whether a revision was released to all proxies and was not held afterwards because a proxy
+// refused it.
+func releasedAndNotHeld(entry *Entry) bool { return entry.WasReleased && entry.Stage != StageHeld }
 
-// released gives the revision that all proxies are to have, nil for none.
-func (c chain) released() *Entry {
+// latestReleased returns the revision that all proxies should have, or nil.
+func (c chain) latestReleased() *Entry {
 	for _, entry := range slices.Backward(c) {
-		if offered(entry) {
+		if releasedAndNotHeld(entry) {
 			return entry
 		}
 	}
 	return nil
 }
 
-// target gives the revision that a proxy is to have which holds one already, 0 for none: its trial if it is a canary,
-// else the released one, but never an older one than it holds. Nil means none.
+// target returns the revision that a proxy should have, given the number that it holds (0 for none): the revision on trial
+// if the proxy is one of its canaries, otherwise the latest released one. The target is never older than the held
+// revision. A nil entry means that the proxy should have no revision of this scope.
 func (c chain) target(proxy string, held revision.Number) (*Entry, error) {
 	if len(c) == 0 {
 		return nil, nil
 	}
-	wanted := c.released()
+	target := c.latestReleased()
 	latest := c[len(c)-1]
 	if latest.Stage == StageTrial && slices.Contains(latest.Canaries, proxy) {
-		wanted = latest
+		target = latest
 	}
-	if wanted != nil && wanted.Number >= held {
-		return wanted, nil
+	if target != nil && target.Number >= held {
+		return target, nil
 	}
 	if held == 0 {
 		return nil, nil
 	}
-	kept := c.find(held)
-	if kept == nil {
+	heldEntry := c.find(held)
+	if heldEntry == nil {
 		return nil, &UnknownRevisionError{Scope: latest.Scope, Number: held}
 	}
-	return kept, nil
+	return heldEntry, nil
 }
 
-// supersedeTrial ends a trial because a newer revision came.
+// supersedeTrial ends the trial of the newest revision, if there is one, because a newer revision is being added.
 func (c chain) supersedeTrial() {
 	if len(c) > 0 && c[len(c)-1].Stage == StageTrial {
 		c[len(c)-1].Stage = StageSuperseded
 	}
 }
 
-// supersedeReleased marks the released revision as replaced.
+// supersedeReleased marks the latest released revision as replaced by a newer one.
 func (c chain) supersedeReleased() {
-	if released := c.released(); released != nil {
+	if released := c.latestReleased(); released != nil {
 		released.Stage = StageSuperseded
 	}
 }
 
-// needed is the index of the oldest revision that must be kept: the last one before the newest that all were offered.
-// The newest may yet be held, and canaries may hold any after that one.
-func (c chain) needed() int {
+// oldestRequiredIndex returns the index of the oldest revision that must be retained: the latest released one before the
+// newest revision. The newest may still be held, and canaries may have any revision after the retained one.
+func (c chain) oldestRequiredIndex() int {
 	for i := len(c) - 2; i >= 0; i-- {
-		if offered(c[i]) {
+		if releasedAndNotHeld(c[i]) {
 			return i
 		}
 	}
 	return 0
 }
 
-// unreleased counts the revisions at the end that were not released, or were held after it.
-func (c chain) unreleased() int {
+// countUnreleased counts the revisions at the end of the chain that were never released, or were held after their release.
+func (c chain) countUnreleased() int {
 	count := 0
 	for _, entry := range slices.Backward(c) {
-		if offered(entry) {
+		if releasedAndNotHeld(entry) {
 			break
 		}
 		count++
@@ -102,21 +105,21 @@
 	return count
 }
 
-// neededBytes counts the bytes of documents that can't be dropped.
-func (s *State) neededBytes() int {
+// requiredDocumentBytes counts the bytes of the documents that must be retained.
+func (s *State) requiredDocumentBytes() int {
 	bytes := 0
 	for _, c := range s.chains {
-		for _, entry := range c[c.needed():] {
+		for _, entry := range c[c.oldestRequiredIndex():] {
 			bytes += len(entry.Document)
 		}
 	}
 	return bytes
 }
 
-// prune drops the oldest revisions that nobody needs until the history is within its limits.
+// prune deletes the oldest revisions that are not required until the history is within its limits.
 func (s *State) prune() {
 	for len(s.entries) > MaxHistoryRevisions || s.documentBytes > MaxTotalDocumentBytes {
-		oldest := s.oldestUnneeded()
+		oldest := s.oldestPrunable()
 		if oldest == nil {
 			return
 		}
@@ -126,10 +129,11 @@
 	}
 }
 
-func (s *State) oldestUnneeded() *Entry {
+// oldestPrunable returns the revision with the lowest number among those that may be deleted, or nil.
+func (s *State) oldestPrunable() *Entry {
 	var oldest *Entry
 	for _, c := range s.chains {
-		if c.needed() > 0 && (oldest == nil || c[0].Number < oldest.Number) {
+		if c.oldestRequiredIndex() > 0 && (oldest == nil || c[0].Number < oldest.Number) {
 			oldest = c[0]
 		}
 	}
--- a/internal/control/check.go
+++ b/internal/control/check.go
@@ -7,11 +7,12 @@
 	"sandpass/internal/revision"
 )
 
-// Checker says whether a merged configuration would be accepted by a proxy.
+// ConfigChecker returns an error if a proxy would refuse the merged configuration.
 type ConfigChecker func(effective revision.Document) error
 
-// CheckApply checks what the command would give: over the fleet's document alone, and in each distinct combination of
-// scopes among the identities that it concerns. The error is a *CheckError, or what Document gives.
+// CheckApply checks the configurations that the command would produce: the document merged over the fleet's document alone,
+// and each distinct combination of scopes among the identities that belong to the command's scope. The error is a *CheckError,
+// or an error of ResolveDocument.
 func (s *State) CheckApply(a ApplyCommand, identities []revision.Identity, check ConfigChecker) error {
 	document, err := s.ResolveDocument(a)
 	if err != nil {
@@ -33,7 +34,8 @@
 	return nil
 }
 
-// combinations gives the lists of scopes to check a scope's document in, the bare one first.
+// combinations returns the lists of scopes to merge a scope's document with. The first consists of the fleet and the scope
+// only.
 func combinations(scope revision.Scope, identities []revision.Identity) [][]revision.Scope {
 	lists := [][]revision.Scope{{revision.FleetScope, scope}}
 	if scope == revision.FleetScope {
@@ -47,11 +49,11 @@
 	return lists
 }
 
-// combination gives the released revisions of the scopes, with a new one in its scope's place.
+// combination returns the latest released revisions of the scopes, with the replacement in place of its scope's revision.
 func (s *State) combination(scopes []revision.Scope, replacement *Entry) []*Entry {
 	var entries []*Entry
 	for _, scope := range scopes {
-		entry := s.chains[scope].released()
+		entry := s.chains[scope].latestReleased()
 		if scope == replacement.Scope {
 			entry = replacement
 		}
@@ -62,7 +64,7 @@
 	return entries
 }
 
-// checkMerged merges revisions by the way that a proxy does and checks the result.
+// checkMerged merges revisions in the same way as a proxy and checks the result.
 func checkMerged(entries []*Entry, check ConfigChecker) error {
 	var names []string
 	var documents []revision.Document
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -12,54 +12,54 @@
 
 // Command is one entry of the replicated log. Exactly one of its pointers is set.
 type Command struct {
-	ID      string          `json:"id"` // drawn by the submitter; a second command with it changes nothing
+	ID      string          `json:"id"` // chosen by the submitter; a second command with the same ID has no effect
 	Apply   *ApplyCommand   `json:"apply,omitempty"`
 	Release *ReleaseCommand `json:"release,omitempty"`
 	Hold    *HoldCommand    `json:"hold,omitempty"`
 }
 
-// ApplyCommand asks for a new revision of a scope.
+// ApplyCommand adds a new revision to a scope.
 type ApplyCommand struct {
 	Scope      revision.Scope    `json:"scope"`
-	Base       revision.Number   `json:"base"`               // the scope's newest revision as the author saw it, 0 for none
-	Document   revision.Document `json:"document,omitempty"` // may be left out with RollbackOf
+	Base       revision.Number   `json:"base"`               // the scope's newest revision that the author saw, 0 for none
+	Document   revision.Document `json:"document,omitempty"` // may be omitted if RollbackOf is set
 	Author     string            `json:"author"`
 	Reason     string            `json:"reason"`
 	Time       time.Time         `json:"time"`
-	AtOnce     bool              `json:"at_once,omitempty"`     // no trial, and no refusal holds it
-	RollbackOf revision.Number   `json:"rollback_of,omitempty"` // the scope's revision whose document comes back
-	Canaries   []string          `json:"canaries,omitempty"`    // proxies that take it first; empty: released at once
+	AtOnce     bool              `json:"at_once,omitempty"`     // released without a trial; a refusal does not hold it
+	RollbackOf revision.Number   `json:"rollback_of,omitempty"` // the revision of the scope whose document is restored
+	Canaries   []string          `json:"canaries,omitempty"`    // proxies that receive it first; if empty, it is released at once
 }
 
-// ReleaseCommand ends a revision's trial well: all proxies may take it.
+// ReleaseCommand ends the trial of a revision successfully and releases the revision to all proxies.
 type ReleaseCommand struct {
 	Number revision.Number `json:"number"`
 }
 
-// HoldCommand stops a revision: no further proxy takes it.
+// HoldCommand stops the rollout of a revision: no further proxy receives it.
 type HoldCommand struct {
 	Number revision.Number `json:"number"`
-	Proxy  string          `json:"proxy,omitempty"` // that refused it, empty where too few proxies answered
+	Proxy  string          `json:"proxy,omitempty"` // the proxy that refused it; empty if too few canaries answered
 	Reason string          `json:"reason"`
 }
 
-// EncodeCommand gives a command's bytes for the replicated log. A command that Apply would refuse by itself is refused
-// here: the error is a *BadCommandError.
+// EncodeCommand encodes a command for the replicated log. It returns an *InvalidCommandError for a command that Apply would
+// refuse whatever the state is.
 func EncodeCommand(c Command) ([]byte, error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	text, err := revision.Encode(c)
+	encoded, err := revision.Encode(c)
 	if err != nil {
 		return nil, &InvalidCommandError{Reason: err.Error()}
 	}
-	return text, nil
+	return encoded, nil
 }
 
-// DecodeCommand reads a command from the replicated log; the error is a *BadCommandError.
-func DecodeCommand(text []byte) (Command, error) {
+// DecodeCommand decodes and checks a command of the replicated log. The error is an *InvalidCommandError.
+func DecodeCommand(encoded []byte) (Command, error) {
 	var c Command
-	if err := json.Unmarshal(text, &c); err != nil {
+	if err := json.Unmarshal(encoded, &c); err != nil {
 		return Command{}, &InvalidCommandError{Reason: oneLine(err)}
 	}
 	if err := c.check(); err != nil {
@@ -68,23 +68,23 @@
 	return c, nil
 }
 
-// check finds what is wrong with a command by itself; the error is a *BadCommandError.
+// check validates a command without regard to the state. The error is an *InvalidCommandError.
 func (c Command) check() error {
 	if c.ID == "" {
 		return &InvalidCommandError{Reason: "it has no ID"}
 	}
-	if err := checkText("id", c.ID, MaxCommandIDBytes); err != nil {
+	if err := checkTextField("id", c.ID, MaxCommandIDBytes); err != nil {
 		return err
 	}
-	parts := 0
+	variants := 0
 	for _, set := range []bool{c.Apply != nil, c.Release != nil, c.Hold != nil} {
 		if set {
-			parts++
+			variants++
 		}
 	}
 	switch {
-	case parts != 1:
-		return &InvalidCommandError{Reason: fmt.Sprintf("%d of apply, release and hold are set, not one", parts)}
+	case variants != 1:
+		return &InvalidCommandError{Reason: fmt.Sprintf("%d of apply, release and hold are set, exactly one is required", variants)}
 	case c.Apply != nil:
 		return c.Apply.check()
 	case c.Hold != nil:
@@ -93,14 +93,15 @@
 	return nil
 }
 
+// check validates the scope, texts, time, document and canaries.
 func (a *ApplyCommand) check() error {
 	if _, err := revision.ParseScope(a.Scope.String()); err != nil {
 		return &InvalidCommandError{Reason: oneLine(err)}
 	}
-	if err := checkText("author", a.Author, MaxAuthorBytes); err != nil {
+	if err := checkTextField("author", a.Author, MaxAuthorBytes); err != nil {
 		return err
 	}
-	if err := checkText("reason", a.Reason, MaxReasonBytes); err != nil {
+	if err := checkTextField("reason", a.Reason, MaxReasonBytes); err != nil {
 		return err
 	}
 	if year := a.Time.UTC().Year(); year < 0 || year > 9999 {
@@ -114,23 +115,24 @@
 	}
 	for _, name := range a.Canaries {
 		if _, err := revision.ParseScope(string(revision.ProxyKind) + ":" + name); err != nil {
-			return &InvalidCommandError{Reason: fmt.Sprintf("canary %q is no proxy's name", name)}
+			return &InvalidCommandError{Reason: fmt.Sprintf("canary %q is not a valid proxy name", name)}
 		}
 	}
 	return nil
 }
 
+// check validates the texts.
 func (h *HoldCommand) check() error {
-	if err := checkText("proxy", h.Proxy, MaxCommandIDBytes); err != nil {
+	if err := checkTextField("proxy", h.Proxy, MaxCommandIDBytes); err != nil {
 		return err
 	}
-	return checkText("reason", h.Reason, MaxReasonBytes)
+	return checkTextField("reason", h.Reason, MaxReasonBytes)
 }
 
-// checkText bounds a text, and sees to it that JSON carries it unchanged.
-func checkText(field, text string, most int) error {
-	if len(text) > most {
-		return &InvalidCommandError{Reason: fmt.Sprintf("%s has %d bytes, %d are allowed", field, len(text), most)}
+// checkTextField checks that a text is within its limit and is valid UTF-8, because JSON would change any other bytes.
+func checkTextField(field, text string, maxBytes int) error {
+	if len(text) > maxBytes {
+		return &InvalidCommandError{Reason: fmt.Sprintf("%s has %d bytes, %d are allowed", field, len(text), maxBytes)}
 	}
 	if !utf8.ValidString(text) {
 		return &InvalidCommandError{Reason: field + " is not UTF-8"}
@@ -138,7 +140,7 @@
 	return nil
 }
 
-// oneLine is an error's text without line ends.
+// oneLine returns an error's text with all whitespace, including line breaks, reduced to single spaces.
 func oneLine(err error) string {
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
--- a/internal/control/delivery.go
+++ b/internal/control/delivery.go
@@ -4,64 +4,66 @@
 	"sandpass/internal/revision"
 )
 
-// Effective gives the released documents of the scopes that a proxy lies in, in the order of merging.
+// ReleasedDocuments returns the latest released documents of the scopes that a proxy belongs to, in merge order.
 func (s *State) ReleasedDocuments(identity revision.Identity) ([]revision.ScopeDocument, error) {
 	if identity.Fleet != s.fleet {
 		return nil, &FleetMismatchError{Fleet: identity.Fleet, Want: s.fleet}
 	}
-	var held []revision.ScopeDocument
+	var documents []revision.ScopeDocument
 	for _, entry := range s.releasedEntries(identity) {
-		held = append(held, revision.ScopeDocument{Scope: entry.Scope, Number: entry.Number, Document: entry.Document})
+		documents = append(documents, revision.ScopeDocument{Scope: entry.Scope, Number: entry.Number, Document: entry.Document})
 	}
-	return held, nil
+	return documents, nil
 }
 
-// releasedEntries gives the released revisions of a proxy's scopes, widest first.
+// releasedEntries returns the latest released revisions of a proxy's scopes, widest scope first.
 func (s *State) releasedEntries(identity revision.Identity) []*Entry {
 	var entries []*Entry
 	for _, scope := range identity.Scopes() {
-		if entry := s.chains[scope].released(); entry != nil {
+		if entry := s.chains[scope].latestReleased(); entry != nil {
 			entries = append(entries, entry)
 		}
 	}
 	return entries
 }
 
-// Wanted is the newest revision that a proxy which holds nothing would be sent, 0 for none.
+// TargetNumber returns the newest revision number that a proxy without any configuration would be sent, or 0.
 func (s *State) TargetNumber(identity revision.Identity) revision.Number {
-	wanted := revision.Number(0)
+	target := revision.Number(0)
 	for _, scope := range identity.Scopes() {
 		if entry, err := s.chains[scope].target(identity.Proxy, 0); err == nil && entry != nil {
-			wanted = max(wanted, entry.Number)
+			target = max(target, entry.Number)
 		}
 	}
-	return wanted
+	return target
 }
 
-// Update says what a proxy is to be sent given what it holds, nil for nothing. No scope ever goes back to a lower number.
-// It is whole where nothing is held, and where the checksum that the proxy tells is not that of what it says it holds.
+// UpdateFor returns the update to send to a proxy, given the revisions that it holds, or nil if there is none to send. No
+// scope ever goes back to a lower number. The update is full if the proxy holds nothing, or if the checksum that it reports
+// does not match the revisions that it reports.
 //
-// Errors: *FleetError; *AheadError from a replica that has yet to learn what the proxy holds; *UnknownRevisionError where
-// it holds a number that its scope never had; *LimitError where the scopes merge into too much.
+// Errors: *FleetMismatchError; *ReplicaBehindError if this replica has not yet applied a revision that the proxy holds;
+// *UnknownRevisionError if the proxy holds a number that its scope never had; *LimitError if the merged configuration is too
+// large.
 func (s *State) UpdateFor(hello revision.Hello) (*revision.Update, error) {
 	if hello.Identity.Fleet != s.fleet {
 		return nil, &FleetMismatchError{Fleet: hello.Identity.Fleet, Want: s.fleet}
 	}
-	plan, err := s.plan(hello)
+	plan, err := s.planUpdate(hello)
 	if err != nil {
 		return nil, err
 	}
-	whole, err := s.mustBeWhole(hello, plan)
+	full, err := s.needsFullUpdate(hello, plan)
 	if err != nil {
 		return nil, err
 	}
-	if !whole && !plan.differs() {
+	if !full && !plan.hasChanges() {
 		return nil, nil
 	}
-	update := &revision.Update{Revision: max(hello.Revision, plan.newest())}
-	// By the number alone a proxy would take an update with an old number for one that it has.
-	update.Full = whole || plan.nothingHeld() || update.Revision == hello.Revision
-	update.Scopes = s.changes(plan, update.Full)
+	update := &revision.Update{Revision: max(hello.Revision, plan.newestTarget())}
+	// A proxy ignores a partial update whose number it already has, so an update with the same number is sent in full.
+	update.Full = full || plan.holdsNothing() || update.Revision == hello.Revision
+	update.Scopes = s.scopeChanges(plan, update.Full)
 	update.Checksum, err = s.mergedChecksum(plan.targets())
 	if err != nil {
 		return nil, err
@@ -69,54 +71,56 @@
 	return update, nil
 }
 
-// step is what one scope of a proxy goes through.
-type step struct {
+// scopeStep is the transition of one scope of a proxy.
+type scopeStep struct {
 	heldNumber revision.Number
-	held       *Entry // nil where nothing is held or the history no longer has it
+	heldEntry  *Entry // nil if nothing is held, or if the history no longer has it
 	target     *Entry
 }
 
-// plan is what all scopes of a proxy go through, widest first; scopes without a revision are left out.
-type plan []step
+// updatePlan lists the transitions of all scopes of a proxy, widest scope first. Scopes without a target are left out.
+type updatePlan []scopeStep
 
-func (s *State) plan(hello revision.Hello) (plan, error) {
+// planUpdate determines for each scope of a proxy which revision it holds and which it should have.
+func (s *State) planUpdate(hello revision.Hello) (updatePlan, error) {
 	if hello.Revision > s.newest {
 		return nil, &ReplicaBehindError{Held: hello.Revision, Newest: s.newest}
 	}
-	var steps plan
+	var steps updatePlan
 	for _, scope := range hello.Identity.Scopes() {
-		next := step{heldNumber: heldNumber(hello.Documents, scope)}
-		if next.heldNumber > s.newest {
-			return nil, &ReplicaBehindError{Scope: scope, Held: next.heldNumber, Newest: s.newest}
+		step := scopeStep{heldNumber: heldNumber(hello.Documents, scope)}
+		if step.heldNumber > s.newest {
+			return nil, &ReplicaBehindError{Scope: scope, Held: step.heldNumber, Newest: s.newest}
 		}
 		c := s.chains[scope]
-		if len(c) == 0 && next.heldNumber > 0 {
-			return nil, &UnknownRevisionError{Scope: scope, Number: next.heldNumber}
+		if len(c) == 0 && step.heldNumber > 0 {
+			return nil, &UnknownRevisionError{Scope: scope, Number: step.heldNumber}
 		}
 		var err error
-		if next.target, err = c.target(hello.Identity.Proxy, next.heldNumber); err != nil {
+		if step.target, err = c.target(hello.Identity.Proxy, step.heldNumber); err != nil {
 			return nil, err
 		}
-		if next.target != nil {
-			next.held = c.find(next.heldNumber)
-			steps = append(steps, next)
+		if step.target != nil {
+			step.heldEntry = c.find(step.heldNumber)
+			steps = append(steps, step)
 		}
 	}
 	return steps, nil
 }
 
-// heldNumber is the newest number that a proxy holds of a scope, 0 for none.
+// heldNumber returns the newest revision number that a proxy holds of a scope, or 0.
 func heldNumber(held []revision.ScopeDocument, scope revision.Scope) revision.Number {
 	number := revision.Number(0)
-	for _, one := range held {
-		if one.Scope == scope {
-			number = max(number, one.Number)
+	for _, document := range held {
+		if document.Scope == scope {
+			number = max(number, document.Number)
 		}
 	}
 	return number
 }
 
-func (p plan) differs() bool {
+// hasChanges reports whether any scope has a target other than the held revision.
+func (p updatePlan) hasChanges() bool {
 	for _, step := range p {
 		if step.target.Number != step.heldNumber {
 			return true
@@ -125,7 +129,8 @@
 	return false
 }
 
-func (p plan) newest() revision.Number {
+// newestTarget returns the highest number among the targets, or 0.
+func (p updatePlan) newestTarget() revision.Number {
 	newest := revision.Number(0)
 	for _, step := range p {
 		newest = max(newest, step.target.Number)
@@ -133,7 +138,8 @@
 	return newest
 }
 
-func (p plan) targets() []*Entry {
+// targets returns the target revisions of all scopes.
+func (p updatePlan) targets() []*Entry {
 	entries := make([]*Entry, 0, len(p))
 	for _, step := range p {
 		entries = append(entries, step.target)
@@ -141,7 +147,8 @@
 	return entries
 }
 
-func (p plan) nothingHeld() bool {
+// holdsNothing reports whether the proxy holds no revision of any scope in the plan.
+func (p updatePlan) holdsNothing() bool {
 	for _, step := range p {
 		if step.heldNumber > 0 {
 			return false
@@ -150,34 +157,34 @@
 	return true
 }
 
-// mustBeWhole says whether what the proxy holds can't be built upon: its checksum is not that of what it says it holds,
-// or the history no longer has that.
-func (s *State) mustBeWhole(hello revision.Hello, p plan) (bool, error) {
-	if hello.Revision == 0 && p.nothingHeld() {
+// needsFullUpdate reports whether an update cannot be based on what the proxy holds: its checksum does not match the
+// revisions that it reports, or the history no longer has one of them.
+func (s *State) needsFullUpdate(hello revision.Hello, p updatePlan) (bool, error) {
+	if hello.Revision == 0 && p.holdsNothing() {
 		return false, nil
 	}
 	var entries []*Entry
 	for _, step := range p {
-		if step.heldNumber > 0 && step.held == nil {
+		if step.heldNumber > 0 && step.heldEntry == nil {
 			return true, nil
 		}
-		if step.held != nil {
-			entries = append(entries, step.held)
+		if step.heldEntry != nil {
+			entries = append(entries, step.heldEntry)
 		}
 	}
 	checksum, err := s.mergedChecksum(entries)
 	return checksum != hello.Checksum, err
 }
 
-// changes gives the scopes' parts of an update: all of them, or only those that differ.
-func (s *State) changes(p plan, whole bool) []revision.Change {
+// scopeChanges returns the changes of an update: full documents of all scopes, or only the scopes that differ.
+func (s *State) scopeChanges(p updatePlan, full bool) []revision.Change {
 	changes := []revision.Change{}
 	for _, step := range p {
 		switch {
-		case whole:
-			changes = append(changes, s.change(nil, step.target))
+		case full:
+			changes = append(changes, s.scopeChange(nil, step.target))
 		case step.target.Number != step.heldNumber:
-			changes = append(changes, s.change(step.held, step.target))
+			changes = append(changes, s.scopeChange(step.heldEntry, step.target))
 		}
 	}
 	return changes
--- a/internal/control/delivery_test.go
+++ b/internal/control/delivery_test.go
@@ -14,13 +14,13 @@
 	"sandpass/internal/revision"
 )
 
-var someone = revision.Identity{Fleet: simFleet, Proxy: "p1", Region: "eu", Zone: "a", Service: "cart"}
+var testIdentity = revision.Identity{Fleet: simFleet, Proxy: "p1", Region: "eu", Zone: "a", Service: "cart"}
 
 // numbers are those of some scopes.
-type numbers map[revision.Scope]revision.Number
+type scopeNumbers map[revision.Scope]revision.Number
 
 // held lists numbers of scopes.
-func held(scopes numbers) []revision.ScopeDocument {
+func scopeDocuments(scopes scopeNumbers) []revision.ScopeDocument {
 	var list []revision.ScopeDocument
 	for scope, number := range scopes {
 		list = append(list, revision.ScopeDocument{Scope: scope, Number: number})
@@ -29,7 +29,7 @@
 }
 
 // told gives an update in one line.
-func told(update *revision.Update) string {
+func describeUpdate(update *revision.Update) string {
 	if update == nil {
 		return "nothing"
 	}
@@ -46,19 +46,19 @@
 	return text
 }
 
-const filler = `"filler":"as long as it takes for a change to be shorter than the whole document"`
+const paddingMember = `"filler":"as long as it takes for a change to be shorter than the whole document"`
 
 // deliveryState has revisions 1, 2, 4 and 6 (on trial at p1) of the fleet, 3 and 5 of zone a, the latter held.
 func deliveryState(t testing.TB) *State {
 	s := NewState(simFleet)
 	for _, command := range []Command{
-		apply("1", revision.FleetScope, 0, `{"a":1,`+filler+`}`),
-		apply("2", revision.FleetScope, 1, `{"a":2,`+filler+`}`),
-		apply("3", zoneA, 0, `{"b":3,`+filler+`}`),
-		apply("4", revision.FleetScope, 2, `{"a":4,`+filler+`}`),
-		tried("5", zoneA, 3, `{"b":5,`+filler+`}`, "p9"),
+		apply("1", revision.FleetScope, 0, `{"a":1,`+paddingMember+`}`),
+		apply("2", revision.FleetScope, 1, `{"a":2,`+paddingMember+`}`),
+		apply("3", zoneA, 0, `{"b":3,`+paddingMember+`}`),
+		apply("4", revision.FleetScope, 2, `{"a":4,`+paddingMember+`}`),
+		applyWithCanaries("5", zoneA, 3, `{"b":5,`+paddingMember+`}`, "p9"),
 		hold(5),
-		tried("6", revision.FleetScope, 4, `{"a":6,`+filler+`}`, "p1"),
+		applyWithCanaries("6", revision.FleetScope, 4, `{"a":6,`+paddingMember+`}`, "p1"),
 	} {
 		if outcome := s.Apply(command); outcome.Err != nil {
 			t.Fatal(command.ID, outcome.Err)
@@ -83,7 +83,7 @@
 	for name, test := range map[string]struct {
 		proxy    string
 		revision revision.Number
-		held     numbers
+		held     scopeNumbers
 		checksum string
 		want     string
 		after    string
@@ -91,24 +91,24 @@
 		"a new canary":      {proxy: "p1", want: "6 whole fleet@6 zone:a@3", after: sum(6, 3)},
 		"a new other proxy": {proxy: "p2", want: "4 whole fleet@4 zone:a@3", after: sum(4, 3)},
 		"a canary behind": {
-			"p1", 4, numbers{revision.FleetScope: 4, zoneA: 3}, sum(4, 3), `6 fleet@6 from 4 by {"a":6}`, sum(6, 3)},
-		"another that has all": {"p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}, sum(4, 3), "nothing", ""},
-		"a wrong checksum":     {"p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
-		"no checksum":          {"p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}, "", "4 whole fleet@4 zone:a@3", sum(4, 3)},
-		"two behind":           {"p2", 1, numbers{revision.FleetScope: 1}, sum(1), `4 fleet@4 from 1 by {"a":4} zone:a@3`, sum(4, 3)},
-		"holds a held one":     {"p9", 5, numbers{revision.FleetScope: 4, zoneA: 5}, sum(4, 5), "nothing", ""},
-		"and lacks another":    {"p9", 5, numbers{revision.FleetScope: 2, zoneA: 5}, sum(2, 5), "5 whole fleet@4 zone:a@5", sum(4, 5)},
-		"and lost it":          {"p9", 5, numbers{revision.FleetScope: 4, zoneA: 5}, sum(4), "5 whole fleet@4 zone:a@5", sum(4, 5)},
-		"moved from a zone":    {"p2", 4, numbers{revision.FleetScope: 4, zoneB: 2}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
+			"p1", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, sum(4, 3), `6 fleet@6 from 4 by {"a":6}`, sum(6, 3)},
+		"another that has all": {"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, sum(4, 3), "nothing", ""},
+		"a wrong checksum":     {"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
+		"no checksum":          {"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, "", "4 whole fleet@4 zone:a@3", sum(4, 3)},
+		"two behind":           {"p2", 1, scopeNumbers{revision.FleetScope: 1}, sum(1), `4 fleet@4 from 1 by {"a":4} zone:a@3`, sum(4, 3)},
+		"holds a held one":     {"p9", 5, scopeNumbers{revision.FleetScope: 4, zoneA: 5}, sum(4, 5), "nothing", ""},
+		"and lacks another":    {"p9", 5, scopeNumbers{revision.FleetScope: 2, zoneA: 5}, sum(2, 5), "5 whole fleet@4 zone:a@5", sum(4, 5)},
+		"and lost it":          {"p9", 5, scopeNumbers{revision.FleetScope: 4, zoneA: 5}, sum(4), "5 whole fleet@4 zone:a@5", sum(4, 5)},
+		"moved from a zone":    {"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneB: 2}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			identity := someone
+			identity := testIdentity
 			identity.Proxy = test.proxy
 			update, err := s.UpdateFor(revision.Hello{
-				Identity: identity, Revision: test.revision, Documents: held(test.held), Checksum: test.checksum,
+				Identity: identity, Revision: test.revision, Documents: scopeDocuments(test.held), Checksum: test.checksum,
 			})
-			if err != nil || told(update) != test.want {
-				t.Fatalf("%s, %v; wanted %s", told(update), err, test.want)
+			if err != nil || describeUpdate(update) != test.want {
+				t.Fatalf("%s, %v; wanted %s", describeUpdate(update), err, test.want)
 			}
 			if update != nil && update.Checksum != test.after {
 				t.Errorf("checksum %s; wanted %s", update.Checksum, test.after)
@@ -119,33 +119,33 @@
 
 func TestUpdatesThatCannotBeGiven(t *testing.T) {
 	s := deliveryState(t)
-	foreign := someone
+	foreign := testIdentity
 	foreign.Fleet = "other"
 	for name, test := range map[string]struct {
 		hello revision.Hello
 		want  any
 	}{
 		"another fleet":       {revision.Hello{Identity: foreign}, new(*FleetMismatchError)},
-		"a scope ahead":       {revision.Hello{Identity: someone, Documents: held(numbers{zoneA: 7})}, new(*ReplicaBehindError)},
-		"a number ahead":      {revision.Hello{Identity: someone, Revision: 7}, new(*ReplicaBehindError)},
-		"another's number":    {revision.Hello{Identity: someone, Documents: held(numbers{zoneA: 4})}, new(*UnknownRevisionError)},
-		"a scope without any": {revision.Hello{Identity: someone, Documents: held(numbers{cart: 4})}, new(*UnknownRevisionError)},
+		"a scope ahead":       {revision.Hello{Identity: testIdentity, Documents: scopeDocuments(scopeNumbers{zoneA: 7})}, new(*ReplicaBehindError)},
+		"a number ahead":      {revision.Hello{Identity: testIdentity, Revision: 7}, new(*ReplicaBehindError)},
+		"another's number":    {revision.Hello{Identity: testIdentity, Documents: scopeDocuments(scopeNumbers{zoneA: 4})}, new(*UnknownRevisionError)},
+		"a scope without any": {revision.Hello{Identity: testIdentity, Documents: scopeDocuments(scopeNumbers{cart: 4})}, new(*UnknownRevisionError)},
 	} {
 		if update, err := s.UpdateFor(test.hello); update != nil || !errors.As(err, test.want) {
-			t.Errorf("%s: %v, %v", name, told(update), err)
+			t.Errorf("%s: %v, %v", name, describeUpdate(update), err)
 		}
 	}
 }
 
 func TestANumberThatThePatchLibraryTakesForEqualIsSentWhole(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s,
-		apply("1", revision.FleetScope, 0, `{"a":9007199254740992,`+filler+`}`),
-		apply("2", revision.FleetScope, 1, `{"a":9007199254740993,`+filler+`}`))
+	mustApply(t, s,
+		apply("1", revision.FleetScope, 0, `{"a":9007199254740992,`+paddingMember+`}`),
+		apply("2", revision.FleetScope, 1, `{"a":9007199254740993,`+paddingMember+`}`))
 	update, err := s.UpdateFor(revision.Hello{
-		Identity:  someone,
+		Identity:  testIdentity,
 		Revision:  1,
-		Documents: held(numbers{revision.FleetScope: 1}),
+		Documents: scopeDocuments(scopeNumbers{revision.FleetScope: 1}),
 		Checksum:  s.entries[1].Checksum,
 	})
 	if err != nil || update == nil {
@@ -158,12 +158,12 @@
 		}
 	}
 	if revision.Checksum(document) != update.Checksum {
-		t.Errorf("%s leads to %s", told(update), document)
+		t.Errorf("%s leads to %s", describeUpdate(update), document)
 	}
 }
 
 // document draws a canonical document.
-func document() *rapid.Generator[revision.Document] {
+func documentGenerator() *rapid.Generator[revision.Document] {
 	key := rapid.SampledFrom([]string{"a", "b", "c.d", "<", ""})
 	var value *rapid.Generator[any]
 	value = rapid.Custom(func(t *rapid.T) any {
@@ -193,7 +193,7 @@
 func TestMergedIsWhatAProxyMerges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(simFleet)
-		documents := rapid.SliceOfN(document(), 0, 5).Draw(t, "documents")
+		documents := rapid.SliceOfN(documentGenerator(), 0, 5).Draw(t, "documents")
 		var entries []*Entry
 		for i, one := range documents {
 			entries = append(entries, &Entry{Revision: revision.Revision{Number: revision.Number(i + 1), Document: one}})
@@ -214,7 +214,7 @@
 }
 
 func TestWhatIsKeptForManyProxiesIsBounded(t *testing.T) {
-	kept := newBounded[int, string](100)
+	kept := newBoundedCache[int, string](100)
 	for i := range 1000 {
 		kept.put(i, "value", 7)
 		if _, known := kept.get(i); !known || len(kept.values) > 100/7 {
@@ -225,13 +225,13 @@
 
 func TestExplainGivesEachValueItsScope(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s,
+	mustApply(t, s,
 		apply("1", revision.FleetScope, 0, `{"limits":{"rate":1,"burst":[2,3]},"x":{"y":1},"e":{},"f":{"g":1}}`),
 		apply("2", zoneA, 0, `{"limits":{"rate":4},"x":5,"z":{"a.b":true}}`),
 		apply("3", zoneB, 0, `{"limits":{"rate":9}}`),
-		tried("4", cart, 0, `{"limits":{"rate":8}}`, "p1"),
+		applyWithCanaries("4", cart, 0, `{"limits":{"rate":8}}`, "p1"),
 		apply("5", revision.Scope{Kind: revision.ProxyKind, Name: "p1"}, 0, `{"x":{"w":6},"e":{"h":1},"f":{}}`))
-	origins, err := s.ValueOrigins(someone)
+	origins, err := s.ValueOrigins(testIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -253,17 +253,17 @@
 func TestExplainHasTheValuesOfTheMergedDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(simFleet)
-		for i, scope := range someone.Scopes() {
-			outcome := s.Apply(apply(fmt.Sprint(i), scope, 0, string(document().Draw(t, "document"))))
+		for i, scope := range testIdentity.Scopes() {
+			outcome := s.Apply(apply(fmt.Sprint(i), scope, 0, string(documentGenerator().Draw(t, "document"))))
 			if outcome.Err != nil {
 				t.Fatal(outcome.Err)
 			}
 		}
-		merged, err := s.mergedTree(s.releasedEntries(someone))
+		merged, err := s.mergedTree(s.releasedEntries(testIdentity))
 		if err != nil {
 			t.Fatal(err)
 		}
-		origins, err := s.ValueOrigins(someone)
+		origins, err := s.ValueOrigins(testIdentity)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -274,7 +274,7 @@
 			t.Fatal(err)
 		}
 		want := map[string]string{}
-		leaves("", value, want)
+		collectLeaves("", value, want)
 		got := map[string]string{}
 		for _, origin := range origins {
 			got[origin.Path] = string(origin.Value)
@@ -286,10 +286,10 @@
 }
 
 // leaves gives all values of an object by their paths.
-func leaves(path string, object map[string]any, into map[string]string) {
+func collectLeaves(path string, object map[string]any, into map[string]string) {
 	for key, value := range object {
 		if inner, is := value.(map[string]any); is && len(inner) > 0 {
-			leaves(joinPath(path, key), inner, into)
+			collectLeaves(joinPath(path, key), inner, into)
 			continue
 		}
 		text, _ := revision.Encode(value)
@@ -320,11 +320,11 @@
 
 func TestCheckApplyChecksEachCombinationOnce(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s,
+	mustApply(t, s,
 		apply("1", revision.FleetScope, 0, `{"least":1}`),
 		apply("2", zoneA, 0, `{"most":5}`),
 		apply("3", zoneB, 0, `{"most":2}`))
-	identities := []revision.Identity{someone, someone, someone, {Fleet: simFleet, Proxy: "q", Zone: "b", Service: "cart"}}
+	identities := []revision.Identity{testIdentity, testIdentity, testIdentity, {Fleet: simFleet, Proxy: "q", Zone: "b", Service: "cart"}}
 	identities[1].Proxy = "p2"
 	identities[2].Service = "stock"
 	var checked []string
@@ -354,7 +354,7 @@
 
 func TestASessionSendsOneUpdateAtATimeAndNoneTwice(t *testing.T) {
 	s := deliveryState(t)
-	identity := someone
+	identity := testIdentity
 	identity.Proxy = "p2"
 	session, err := NewSession(revision.Hello{Protocol: revision.Protocol, Identity: identity})
 	if err != nil {
@@ -363,8 +363,8 @@
 	next := func(want string) *revision.Update {
 		t.Helper()
 		update, err := session.NextUpdate(s)
-		if err != nil || told(update) != want {
-			t.Fatalf("%s, %v; wanted %s", told(update), err, want)
+		if err != nil || describeUpdate(update) != want {
+			t.Fatalf("%s, %v; wanted %s", describeUpdate(update), err, want)
 		}
 		return update
 	}
@@ -381,17 +381,17 @@
 	}
 	report(first, revision.Refused)
 	next("nothing")
-	accept(t, s, release(6))
+	mustApply(t, s, release(6))
 	second := next("6 whole fleet@6 zone:a@3")
 	report(second, revision.InForce)
 	next("nothing")
-	accept(t, s, apply("7", revision.FleetScope, 6, `{"a":7,`+filler+`}`))
+	mustApply(t, s, apply("7", revision.FleetScope, 6, `{"a":7,`+paddingMember+`}`))
 	third := next(`7 fleet@7 from 6 by {"a":7}`)
 	report(third, revision.Unknown)
 	fourth := next("7 whole fleet@7 zone:a@3")
 	report(fourth, revision.Unknown)
 	next("nothing")
-	accept(t, s, apply("8", revision.FleetScope, 7, `{"a":8,`+filler+`}`))
+	mustApply(t, s, apply("8", revision.FleetScope, 7, `{"a":8,`+paddingMember+`}`))
 	fifth := next("8 whole fleet@8 zone:a@3")
 	session.CancelSent()
 	next("8 whole fleet@8 zone:a@3")
@@ -407,7 +407,7 @@
 func TestAWatchWithoutIdentityOrOfAnotherProtocolIsRefused(t *testing.T) {
 	for _, hello := range []revision.Hello{
 		{Protocol: revision.Protocol},
-		{Protocol: 99, Identity: someone},
+		{Protocol: 99, Identity: testIdentity},
 		{Protocol: revision.Protocol, Identity: revision.Identity{Fleet: simFleet, Proxy: "a b"}},
 	} {
 		if _, err := NewSession(hello); err == nil || strings.Contains(err.Error(), "\n") {
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,47 +1,48 @@
-// Package control decides what a replica of the control plane does: the replicated state machine of revisions, what each
-// proxy is sent, trials on few proxies first, and the consensus core.
+// Package control contains the decision logic of a control replica: the replicated state machine of configuration
+// revisions, the updates that each proxy is sent, canary trials of new revisions, and the consensus core.
 //
-// It is free of I/O, of clocks and of goroutines: time and messages are passed in, and what is to be saved and sent is
-// handed out. internal/controlserver does that part.
+// The package does no I/O, reads no clock and starts no goroutines: the caller passes in times and messages, and receives
+// what it has to save and send. Package controlserver is that caller.
 package control
 
 import "time"
 
-// TickInterval is the time between two calls of Node.Tick.
+// TickInterval is the interval at which Node.Tick must be called.
 const TickInterval = 100 * time.Millisecond
 
 // Limits of a command.
 const (
-	MaxCommandIDBytes = 200  // bytes of a command's ID
-	MaxAuthorBytes    = 200  // bytes of an author
-	MaxReasonBytes    = 2000 // bytes of a reason
-	MaxCanaries       = 1000 // proxies that take a revision first
+	MaxCommandIDBytes = 200  // length of a command's ID
+	MaxAuthorBytes    = 200  // length of an author
+	MaxReasonBytes    = 2000 // length of a reason
+	MaxCanaries       = 1000 // number of canaries of a revision
 )
 
 // Limits of the state.
 const (
-	// HistoryMost is how many revisions are kept beside those that are still needed: two and a half days of 810 changes.
+	// MaxHistoryRevisions is the number of revisions above which those that are no longer required are deleted: two and a
+	// half days at 810 changes per day.
 	MaxHistoryRevisions = 2048
-	// DocumentBytesMost bounds the documents of all revisions that are kept.
+	// MaxTotalDocumentBytes limits the total size of the documents of all retained revisions.
 	MaxTotalDocumentBytes = 32 << 20
-	// ScopesMost is how many scopes may have revisions.
+	// MaxScopes limits the number of scopes that have revisions.
 	MaxScopes = 4096
-	// UnreleasedMost is how many revisions of a scope may follow its last released one. They are kept, because canaries
-	// hold them.
+	// MaxUnreleasedRevisions limits the number of revisions of a scope after its latest released one. They must all be
+	// retained, because canaries may hold them.
 	MaxUnreleasedRevisions = 64
-	// OutcomesMost is how many commands' outcomes are remembered against a second submission.
+	// MaxRememberedOutcomes limits the number of command outcomes that are remembered to detect repeated submissions.
 	MaxRememberedOutcomes = 4096
 )
 
-// Limits of a conflict's text.
+// Limits of a ConflictError.
 const (
-	MaxConflictChanges = 8  // revisions that a ConflictError tells
-	MaxConflictKeys    = 16 // key paths that it tells of one revision
+	MaxConflictChanges = 8  // number of listed revisions
+	MaxConflictKeys    = 16 // number of listed key paths of one revision
 )
 
-// Limits of what is computed once for many proxies.
+// Limits of the caches of results that many proxies share.
 const (
-	mergedMost      = 16384    // checksums of merged configurations
-	parsedBytesMost = 16 << 20 // of documents that are kept as trees, which take several times as much
-	patchBytesMost  = 16 << 20 // of changes from one revision to another
+	maxCachedChecksums   = 16384    // number of checksums of merged configurations
+	maxCachedParsedBytes = 16 << 20 // size of the documents with cached trees, which take several times as much
+	maxCachedPatchBytes  = 16 << 20 // size of the cached patches between revisions
 )
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -10,30 +10,30 @@
 )
 
 var (
-	// ErrNotLeader says that a proposal has to go to the leader.
+	// ErrNotLeader is returned for a proposal on a replica that is not the leader.
 	ErrNotLeader = errors.New("this replica is not the leader")
-	// ErrDropped says that the consensus core did not take a proposal; nothing of it is in the log.
-	ErrDropped = errors.New("the proposal was dropped: too many are under way, or no leader has a quorum")
+	// ErrDropped is returned if the consensus core rejected a proposal. The proposal is not in the log.
+	ErrDropped = errors.New("the proposal was dropped: too many are uncommitted, or no leader has a quorum")
 )
 
-// RevisionChange is what one revision changed, as a conflict tells it.
+// RevisionChange describes one revision in a ConflictError.
 type RevisionChange struct {
 	Number revision.Number `json:"number"`
 	Author string          `json:"author"`
 	Reason string          `json:"reason"`
 	Time   time.Time       `json:"time"`
-	Keys   []string        `json:"keys,omitempty"` // the paths of changed keys, at most ConflictKeysMost
+	Keys   []string        `json:"keys,omitempty"` // paths of the changed keys, at most MaxConflictKeys
 }
 
-// ConflictError refuses a revision whose scope has changed since its author looked.
+// ConflictError reports that a new revision is not based on the newest revision of its scope.
 type ConflictError struct {
 	Scope   revision.Scope   `json:"scope"`
 	Base    revision.Number  `json:"base"`
 	Newest  revision.Number  `json:"newest"`
-	Changes []RevisionChange `json:"changes"` // since Base, the newest last, at most ConflictChangesMost
+	Changes []RevisionChange `json:"changes"` // after Base, newest last, at most MaxConflictChanges
 }
 
-// Error names the newest change in one line.
+// Error returns a one-line message that describes the newest change.
 func (e *ConflictError) Error() string {
 	text := fmt.Sprintf("%v is at revision %d, not %d", e.Scope, e.Newest, e.Base)
 	if len(e.Changes) > 0 {
@@ -43,13 +43,13 @@
 	return text
 }
 
-// UnknownRevisionError names a revision that the scope does not have, or no longer has in its history.
+// UnknownRevisionError reports a revision that the scope never had or that is no longer in its history.
 type UnknownRevisionError struct {
-	Scope  revision.Scope  `json:"scope,omitzero"` // zero where the number alone was asked for
+	Scope  revision.Scope  `json:"scope,omitzero"` // zero if the revision was looked up by number only
 	Number revision.Number `json:"number"`
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *UnknownRevisionError) Error() string {
 	if e.Scope == (revision.Scope{}) {
 		return fmt.Sprintf("revision %d is not in the history", e.Number)
@@ -57,99 +57,100 @@
 	return fmt.Sprintf("revision %d is not in the history of %v", e.Number, e.Scope)
 }
 
-// StageError refuses to release or hold a revision that is past it.
+// StageError reports that a revision can no longer be released or held because of its stage.
 type StageError struct {
 	Number revision.Number `json:"number"`
 	Stage  Stage           `json:"stage"`
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *StageError) Error() string {
 	return fmt.Sprintf("revision %d is already %s", e.Number, e.Stage)
 }
 
-// BadCommandError tells what is wrong with a command by itself.
+// InvalidCommandError reports a command that is invalid whatever the state is.
 type InvalidCommandError struct {
 	Reason string `json:"reason"`
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *InvalidCommandError) Error() string { return "bad command: " + e.Reason }
 
-// LimitError refuses a revision that would take the state over one of its limits.
+// LimitError reports that a revision would exceed one of the limits of the state.
 type LimitError struct {
 	Resource string `json:"what"`
 	Limit    int    `json:"most"`
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *LimitError) Error() string {
 	return fmt.Sprintf("over the limit of %d %s", e.Limit, e.Resource)
 }
 
-// FleetError refuses a proxy or a snapshot of another fleet.
+// FleetMismatchError reports a proxy or a snapshot of another fleet.
 type FleetMismatchError struct {
 	Fleet, Want string
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *FleetMismatchError) Error() string {
 	return fmt.Sprintf("fleet %q is not %q", e.Fleet, e.Want)
 }
 
-// AheadError says that a proxy holds a revision that this replica has yet to learn of: ask again once it has applied more.
+// ReplicaBehindError reports that a proxy holds a revision that this replica has not yet applied. The call may be repeated
+// when the replica has applied further commands.
 type ReplicaBehindError struct {
 	Scope  revision.Scope
 	Held   revision.Number
 	Newest revision.Number
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *ReplicaBehindError) Error() string {
-	return fmt.Sprintf("the proxy holds revision %d of %v, this replica knows %d", e.Held, e.Scope, e.Newest)
+	return fmt.Sprintf("the proxy holds revision %d of %v, this replica has applied up to revision %d", e.Held, e.Scope, e.Newest)
 }
 
-// CheckError says for which combination of scopes a new revision gives no valid configuration.
+// CheckError reports the combination of scopes in which a new revision produces an invalid configuration.
 type CheckError struct {
 	Scopes string // the scopes that are merged, widest first
 	Err    error
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *CheckError) Error() string { return fmt.Sprintf("%s: %v", e.Scopes, e.Err) }
 
-// Unwrap gives the checker's error.
+// Unwrap returns the error of the merge or of the ConfigChecker.
 func (e *CheckError) Unwrap() error { return e.Err }
 
-// SnapshotError refuses bytes that are no snapshot of a State.
+// SnapshotError reports bytes that are not a valid snapshot of a State.
 type SnapshotError struct {
 	Reason string
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *SnapshotError) Error() string { return "bad snapshot: " + e.Reason }
 
-// MessageError refuses a message between replicas that could not have come from a sound peer of this cluster.
+// MessageError reports a message that no correct peer of this cluster would send.
 type MessageError struct {
 	Reason string
 }
 
-// Error is one line.
-func (e *MessageError) Error() string { return "bad message of a replica: " + e.Reason }
+// Error returns a one-line message.
+func (e *MessageError) Error() string { return "bad message from a replica: " + e.Reason }
 
-// StorageError says that what a replica's storage holds can't be built upon.
+// StorageError reports that the contents of a replica's storage are inconsistent.
 type StorageError struct {
 	Reason string
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *StorageError) Error() string { return "bad storage: " + e.Reason }
 
-// FailedError says that the consensus core found itself in a state that no sound log and no sound peer lead to. The node
-// does nothing more: start another one from what is saved.
+// NodeFailedError reports that the consensus core reached a state that a correct log and correct peers cannot lead to. The
+// node stops working. Start a new one from the saved state.
 type NodeFailedError struct {
 	Reason string
 }
 
-// Error is one line.
+// Error returns a one-line message.
 func (e *NodeFailedError) Error() string { return "the consensus core has failed: " + e.Reason }
--- a/internal/control/fleetview.go
+++ b/internal/control/fleetview.go
@@ -8,57 +8,58 @@
 	"sandpass/internal/revision"
 )
 
-// GoneKept is how long a proxy that has gone stays in a FleetView.
+// DisconnectedRetention is how long a FleetView retains a disconnected proxy.
 const DisconnectedRetention = 24 * time.Hour
 
-// ProxyStatus is the newest that is known of one proxy. It travels from replica to replica.
+// ProxyStatus is the latest known status of one proxy. Replicas exchange it.
 type ProxyStatus struct {
 	Identity      revision.Identity        `json:"identity"`
-	Replica       string                   `json:"replica"`            // that it watches, or watched last
-	Connected     bool                     `json:"connected"`          // its watch is open
-	UpdatedAt     time.Time                `json:"at"`                 // when its replica learned this, by that replica's clock
-	HeldDocuments []revision.ScopeDocument `json:"held,omitempty"`     // what is in force, numbers only
-	InForce       revision.Number          `json:"in_force"`           // the newest number that came into force
+	Replica       string                   `json:"replica"`            // the replica that the proxy watches, or watched last
+	Connected     bool                     `json:"connected"`          // whether its watch is open
+	UpdatedAt     time.Time                `json:"at"`                 // when it was recorded, by the clock of Replica
+	HeldDocuments []revision.ScopeDocument `json:"held,omitempty"`     // revisions in force, without documents
+	InForce       revision.Number          `json:"in_force"`           // the newest revision in force
 	Checksum      string                   `json:"checksum,omitempty"` // of the configuration in force
-	InForceSince  time.Time                `json:"since"`              // when this InForce was first reported
-	RefusedNumber revision.Number          `json:"refused,omitempty"`  // the newest that it refused, 0 once a later one is in force
-	RefusalReason string                   `json:"reason,omitempty"`   // why
+	InForceSince  time.Time                `json:"since"`              // when InForce was first reported
+	RefusedNumber revision.Number          `json:"refused,omitempty"`  // the last refused revision, 0 once a later one is in force
+	RefusalReason string                   `json:"reason,omitempty"`   // why it was refused
 }
 
-// FleetView is what a replica knows of all proxies. It is not safe for concurrent use.
+// FleetView holds the status of all proxies that a replica knows. It is not safe for concurrent use.
 type FleetView struct {
 	proxies map[string]ProxyStatus
 }
 
-// NewFleetView knows of no proxy.
+// NewFleetView returns an empty FleetView.
 func NewFleetView() *FleetView { return &FleetView{proxies: map[string]ProxyStatus{}} }
 
-// Opened notes a new watch at a replica.
+// RecordWatchOpened records that a proxy opened a watch at a replica.
 func (v *FleetView) RecordWatchOpened(now time.Time, replica string, hello revision.Hello) {
-	v.note(now, replica, hello, nil)
+	v.recordStatus(now, replica, hello, nil)
 }
 
-// Reported notes a proxy's report at the replica that it watches; hello is what the proxy holds after it (Session.Hello).
+// RecordReport records a report that a proxy sent to the replica that it watches. The hello describes what the proxy holds
+// after the report (see Session.Hello).
 func (v *FleetView) RecordReport(now time.Time, replica string, hello revision.Hello, report revision.Report) {
-	v.note(now, replica, hello, &report)
+	v.recordStatus(now, replica, hello, &report)
 }
 
-// note puts what a proxy told just now in the place of what was known of it.
-func (v *FleetView) note(now time.Time, replica string, hello revision.Hello, report *revision.Report) {
-	known := v.proxies[hello.Identity.Proxy]
+// recordStatus replaces a proxy's status by what the proxy has just sent.
+func (v *FleetView) recordStatus(now time.Time, replica string, hello revision.Hello, report *revision.Report) {
+	previous := v.proxies[hello.Identity.Proxy]
 	status := ProxyStatus{
 		Identity:      hello.Identity,
 		Replica:       replica,
 		Connected:     true,
-		UpdatedAt:     after(known.UpdatedAt, now),
+		UpdatedAt:     nextTimestamp(previous.UpdatedAt, now),
 		HeldDocuments: numbersOnly(hello.Documents),
 		InForce:       hello.Revision,
 		Checksum:      hello.Checksum,
-		InForceSince:  known.InForceSince,
-		RefusedNumber: known.RefusedNumber,
-		RefusalReason: known.RefusalReason,
+		InForceSince:  previous.InForceSince,
+		RefusedNumber: previous.RefusedNumber,
+		RefusalReason: previous.RefusalReason,
 	}
-	if known.InForce != status.InForce || known.InForceSince.IsZero() {
+	if previous.InForce != status.InForce || previous.InForceSince.IsZero() {
 		status.InForceSince = status.UpdatedAt
 	}
 	switch {
@@ -70,64 +71,65 @@
 	v.proxies[hello.Identity.Proxy] = status
 }
 
-// numbersOnly leaves the documents out.
-func numbersOnly(held []revision.ScopeDocument) []revision.ScopeDocument {
+// numbersOnly returns the scopes and numbers without the documents.
+func numbersOnly(documents []revision.ScopeDocument) []revision.ScopeDocument {
 	var numbers []revision.ScopeDocument
-	for _, one := range held {
-		numbers = append(numbers, revision.ScopeDocument{Scope: one.Scope, Number: one.Number})
+	for _, document := range documents {
+		numbers = append(numbers, revision.ScopeDocument{Scope: document.Scope, Number: document.Number})
 	}
 	return numbers
 }
 
-// after is now, or just after the time before it where another replica's clock is ahead.
-func after(before, now time.Time) time.Time {
-	if now.After(before) {
+// nextTimestamp returns the current time, or the time just after the previous timestamp if another replica's clock is ahead.
+func nextTimestamp(previous, now time.Time) time.Time {
+	if now.After(previous) {
 		return now.UTC().Round(0)
 	}
-	return before.Add(time.Nanosecond)
+	return previous.Add(time.Nanosecond)
 }
 
-// Closed notes the end of a watch, unless the proxy has opened one elsewhere since.
+// RecordWatchClosed records the end of a watch at a replica, unless the proxy has opened one at another replica since.
 func (v *FleetView) RecordWatchClosed(now time.Time, replica, proxy string) {
-	status, known := v.proxies[proxy]
-	if !known || status.Replica != replica || !status.Connected {
+	status, found := v.proxies[proxy]
+	if !found || status.Replica != replica || !status.Connected {
 		return
 	}
 	status.Connected = false
-	status.UpdatedAt = after(status.UpdatedAt, now)
+	status.UpdatedAt = nextTimestamp(status.UpdatedAt, now)
 	v.proxies[proxy] = status
 }
 
-// Confirm notes that the open watches at a replica are open now. What others took for their end meanwhile, as they did not
-// hear of the replica, is then older.
+// RefreshConnected updates the timestamps of the open watches at a replica. They then take precedence over the
+// disconnections that other replicas recorded while they did not receive anything from this replica.
 func (v *FleetView) RefreshConnected(now time.Time, replica string) {
 	for name, status := range v.proxies {
 		if status.Replica == replica && status.Connected {
-			status.UpdatedAt = after(status.UpdatedAt, now)
+			status.UpdatedAt = nextTimestamp(status.UpdatedAt, now)
 			v.proxies[name] = status
 		}
 	}
 }
 
-// Merge takes over what another replica knows: of each proxy the newest counts. It says which were news.
+// Merge adopts the statuses of another replica that are newer than the known ones. It returns the adopted statuses.
 func (v *FleetView) Merge(statuses []ProxyStatus) []ProxyStatus {
-	var news []ProxyStatus
+	var adopted []ProxyStatus
 	for _, status := range statuses {
 		known, exists := v.proxies[status.Identity.Proxy]
 		if exists && !supersedes(status, known) {
 			continue
 		}
 		if known.InForce == status.InForce && !known.InForceSince.IsZero() && known.InForceSince.Before(status.InForceSince) {
-			status.InForceSince = known.InForceSince // a replica that a proxy has just come to does not know since when
+			status.InForceSince = known.InForceSince // the replica to which a proxy has moved does not know the original time
 		}
 		v.proxies[status.Identity.Proxy] = status
-		news = append(news, status)
+		adopted = append(adopted, status)
 	}
-	return news
+	return adopted
 }
 
-// supersedes says whether one status is newer than another. An open watch at one replica counts more than the end of one
-// at another: that replica notices it late. Between open ones the later counts, then the higher revision.
+// supersedes reports whether a status takes precedence over the known one. An open watch at one replica takes precedence
+// over the end of a watch at another, because that replica may notice the end late. Otherwise the later status wins, then
+// the one with the higher revision, then the one of the replica with the higher name.
 func supersedes(status, known ProxyStatus) bool {
 	if status.Replica != known.Replica && status.Connected != known.Connected {
 		return status.Connected
@@ -141,36 +143,36 @@
 	return status.Replica > known.Replica
 }
 
-// ReplicaGone notes that the watches at a replica are over.
+// RecordReplicaLost records the end of all watches at a replica.
 func (v *FleetView) RecordReplicaLost(now time.Time, replica string) {
 	for name := range v.proxies {
 		v.RecordWatchClosed(now, replica, name)
 	}
 }
 
-// Forget drops proxies that have been gone for GoneKept.
+// RemoveExpired removes proxies that have been disconnected for longer than DisconnectedRetention.
 func (v *FleetView) RemoveExpired(now time.Time) {
 	maps.DeleteFunc(v.proxies, func(_ string, status ProxyStatus) bool {
 		return !status.Connected && now.Sub(status.UpdatedAt) > DisconnectedRetention
 	})
 }
 
-// Proxy gives what is known of one proxy.
+// Status returns the status of one proxy.
 func (v *FleetView) Status(name string) (ProxyStatus, bool) {
-	status, known := v.proxies[name]
-	return status, known
+	status, found := v.proxies[name]
+	return status, found
 }
 
-// All gives what is known, ordered by the proxies' names.
+// Statuses returns all statuses, ordered by proxy name.
 func (v *FleetView) Statuses() []ProxyStatus {
-	all := make([]ProxyStatus, 0, len(v.proxies))
+	statuses := make([]ProxyStatus, 0, len(v.proxies))
 	for _, name := range slices.Sorted(maps.Keys(v.proxies)) {
-		all = append(all, v.proxies[name])
+		statuses = append(statuses, v.proxies[name])
 	}
-	return all
+	return statuses
 }
 
-// ConnectedAt counts the proxies whose watch at a replica is open.
+// CountConnectedAt returns the number of proxies with an open watch at a replica.
 func (v *FleetView) CountConnectedAt(replica string) (count int) {
 	for _, status := range v.proxies {
 		if status.Connected && status.Replica == replica {
@@ -180,7 +182,7 @@
 	return count
 }
 
-// Connected gives the proxies whose watch is open, ordered by name.
+// ConnectedIdentities returns the proxies with an open watch, ordered by name.
 func (v *FleetView) ConnectedIdentities() []revision.Identity {
 	var identities []revision.Identity
 	for _, status := range v.Statuses() {
--- a/internal/control/fleetview_test.go
+++ b/internal/control/fleetview_test.go
@@ -11,31 +11,31 @@
 	"sandpass/internal/revision"
 )
 
-func at(seconds float64) time.Time {
+func timeAt(seconds float64) time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second))).UTC()
 }
 
 // holding is a proxy's Hello.
-func holding(proxy string, newest revision.Number, scopes numbers) revision.Hello {
-	identity := someone
+func helloHolding(proxy string, newest revision.Number, scopes scopeNumbers) revision.Hello {
+	identity := testIdentity
 	identity.Proxy = proxy
-	return revision.Hello{Identity: identity, Revision: newest, Documents: held(scopes)}
+	return revision.Hello{Identity: identity, Revision: newest, Documents: scopeDocuments(scopes)}
 }
 
 func TestTheNewestWordOfAProxyCounts(t *testing.T) {
-	open := ProxyStatus{Identity: someone, Replica: "r1", Connected: true, UpdatedAt: at(5), InForce: 4}
+	open := ProxyStatus{Identity: testIdentity, Replica: "r1", Connected: true, UpdatedAt: timeAt(5), InForce: 4}
 	later, earlier, newer, gone, elsewhere, goneElsewhere := open, open, open, open, open, open
-	later.UpdatedAt = at(6)
+	later.UpdatedAt = timeAt(6)
 	later.InForce = 3
-	earlier.UpdatedAt = at(4)
+	earlier.UpdatedAt = timeAt(4)
 	newer.InForce = 5
-	gone.UpdatedAt = at(6)
+	gone.UpdatedAt = timeAt(6)
 	gone.Connected = false
 	elsewhere.Replica = "r2"
-	elsewhere.UpdatedAt = at(4)
+	elsewhere.UpdatedAt = timeAt(4)
 	goneElsewhere.Replica = "r2"
 	goneElsewhere.Connected = false
-	goneElsewhere.UpdatedAt = at(9)
+	goneElsewhere.UpdatedAt = timeAt(9)
 	for name, test := range map[string]struct {
 		known, told ProxyStatus
 		news        bool
@@ -64,10 +64,10 @@
 		var statuses []ProxyStatus
 		for range rapid.IntRange(1, 6).Draw(t, "statuses") {
 			statuses = append(statuses, ProxyStatus{
-				Identity:  someone,
+				Identity:  testIdentity,
 				Replica:   "r1",
 				Connected: rapid.Bool().Draw(t, "connected"),
-				UpdatedAt: at(float64(len(statuses))),
+				UpdatedAt: timeAt(float64(len(statuses))),
 				InForce:   revision.Number(rapid.IntRange(0, 3).Draw(t, "in force")),
 			})
 		}
@@ -82,22 +82,22 @@
 
 func TestAWatchEndsOnlyWhereItIs(t *testing.T) {
 	view := NewFleetView()
-	view.RecordWatchOpened(at(1), "r1", holding("p1", 0, nil))
-	view.RecordWatchOpened(at(2), "r2", holding("p1", 0, nil))
-	view.RecordWatchClosed(at(3), "r1", "p1")
-	view.RecordWatchClosed(at(3), "r1", "unknown")
+	view.RecordWatchOpened(timeAt(1), "r1", helloHolding("p1", 0, nil))
+	view.RecordWatchOpened(timeAt(2), "r2", helloHolding("p1", 0, nil))
+	view.RecordWatchClosed(timeAt(3), "r1", "p1")
+	view.RecordWatchClosed(timeAt(3), "r1", "unknown")
 	if len(view.ConnectedIdentities()) != 1 {
 		t.Error("the watch at r2 is taken for ended")
 	}
-	view.RecordReplicaLost(at(4), "r2")
+	view.RecordReplicaLost(timeAt(4), "r2")
 	if len(view.ConnectedIdentities()) != 0 {
 		t.Error("the watch at r2 outlives it")
 	}
-	view.RemoveExpired(at(5))
+	view.RemoveExpired(timeAt(5))
 	if len(view.Statuses()) != 1 {
 		t.Error("the proxy is forgotten at once")
 	}
-	view.RemoveExpired(at(5).Add(DisconnectedRetention))
+	view.RemoveExpired(timeAt(5).Add(DisconnectedRetention))
 	if len(view.Statuses()) != 0 {
 		t.Error("the proxy is never forgotten")
 	}
@@ -105,10 +105,10 @@
 
 func TestWhatAReplicaHearsItselfIsNewerWhateverTheClocksSay(t *testing.T) {
 	view := NewFleetView()
-	view.Merge([]ProxyStatus{{Identity: someone, Replica: "r2", Connected: true, UpdatedAt: at(60), InForce: 1}})
-	view.RecordWatchOpened(at(1), "r1", holding("p1", 2, nil))
+	view.Merge([]ProxyStatus{{Identity: testIdentity, Replica: "r2", Connected: true, UpdatedAt: timeAt(60), InForce: 1}})
+	view.RecordWatchOpened(timeAt(1), "r1", helloHolding("p1", 2, nil))
 	status, _ := view.Status("p1")
-	if status.Replica != "r1" || status.InForce != 2 || !status.UpdatedAt.After(at(60)) {
+	if status.Replica != "r1" || status.InForce != 2 || !status.UpdatedAt.After(timeAt(60)) {
 		t.Errorf("%+v", status)
 	}
 }
@@ -116,23 +116,23 @@
 func TestSummaries(t *testing.T) {
 	s := deliveryState(t)
 	view := NewFleetView()
-	view.RecordWatchOpened(at(1), "r1", holding("p1", 6, numbers{revision.FleetScope: 6, zoneA: 3}))
-	view.RecordWatchOpened(at(2), "r1", holding("p2", 4, numbers{revision.FleetScope: 4, zoneA: 3}))
+	view.RecordWatchOpened(timeAt(1), "r1", helloHolding("p1", 6, scopeNumbers{revision.FleetScope: 6, zoneA: 3}))
+	view.RecordWatchOpened(timeAt(2), "r1", helloHolding("p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}))
 	// Its newest number is that of zone a, it still lacks the fleet's 4.
-	view.RecordWatchOpened(at(3), "r1", holding("p9", 5, numbers{revision.FleetScope: 2, zoneA: 5}))
-	view.RecordWatchOpened(at(0), "r2", holding("p5", 1, numbers{revision.FleetScope: 1}))
-	view.RecordReport(at(4), "r2", holding("p5", 1, numbers{revision.FleetScope: 1}), revision.Report{
+	view.RecordWatchOpened(timeAt(3), "r1", helloHolding("p9", 5, scopeNumbers{revision.FleetScope: 2, zoneA: 5}))
+	view.RecordWatchOpened(timeAt(0), "r2", helloHolding("p5", 1, scopeNumbers{revision.FleetScope: 1}))
+	view.RecordReport(timeAt(4), "r2", helloHolding("p5", 1, scopeNumbers{revision.FleetScope: 1}), revision.Report{
 		Revision: 4, Verdict: revision.Refused, Reason: "no such key",
 	})
-	view.RecordWatchOpened(at(0), "r1", holding("p7", 1, nil))
-	view.RecordWatchClosed(at(1), "r1", "p7")
+	view.RecordWatchOpened(timeAt(0), "r1", helloHolding("p7", 1, nil))
+	view.RecordWatchClosed(timeAt(1), "r1", "p7")
 
 	summary := view.Summary(s)
 	want := "{6 4 2 [{p5 1 4 TIME 4 no such key} {p9 5 4 TIME 0 }] 1}"
 	if got := withoutTimes(summary); got != want {
 		t.Errorf("%s; wanted %s", got, want)
 	}
-	if !summary.Lagging[0].InForceSince.Equal(at(0)) {
+	if !summary.Lagging[0].InForceSince.Equal(timeAt(0)) {
 		t.Errorf("p5 has had its revision since %v", summary.Lagging[0].InForceSince)
 	}
 	fleet, err := view.RevisionSummary(s, 4)
@@ -158,15 +158,15 @@
 
 func TestARefusalIsToldUntilALaterRevisionIsInForce(t *testing.T) {
 	view := NewFleetView()
-	hello := holding("p1", 1, nil)
-	view.RecordWatchOpened(at(1), "r1", hello)
-	view.RecordReport(at(2), "r1", hello, revision.Report{Revision: 2, Verdict: revision.Refused, Reason: "no such key"})
-	view.RecordWatchOpened(at(3), "r2", hello)
-	if status, _ := view.Status("p1"); status.RefusedNumber != 2 || !status.InForceSince.Equal(at(1)) {
+	hello := helloHolding("p1", 1, nil)
+	view.RecordWatchOpened(timeAt(1), "r1", hello)
+	view.RecordReport(timeAt(2), "r1", hello, revision.Report{Revision: 2, Verdict: revision.Refused, Reason: "no such key"})
+	view.RecordWatchOpened(timeAt(3), "r2", hello)
+	if status, _ := view.Status("p1"); status.RefusedNumber != 2 || !status.InForceSince.Equal(timeAt(1)) {
 		t.Errorf("%+v", status)
 	}
-	view.RecordReport(at(4), "r2", holding("p1", 3, nil), revision.Report{Revision: 3, Verdict: revision.InForce})
-	if status, _ := view.Status("p1"); status.RefusedNumber != 0 || !status.InForceSince.Equal(at(4)) {
+	view.RecordReport(timeAt(4), "r2", helloHolding("p1", 3, nil), revision.Report{Revision: 3, Verdict: revision.InForce})
+	if status, _ := view.Status("p1"); status.RefusedNumber != 0 || !status.InForceSince.Equal(timeAt(4)) {
 		t.Errorf("%+v", status)
 	}
 }
@@ -190,19 +190,19 @@
 }
 
 func TestAProxyThatMovesKeepsSinceWhenItsRevisionIsInForce(t *testing.T) {
-	hello := holding("p1", 4, numbers{})
+	hello := helloHolding("p1", 4, scopeNumbers{})
 	leader, next := NewFleetView(), NewFleetView()
-	leader.RecordWatchOpened(at(1), "r1", hello)
-	next.RecordWatchOpened(at(9), "r2", hello)
+	leader.RecordWatchOpened(timeAt(1), "r1", hello)
+	next.RecordWatchOpened(timeAt(9), "r2", hello)
 	leader.Merge(next.Statuses())
 	status, _ := leader.Status("p1")
-	if status.Replica != "r2" || !status.InForceSince.Equal(at(1)) {
+	if status.Replica != "r2" || !status.InForceSince.Equal(timeAt(1)) {
 		t.Errorf("%+v", status)
 	}
-	newer := holding("p1", 5, numbers{})
-	next.RecordWatchOpened(at(12), "r2", newer)
+	newer := helloHolding("p1", 5, scopeNumbers{})
+	next.RecordWatchOpened(timeAt(12), "r2", newer)
 	leader.Merge(next.Statuses())
-	if status, _ := leader.Status("p1"); !status.InForceSince.Equal(at(12)) {
+	if status, _ := leader.Status("p1"); !status.InForceSince.Equal(timeAt(12)) {
 		t.Errorf("a newer revision counts as in force since %v", status.InForceSince)
 	}
 }
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -15,7 +15,7 @@
 )
 
 func FuzzUnmarshalState(f *testing.F) {
-	whole, err := everyOutcome(f).Marshal()
+	whole, err := stateWithAllOutcomes(f).Marshal()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 	f.Add([]byte(`{"newest":1,"entries":[null]}`), true)
 	f.Fuzz(func(t *testing.T, text []byte, seal bool) {
 		if seal {
-			text = sealed(string(text))
+			text = withHeader(string(text))
 		}
 		s, err := UnmarshalState(text)
 		if bad := new(SnapshotError); err != nil {
@@ -32,20 +32,20 @@
 			}
 			return
 		}
-		exercise(t, s)
+		exerciseState(t, s)
 	})
 }
 
 // exercise calls what reads and what changes a state.
-func exercise(t *testing.T, s *State) {
+func exerciseState(t *testing.T, s *State) {
 	s.History(nil, 10)
-	identity := someone
+	identity := testIdentity
 	identity.Fleet = s.Fleet()
 	_, _ = s.UpdateFor(revision.Hello{Identity: identity})
 	_, _ = s.ValueOrigins(identity)
 	NewCanaryController(CanaryConfig{}).PendingCommands(1, s)
 	latest, _ := s.Latest(revision.FleetScope)
-	s.Apply(tried("new", revision.FleetScope, latest.Number, `{"a":1}`, "p1"))
+	s.Apply(applyWithCanaries("new", revision.FleetScope, latest.Number, `{"a":1}`, "p1"))
 	s.Apply(hold(s.NewestNumber()))
 	if _, err := s.Marshal(); err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 }
 
 func FuzzDecodeCommand(f *testing.F) {
-	for _, command := range []Command{tried("a", zoneA, 3, `{"a":1}`, "p1"), release(2), hold(2)} {
+	for _, command := range []Command{applyWithCanaries("a", zoneA, 3, `{"a":1}`, "p1"), release(2), hold(2)} {
 		text, err := EncodeCommand(command)
 		if err != nil {
 			f.Fatal(err)
@@ -106,11 +106,11 @@
 			return
 		}
 		if update.Revision < hello.Revision || update.Revision == hello.Revision && !update.Full {
-			t.Fatalf("%s, revision %d is in force", told(update), hello.Revision)
+			t.Fatalf("%s, revision %d is in force", describeUpdate(update), hello.Revision)
 		}
 		for _, change := range update.Scopes {
 			if change.Number < heldNumber(hello.Documents, change.Scope) {
-				t.Fatalf("%s goes back: %s", told(update), text)
+				t.Fatalf("%s goes back: %s", describeUpdate(update), text)
 			}
 		}
 	})
--- a/internal/control/history.go
+++ b/internal/control/history.go
@@ -6,13 +6,13 @@
 	"sandpass/internal/revision"
 )
 
-// Fleet is the fleet's name.
+// Fleet returns the name of the fleet.
 func (s *State) Fleet() string { return s.fleet }
 
-// Newest is the number of the newest revision, 0 for none.
+// NewestNumber returns the number of the newest revision, or 0 if there is none.
 func (s *State) NewestNumber() revision.Number { return s.newest }
 
-// Latest gives a scope's newest revision, whatever its stage.
+// Latest returns a scope's newest revision, whatever its stage.
 func (s *State) Latest(scope revision.Scope) (Entry, bool) {
 	c := s.chains[scope]
 	if len(c) == 0 {
@@ -21,7 +21,7 @@
 	return *c[len(c)-1], true
 }
 
-// Entry gives a revision by its number.
+// Entry returns the revision with the given number.
 func (s *State) Entry(number revision.Number) (Entry, bool) {
 	entry := s.entries[number]
 	if entry == nil {
@@ -30,8 +30,8 @@
 	return *entry, true
 }
 
-// History gives at most so many revisions, the newest first, of one scope or, with nil, of all.
-func (s *State) History(scope *revision.Scope, most int) []Entry {
+// History returns up to limit revisions, newest first, of one scope, or of all scopes if scope is nil.
+func (s *State) History(scope *revision.Scope, limit int) []Entry {
 	var numbers []revision.Number
 	for number, entry := range s.entries {
 		if scope == nil || entry.Scope == *scope {
@@ -40,7 +40,7 @@
 	}
 	slices.Sort(numbers)
 	slices.Reverse(numbers)
-	numbers = numbers[:max(0, min(most, len(numbers)))]
+	numbers = numbers[:max(0, min(limit, len(numbers)))]
 	entries := make([]Entry, 0, len(numbers))
 	for _, number := range numbers {
 		entries = append(entries, *s.entries[number])
@@ -48,19 +48,19 @@
 	return entries
 }
 
-// Concerned says whether a revision's scope is one of the proxy's.
+// AppliesTo reports whether a revision is in the history and a proxy belongs to its scope.
 func (s *State) AppliesTo(number revision.Number, identity revision.Identity) bool {
 	entry := s.entries[number]
-	return entry != nil && concerns(entry.Scope, identity)
+	return entry != nil && scopeIncludes(entry.Scope, identity)
 }
 
-// concerns says whether a proxy lies in a scope.
-func concerns(scope revision.Scope, identity revision.Identity) bool {
+// scopeIncludes reports whether a proxy belongs to a scope.
+func scopeIncludes(scope revision.Scope, identity revision.Identity) bool {
 	return slices.Contains(identity.Scopes(), scope)
 }
 
-// conflict tells what changed since the author of a command looked.
-func (c chain) conflict(a ApplyCommand) *ConflictError {
+// newConflict returns the error for a command with an outdated base. It lists the revisions after the command's base.
+func (c chain) newConflict(a ApplyCommand) *ConflictError {
 	conflict := &ConflictError{Scope: a.Scope, Base: a.Base, Newest: c.latestNumber()}
 	first := slices.IndexFunc(c, func(entry *Entry) bool { return entry.Number > a.Base })
 	first = max(first, len(c)-MaxConflictChanges)
@@ -80,7 +80,7 @@
 	return conflict
 }
 
-// changedKeys gives the paths at which two documents differ, as many as a conflict tells.
+// changedKeys returns the key paths at which two documents differ, at most MaxConflictKeys.
 func changedKeys(before, after revision.Document) []string {
 	changes, err := DiffDocuments(before, after)
 	if err != nil {
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -27,28 +27,28 @@
 	{10, (*sim).round},
 	{8, (*sim).submit},
 	{3, (*sim).resubmit},
-	{6, func(s *sim) { s.startRead(s.any()) }},
-	{30, (*sim).deliverAny},
-	{4, (*sim).loseAny},
-	{4, (*sim).duplicateAny},
-	{10, func(s *sim) { s.run(s.any(), true) }},
+	{6, func(s *sim) { s.startRead(s.anyReplica()) }},
+	{30, (*sim).deliverAnyMessage},
+	{4, (*sim).dropAnyMessage},
+	{4, (*sim).duplicateAnyMessage},
+	{10, func(s *sim) { s.run(s.anyReplica(), true) }},
 	{10, (*sim).tickAny},
-	{2, func(s *sim) { s.crash(s.any()) }},
+	{2, func(s *sim) { s.crash(s.anyReplica()) }},
 	{4, (*sim).startAny},
-	{3, (*sim).cutAny},
-	{3, func(s *sim) { clear(s.cut) }},
-	{20, func(s *sim) { s.stepProxy(s.anyProxy(), s.any()) }},
+	{3, (*sim).blockAnyLink},
+	{3, func(s *sim) { clear(s.blockedLinks) }},
+	{20, func(s *sim) { s.stepProxy(s.anyProxy(), s.anyReplica()) }},
 	{3, func(s *sim) { s.anyProxy().disconnect() }},
 	{1, func(s *sim) { s.damage(s.anyProxy()) }},
 	{3, (*sim).campaignAny},
 }
 
-func (s *sim) any() *simReplica     { return s.replicas[s.choose.below("replica", simReplicas)] }
-func (s *sim) anyProxy() *simProxy  { return s.proxies[s.choose.below("proxy", len(s.proxies))] }
-func (s *sim) anyMessage() int      { return s.choose.below("message", len(s.network)) }
-func (s *sim) removeMessage(at int) { s.network = append(s.network[:at:at], s.network[at+1:]...) }
+func (s *sim) anyReplica() *simReplica { return s.replicas[s.choose.below("replica", simReplicas)] }
+func (s *sim) anyProxy() *simProxy     { return s.proxies[s.choose.below("proxy", len(s.proxies))] }
+func (s *sim) anyMessage() int         { return s.choose.below("message", len(s.network)) }
+func (s *sim) removeMessage(at int)    { s.network = append(s.network[:at:at], s.network[at+1:]...) }
 
-func (s *sim) deliverAny() {
+func (s *sim) deliverAnyMessage() {
 	if len(s.network) == 0 {
 		return
 	}
@@ -59,13 +59,13 @@
 	s.run(s.replicas[one.to-1], true)
 }
 
-func (s *sim) loseAny() {
+func (s *sim) dropAnyMessage() {
 	if len(s.network) > 0 {
 		s.removeMessage(s.anyMessage())
 	}
 }
 
-func (s *sim) duplicateAny() {
+func (s *sim) duplicateAnyMessage() {
 	if len(s.network) > 0 {
 		s.network = append(s.network, s.network[s.anyMessage()])
 	}
@@ -73,42 +73,42 @@
 
 func (s *sim) tickAny() {
 	s.now += TickInterval.Seconds()
-	if r := s.any(); r.node != nil {
+	if r := s.anyReplica(); r.node != nil {
 		for range 1 + s.choose.below("ticks", ElectionTicks) {
 			r.node.Tick()
 		}
 		s.run(r, true)
 	}
-	s.guard()
+	s.proposeCanaryCommands()
 }
 
 func (s *sim) startAny() {
-	if r := s.any(); r.node == nil {
+	if r := s.anyReplica(); r.node == nil {
 		s.start(r)
 	}
 }
 
 // cutAny cuts one direction between two replicas, or all of one replica's ways out.
-func (s *sim) cutAny() {
+func (s *sim) blockAnyLink() {
 	from := uint64(1 + s.choose.below("cut from", simReplicas))
 	if s.choose.below("cut all", 3) == 0 {
 		for to := range uint64(simReplicas) {
-			s.cut[[2]uint64{from, to + 1}] = true
+			s.blockedLinks[[2]uint64{from, to + 1}] = true
 		}
 		return
 	}
-	s.cut[[2]uint64{from, uint64(1 + s.choose.below("cut to", simReplicas))}] = true
+	s.blockedLinks[[2]uint64{from, uint64(1 + s.choose.below("cut to", simReplicas))}] = true
 }
 
 func (s *sim) campaignAny() {
-	if r := s.any(); r.node != nil {
+	if r := s.anyReplica(); r.node != nil {
 		_ = r.node.Campaign()
 		s.run(r, true)
 	}
 }
 
 // play has so many things happen, heals all and checks what must hold.
-func (s *sim) play(steps int) error {
+func (s *sim) runHistory(steps int) error {
 	total := 0
 	for _, action := range actions {
 		total += action.weight
@@ -140,7 +140,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		cryptotest.SetGlobalRandom(t, rapid.Uint64().Draw(r, "election time-outs"))
 		s := newSim(rapidChooser{r}, defects{})
-		if err := s.play(300); err != nil {
+		if err := s.runHistory(300); err != nil {
 			r.Fatal(err)
 		}
 		for key, count := range s.counts {
@@ -163,7 +163,7 @@
 	for seed := range uint64(seeds) {
 		cryptotest.SetGlobalRandom(t, seed)
 		s := newSim(seedChooser{rand.New(rand.NewPCG(seed, 1))}, wrong)
-		if err := s.play(300); err != nil {
+		if err := s.runHistory(300); err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
 	}
@@ -174,9 +174,9 @@
 	for name, wrong := range map[string]defects{
 		"acknowledged before it is saved": {acknowledgeUnsaved: true},
 		"the base is not checked":         {noBaseCheck: true},
-		"the guard is off":                {noGuard: true},
+		"the guard is off":                {noCanaries: true},
 		"reads don't ask the leader":      {readLocally: true},
-		"what proxies hold is forgotten":  {heldForgotten: true},
+		"what proxies hold is forgotten":  {heldDocumentsIgnored: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := firstViolation(t, wrong, 30)
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -11,77 +11,77 @@
 
 // Settings of the consensus core.
 const (
-	ElectionTicks  = 10 // without a word from the leader until an election; the library adds up to as many at random
-	HeartbeatTicks = 1  // between two heartbeats
+	ElectionTicks  = 10 // ticks without a message from the leader until an election; the raft library adds up to as many at random
+	HeartbeatTicks = 1  // ticks between two heartbeats
 
-	messageBytesMost     = 1 << 20  // of entries in one message
-	uncommittedBytesMost = 16 << 20 // of entries that wait for a quorum; more are dropped
-	inflightMessagesMost = 64       // to a peer without an answer
+	maxMessageBytes     = 1 << 20  // size of the entries in one message
+	maxUncommittedBytes = 16 << 20 // size of the uncommitted entries; proposals beyond it are dropped
+	maxInflightMessages = 64       // number of unacknowledged messages to a peer
 )
 
-// Persisted is what a replica's storage holds. The zero value is a replica that begins.
+// PersistedState is the contents of a replica's storage. The zero value is that of a new replica.
 type PersistedState struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot // nil for none
-	Entries   []*raftpb.Entry  // ascending without gaps; those up to the snapshot's index are passed over
+	Entries   []*raftpb.Entry  // ascending without gaps; those up to the snapshot's index are ignored
 }
 
-// NodeConfig describes a replica.
+// NodeConfig configures a Node.
 type NodeConfig struct {
 	ID        uint64   // one of Peers, not 0
-	Peers     []uint64 // all replicas of the cluster, the same at each
+	Peers     []uint64 // IDs of all replicas of the cluster, the same on each replica
 	Fleet     string
 	Persisted PersistedState
 }
 
-// Applied is a command that is committed, saved here and carried out.
+// AppliedCommand is a command that is committed, saved on this replica and applied to its state.
 type AppliedCommand struct {
 	Index   uint64
 	Command Command
 	Outcome Outcome
 }
 
-// Progress is what became of a Work.
+// AdvanceResult describes the effects of a completed Work.
 type AdvanceResult struct {
 	Applied       []AppliedCommand
-	ReadContexts  [][]byte // contexts of ReadIndex: the state has all that was accepted before the call
-	Undecided     []string // IDs proposed here that may yet be committed or not: ask again with the same ID
-	StateReplaced bool     // the state was replaced by a leader's snapshot: State gives another one
+	ReadContexts  [][]byte // contexts of ReadIndex calls; the state contains everything accepted before the call
+	Undecided     []string // IDs proposed here that may or may not be committed; propose again with the same ID
+	StateReplaced bool     // a leader's snapshot replaced the state; State returns the new one
 }
 
-// Node is one replica's consensus core, over the etcd project's raft library with its PreVote and CheckQuorum. It does no
-// I/O, has no clock and is not safe for concurrent use. The only randomness is the library's election time-out.
+// Node is the consensus core of one replica. It uses the etcd project's raft library with PreVote and CheckQuorum enabled. It
+// does no I/O, reads no clock and is not safe for concurrent use. The only random value is the library's election timeout.
 type Node struct {
-	id      uint64
-	peers   []uint64
-	raft    *raft.RawNode
-	storage *raft.MemoryStorage // what is saved of the log
-	state   *State
-	applied uint64
-	failed  error
-
-	pending     map[string]bool // IDs proposed here in pendingTerm
-	pendingTerm uint64
-	reads       []raft.ReadState // waiting for entries to be applied
-
-	incoming      *State // the state of a leader's snapshot that Step took
+	id           uint64
+	peers        []uint64
+	raft         *raft.RawNode
+	storage      *raft.MemoryStorage // the saved part of the log
+	state        *State
+	appliedIndex uint64
+	failure      error
+
+	pendingIDs   map[string]bool // IDs proposed here in pendingTerm
+	pendingTerm  uint64
+	pendingReads []raft.ReadState // reads that wait until enough entries are applied
+
+	incomingState *State // decoded state of a leader's snapshot that Step accepted
 	incomingIndex uint64
 
-	limits         compactionLimits
-	compactedIndex uint64 // of the newest snapshot
-	loggedBytes    int    // of commands applied since
-	handedOut      uint64 // the last entry that Ready gave to be saved
+	limits             compactionLimits
+	compactedIndex     uint64 // index of the newest snapshot
+	bytesSinceSnapshot int    // size of the commands applied since the newest snapshot
+	lastHandedOutIndex uint64 // index of the last entry that Ready returned to be saved
 }
 
-// NewNode starts a replica from what its storage holds. Errors: *StorageError, *FleetError, or what is wrong with the
+// NewNode starts a replica from its persisted state. The error is a *StorageError, a *FleetMismatchError or one about the
 // list of peers.
 func NewNode(config NodeConfig) (node *Node, err error) {
 	peers := slices.Sorted(slices.Values(config.Peers))
 	if config.ID == 0 || !slices.Contains(peers, config.ID) || len(slices.Compact(slices.Clone(peers))) != len(peers) {
-		return nil, fmt.Errorf("replica %d: the peers %v do not have it, or have one twice", config.ID, config.Peers)
+		return nil, fmt.Errorf("replica %d: the peers %v do not contain its ID or contain a duplicate", config.ID, config.Peers)
 	}
-	n := &Node{id: config.ID, peers: peers, pending: map[string]bool{}, limits: defaultLimits}
-	defer recoverAs(&err, func(reason string) error { return &StorageError{Reason: reason} })
+	n := &Node{id: config.ID, peers: peers, pendingIDs: map[string]bool{}, limits: defaultCompactionLimits}
+	defer panicToError(&err, func(reason string) error { return &StorageError{Reason: reason} })
 	if err := n.restore(config.Fleet, config.Persisted); err != nil {
 		return nil, err
 	}
@@ -90,15 +90,15 @@
 		ElectionTick:              ElectionTicks,
 		HeartbeatTick:             HeartbeatTicks,
 		Storage:                   n.storage,
-		Applied:                   n.applied,
-		MaxSizePerMsg:             messageBytesMost,
-		MaxUncommittedEntriesSize: uncommittedBytesMost,
-		MaxInflightMsgs:           inflightMessagesMost,
+		Applied:                   n.appliedIndex,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs:           maxInflightMessages,
 		CheckQuorum:               true,
 		PreVote:                   true,
 		ReadOnlyOption:            raft.ReadOnlySafe,
 		DisableProposalForwarding: true,
-		Logger:                    quietLogger{},
+		Logger:                    discardLogger{},
 	})
 	if err != nil {
 		return nil, err
@@ -106,127 +106,129 @@
 	return n, nil
 }
 
-// recoverAs turns a panic of the library into an error.
-func recoverAs(err *error, wrap func(reason string) error) {
+// panicToError recovers from a panic of the raft library and stores it as an error. It must be deferred.
+func panicToError(err *error, wrap func(reason string) error) {
 	if cause := recover(); cause != nil {
 		*err = wrap(oneLine(fmt.Errorf("%v", cause)))
 	}
 }
 
-// guarded runs a call of the library. Once it has panicked, the node has failed.
-func (n *Node) guarded(call func() error) (err error) {
-	if n.failed != nil {
-		return n.failed
+// callRaft runs a call of the raft library. If it panics or returns a *NodeFailedError, the node fails: this and all later
+// calls return that error.
+func (n *Node) callRaft(call func() error) (err error) {
+	if n.failure != nil {
+		return n.failure
 	}
 	defer func() {
 		if failed := new(NodeFailedError); errors.As(err, &failed) {
-			n.failed = err
+			n.failure = err
 		}
 	}()
-	defer recoverAs(&err, func(reason string) error { return &NodeFailedError{Reason: reason} })
+	defer panicToError(&err, func(reason string) error { return &NodeFailedError{Reason: reason} })
 	return call()
 }
 
-// Tick is to be called each TickInterval.
+// Tick advances the logical clock. It must be called once per TickInterval.
 func (n *Node) Tick() {
-	_ = n.guarded(func() error {
+	_ = n.callRaft(func() error {
 		n.raft.Tick()
 		return nil
 	})
 }
 
-// Campaign asks for an election now.
-func (n *Node) Campaign() error { return n.guarded(n.raft.Campaign) }
+// Campaign starts an election immediately.
+func (n *Node) Campaign() error { return n.callRaft(n.raft.Campaign) }
 
-// Propose puts a command into the log, on the leader only: ErrNotLeader, ErrDropped or a *BadCommandError otherwise.
+// Propose appends a command to the log. Only the leader accepts proposals. The error may be ErrNotLeader, ErrDropped, an
+// *InvalidCommandError or a *NodeFailedError.
 func (n *Node) Propose(c Command) error {
-	text, err := EncodeCommand(c)
+	encoded, err := EncodeCommand(c)
 	if err != nil {
 		return err
 	}
 	if !n.IsLeader() {
 		return ErrNotLeader
 	}
-	err = n.guarded(func() error { return n.raft.Propose(text) })
+	err = n.callRaft(func() error { return n.raft.Propose(encoded) })
 	if errors.Is(err, raft.ErrProposalDropped) {
 		return ErrDropped
 	}
 	if err == nil {
-		n.pending[c.ID] = true
+		n.pendingIDs[c.ID] = true
 		n.pendingTerm = n.Term()
 	}
 	return err
 }
 
-// ReadIndex asks for a linearizable read; its context comes back in Progress.Reads, or never: ask again then. A context
-// must never be used twice by any replica, also not after a restart.
+// ReadIndex requests a linearizable read. Its context is returned in AdvanceResult.ReadContexts, or never, in which case the
+// caller should repeat the request. A context must be unique among all replicas, even after a restart.
 func (n *Node) ReadIndex(context []byte) {
-	_ = n.guarded(func() error {
+	_ = n.callRaft(func() error {
 		n.raft.ReadIndex(context)
 		return nil
 	})
 }
 
-// Unreachable says that messages to a peer do not arrive.
+// ReportUnreachable reports that messages to a peer do not arrive.
 func (n *Node) ReportUnreachable(peer uint64) {
-	_ = n.guarded(func() error {
+	_ = n.callRaft(func() error {
 		n.raft.ReportUnreachable(peer)
 		return nil
 	})
 }
 
-// SnapshotSent says whether a message of type MsgSnap reached the peer. It must be called for each.
+// ReportSnapshot reports whether a message of type MsgSnap reached the peer. It must be called for every such message.
 func (n *Node) ReportSnapshot(peer uint64, arrived bool) {
 	status := raft.SnapshotFailure
 	if arrived {
 		status = raft.SnapshotFinish
 	}
-	_ = n.guarded(func() error {
+	_ = n.callRaft(func() error {
 		n.raft.ReportSnapshot(peer, status)
 		return nil
 	})
 }
 
-// Failed tells why the node does nothing more, nil while it does.
-func (n *Node) Err() error { return n.failed }
+// Err returns the error that stopped the node, or nil while it works.
+func (n *Node) Err() error { return n.failure }
 
-// State is the replica's state machine.
+// State returns the replica's state machine.
 func (n *Node) State() *State { return n.state }
 
-// Leader is the leader's ID as far as it is known here, 0 for none.
+// Leader returns the leader's ID that this replica knows, or 0.
 func (n *Node) Leader() uint64 { return n.raft.BasicStatus().Lead }
 
-// IsLeader says whether this replica leads.
+// IsLeader reports whether this replica is the leader.
 func (n *Node) IsLeader() bool { return n.raft.BasicStatus().RaftState == raft.StateLeader }
 
-// Term is the consensus term.
+// Term returns the current consensus term.
 func (n *Node) Term() uint64 { return n.raft.BasicStatus().GetTerm() }
 
-// Applied is the index of the last entry that the state has.
-func (n *Node) AppliedIndex() uint64 { return n.applied }
+// AppliedIndex returns the index of the last entry that was applied to the state.
+func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// lastSaved is the index of the last entry that may be saved.
-func (n *Node) lastSaved() uint64 {
+// lastSavedIndex returns the index of the last entry that is or may be saved.
+func (n *Node) lastSavedIndex() uint64 {
 	last, err := n.storage.LastIndex()
 	if err != nil {
-		return n.handedOut
+		return n.lastHandedOutIndex
 	}
-	return max(last, n.handedOut)
+	return max(last, n.lastHandedOutIndex)
 }
 
-// quietLogger drops the library's log lines. What it calls a panic is one.
-type quietLogger struct{}
-
-func (quietLogger) Debug(...any)            {}
-func (quietLogger) Debugf(string, ...any)   {}
-func (quietLogger) Error(...any)            {}
-func (quietLogger) Errorf(string, ...any)   {}
-func (quietLogger) Info(...any)             {}
-func (quietLogger) Infof(string, ...any)    {}
-func (quietLogger) Warning(...any)          {}
-func (quietLogger) Warningf(string, ...any) {}
-
-func (quietLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (quietLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
-func (quietLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (quietLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+// discardLogger discards the raft library's log lines, but panics where the library logs a panic or a fatal error.
+type discardLogger struct{}
+
+func (discardLogger) Debug(...any)            {}
+func (discardLogger) Debugf(string, ...any)   {}
+func (discardLogger) Error(...any)            {}
+func (discardLogger) Errorf(string, ...any)   {}
+func (discardLogger) Info(...any)             {}
+func (discardLogger) Infof(string, ...any)    {}
+func (discardLogger) Warning(...any)          {}
+func (discardLogger) Warningf(string, ...any) {}
+
+func (discardLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (discardLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -15,7 +15,7 @@
 )
 
 // quietSim is five replicas that have chosen a leader.
-func quietSim(t *testing.T) *sim {
+func newSimWithLeader(t *testing.T) *sim {
 	t.Helper()
 	cryptotest.SetGlobalRandom(t, 1)
 	s := newSim(seedChooser{rand.New(rand.NewPCG(1, 1))}, defects{})
@@ -39,7 +39,7 @@
 }
 
 func TestOnlyTheLeaderTakesProposals(t *testing.T) {
-	s := quietSim(t)
+	s := newSimWithLeader(t)
 	command := apply("a", revision.FleetScope, 0, "{}")
 	if err := s.follower().node.Propose(command); !errors.Is(err, ErrNotLeader) {
 		t.Errorf("a follower: %v", err)
@@ -60,11 +60,11 @@
 }
 
 func TestALeaderWithoutAQuorumTellsThatItsProposalIsUndecided(t *testing.T) {
-	s := quietSim(t)
+	s := newSimWithLeader(t)
 	leader := s.leader()
 	for _, r := range s.replicas {
-		s.cut[[2]uint64{r.id, leader.id}] = true
-		s.cut[[2]uint64{leader.id, r.id}] = true
+		s.blockedLinks[[2]uint64{r.id, leader.id}] = true
+		s.blockedLinks[[2]uint64{leader.id, r.id}] = true
 	}
 	if err := leader.node.Propose(apply("a", revision.FleetScope, 0, "{}")); err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 }
 
 func TestALeaderThatStoodStillTellsNothingStale(t *testing.T) {
-	s := quietSim(t)
+	s := newSimWithLeader(t)
 	old := s.leader()
 	old.paused = true
 	for range 40 {
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	s.round()
-	if s.accepted != 1 {
+	if s.newestAccepted != 1 {
 		t.Fatal("the change is not accepted")
 	}
 	old.paused = false
@@ -124,11 +124,11 @@
 
 func TestACutOfOneWayLeavesALeader(t *testing.T) {
 	for name, way := range map[string]func(s *sim, leader, other uint64){
-		"the leader is not heard":  func(s *sim, leader, other uint64) { s.cut[[2]uint64{leader, other}] = true },
-		"the leader does not hear": func(s *sim, leader, other uint64) { s.cut[[2]uint64{other, leader}] = true },
+		"the leader is not heard":  func(s *sim, leader, other uint64) { s.blockedLinks[[2]uint64{leader, other}] = true },
+		"the leader does not hear": func(s *sim, leader, other uint64) { s.blockedLinks[[2]uint64{other, leader}] = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := quietSim(t)
+			s := newSimWithLeader(t)
 			old := s.leader()
 			for _, r := range s.replicas {
 				if r != old {
@@ -157,11 +157,11 @@
 }
 
 func TestLargeCommandsMakeASnapshotDue(t *testing.T) {
-	s := quietSim(t)
+	s := newSimWithLeader(t)
 	leader := s.leader()
-	leader.node.limits = defaultLimits
-	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", SnapshotIntervalBytes/snapshotEntriesMin))
-	for i := range snapshotEntriesMin {
+	leader.node.limits = defaultCompactionLimits
+	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", SnapshotIntervalBytes/minSnapshotEntries))
+	for i := range minSnapshotEntries {
 		if leader.disk.Snapshot != nil {
 			t.Fatalf("after %d commands there is one", i)
 		}
@@ -176,7 +176,7 @@
 }
 
 func TestTooManyWaitingProposalsAreDropped(t *testing.T) {
-	s := quietSim(t)
+	s := newSimWithLeader(t)
 	leader := s.leader()
 	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", 1<<20-100))
 	for i := range 32 {
@@ -192,7 +192,7 @@
 }
 
 func TestALateReplicaIsBroughtUpByASnapshot(t *testing.T) {
-	s := quietSim(t)
+	s := newSimWithLeader(t)
 	late := s.follower()
 	s.crash(late)
 	base := revision.Number(0)
@@ -222,7 +222,7 @@
 }
 
 func TestStorageThatCannotBeRightIsRefused(t *testing.T) {
-	s := quietSim(t)
+	s := newSimWithLeader(t)
 	for i := range 3 {
 		if err := s.leader().node.Propose(apply(fmt.Sprint(i), revision.FleetScope, revision.Number(i), "{}")); err != nil {
 			t.Fatal(err)
@@ -264,7 +264,7 @@
 }
 
 func TestMessagesOfNoSoundPeerChangeNothing(t *testing.T) {
-	s := quietSim(t)
+	s := newSimWithLeader(t)
 	r := s.follower()
 	from := s.leader().id
 	foreign, err := NewState("other").Marshal()
@@ -316,7 +316,7 @@
 }
 
 func TestACommittedEntryThatIsNoCommandChangesNothing(t *testing.T) {
-	s := quietSim(t)
+	s := newSimWithLeader(t)
 	before := s.leader().node.AppliedIndex()
 	if err := s.leader().node.raft.Propose([]byte("{no command")); err != nil {
 		t.Fatal(err)
--- a/internal/control/outcome.go
+++ b/internal/control/outcome.go
@@ -7,39 +7,42 @@
 	"sandpass/internal/revision"
 )
 
-// outcomeMemory remembers the outcomes of the last OutcomesMost commands by their IDs.
-type outcomeMemory struct {
+// outcomeLog remembers the outcomes of the last MaxRememberedOutcomes commands by their IDs.
+type outcomeLog struct {
 	byID  map[string]Outcome
-	order []string // the oldest first
+	order []string // command IDs, oldest first
 }
 
-func newOutcomeMemory() outcomeMemory {
-	return outcomeMemory{byID: map[string]Outcome{}}
+// newOutcomeLog returns an empty outcomeLog.
+func newOutcomeLog() outcomeLog {
+	return outcomeLog{byID: map[string]Outcome{}}
 }
 
-func (m *outcomeMemory) get(id string) (Outcome, bool) {
-	outcome, known := m.byID[id]
-	return outcome, known
+// get returns the outcome of a command ID, and whether it is remembered.
+func (l *outcomeLog) get(id string) (Outcome, bool) {
+	outcome, found := l.byID[id]
+	return outcome, found
 }
 
-func (m *outcomeMemory) add(id string, outcome Outcome) {
-	m.byID[id] = outcome
-	m.order = append(m.order, id)
-	if len(m.order) > MaxRememberedOutcomes {
-		delete(m.byID, m.order[0])
-		m.order = m.order[1:]
+// add records an outcome and forgets the oldest one if there are more than MaxRememberedOutcomes.
+func (l *outcomeLog) add(id string, outcome Outcome) {
+	l.byID[id] = outcome
+	l.order = append(l.order, id)
+	if len(l.order) > MaxRememberedOutcomes {
+		delete(l.byID, l.order[0])
+		l.order = l.order[1:]
 	}
 }
 
-// OutcomeRecord is a command's outcome as it is saved and sent.
+// OutcomeRecord is the serialized form of a command's outcome, used in snapshots and messages.
 type OutcomeRecord struct {
 	ID     string          `json:"id"`
 	Number revision.Number `json:"number,omitempty"`
-	Kind   string          `json:"kind,omitempty"` // of the error, empty for none
+	Kind   string          `json:"kind,omitempty"` // kind of the error, empty for none
 	Error  json.RawMessage `json:"error,omitempty"`
 }
 
-// The kinds of errors in an OutcomeRecord.
+// Error kinds of an OutcomeRecord.
 const (
 	conflictKind        = "conflict"
 	unknownRevisionKind = "unknown_revision"
@@ -48,7 +51,7 @@
 	limitKind           = "limit"
 )
 
-// Record gives an outcome in the form that is saved and sent.
+// Record returns the serializable form of an outcome.
 func (o Outcome) Record(id string) (OutcomeRecord, error) {
 	record := OutcomeRecord{ID: id, Number: o.Number}
 	if o.Err == nil {
@@ -66,14 +69,14 @@
 	case *LimitError:
 		record.Kind = limitKind
 	default:
-		return record, fmt.Errorf("no outcome has an error of type %T", o.Err)
+		return record, fmt.Errorf("an outcome with an error of type %T cannot be recorded", o.Err)
 	}
 	var err error
 	record.Error, err = revision.Encode(o.Err)
 	return record, err
 }
 
-// Outcome reads an outcome back.
+// Outcome decodes an OutcomeRecord.
 func (r OutcomeRecord) Outcome() (Outcome, error) {
 	outcome := Outcome{Number: r.Number}
 	if r.Kind == "" {
@@ -91,7 +94,7 @@
 	case limitKind:
 		outcome.Err = &LimitError{}
 	default:
-		return Outcome{}, fmt.Errorf("outcome of unknown kind %q", r.Kind)
+		return Outcome{}, fmt.Errorf("unknown error kind %q in an outcome", r.Kind)
 	}
 	if err := json.Unmarshal(r.Error, outcome.Err); err != nil {
 		return Outcome{}, fmt.Errorf("outcome: %w", err)
--- a/internal/control/cut_test.go
+++ b/internal/control/partition_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	cutLasts      = time.Hour
-	changeEvery   = 24 * time.Hour / 810 // as many as the operators make
-	upToDateAfter = 3 * time.Second      // of the healing
+	partitionDuration = time.Hour
+	changeInterval    = 24 * time.Hour / 810 // as many as the operators make
+	catchUpTime       = 3 * time.Second      // of the healing
 )
 
 // cutOff cuts the ways between some replicas and the others, or heals them.
-func (s *sim) cutOff(replicas []uint64, cut bool) {
+func (s *sim) setPartition(replicas []uint64, cut bool) {
 	inside := map[uint64]bool{}
 	for _, id := range replicas {
 		inside[id] = true
@@ -25,14 +25,14 @@
 	for from := range uint64(simReplicas) {
 		for to := range uint64(simReplicas) {
 			if inside[from+1] != inside[to+1] {
-				s.cut[[2]uint64{from + 1, to + 1}] = cut
+				s.blockedLinks[[2]uint64{from + 1, to + 1}] = cut
 			}
 		}
 	}
 }
 
 // pass lets time pass, with a change now and then.
-func (s *sim) pass(lasts, between time.Duration) {
+func (s *sim) runFor(lasts, between time.Duration) {
 	rounds := int(lasts / TickInterval)
 	every := max(1, int(between/TickInterval))
 	for n := range rounds {
@@ -51,11 +51,11 @@
 		t.Run(fmt.Sprint("replicas ", region), func(t *testing.T) {
 			cryptotest.SetGlobalRandom(t, uint64(number))
 			s := newSim(seedChooser{rand.New(rand.NewPCG(uint64(number), 2))}, defects{})
-			s.pass(10*time.Second, time.Second)
-			before := s.accepted
-			s.cutOff(region, true)
-			s.pass(cutLasts, changeEvery)
-			during := s.accepted - before
+			s.runFor(10*time.Second, time.Second)
+			before := s.newestAccepted
+			s.setPartition(region, true)
+			s.runFor(partitionDuration, changeInterval)
+			during := s.newestAccepted - before
 			if s.violation != nil {
 				t.Fatal(s.violation)
 			}
@@ -67,8 +67,8 @@
 				t.Error("the replicas are equal during the cut: the test shows nothing")
 			}
 			s.violation = nil
-			s.cutOff(region, false)
-			s.pass(upToDateAfter, 0)
+			s.setPartition(region, false)
+			s.runFor(catchUpTime, 0)
 			if s.violation == nil {
 				s.checkSettled()
 			}
--- a/internal/control/restore.go
+++ b/internal/control/restore.go
@@ -9,18 +9,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// All replicas begin with the same first snapshot, which names the peers: no entry of the log has to.
+// Index and term of the initial snapshot. It is the same on all replicas and lists the peers, so that no log entry has to.
 const (
-	firstIndex = 1
-	firstTerm  = 1
+	initialIndex = 1
+	initialTerm  = 1
 )
 
-// restore builds the log's saved part and the state at its snapshot.
+// restore initializes the state from the saved snapshot and the log from the saved entries.
 func (n *Node) restore(fleet string, saved PersistedState) error {
 	snapshot := saved.Snapshot
 	if raft.IsEmptySnap(snapshot) {
 		var err error
-		if snapshot, err = n.firstSnapshot(fleet); err != nil {
+		if snapshot, err = n.initialSnapshot(fleet); err != nil {
 			return err
 		}
 	}
@@ -31,7 +31,7 @@
 	if err := n.storage.ApplySnapshot(snapshot); err != nil {
 		return &StorageError{Reason: oneLine(err)}
 	}
-	entries, err := entriesAfter(n.applied, saved.Entries)
+	entries, err := entriesAfter(n.appliedIndex, saved.Entries)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,8 @@
 	return n.restoreHardState(saved.HardState)
 }
 
-func (n *Node) firstSnapshot(fleet string) (*raftpb.Snapshot, error) {
+// initialSnapshot returns the snapshot of an empty state that a new replica starts from.
+func (n *Node) initialSnapshot(fleet string) (*raftpb.Snapshot, error) {
 	data, err := NewState(fleet).Marshal()
 	if err != nil {
 		return nil, err
@@ -50,19 +51,20 @@
 		Data: data,
 		Metadata: &raftpb.SnapshotMetadata{
 			ConfState: n.confState(),
-			Index:     proto.Uint64(firstIndex),
-			Term:      proto.Uint64(firstTerm),
+			Index:     proto.Uint64(initialIndex),
+			Term:      proto.Uint64(initialTerm),
 		},
 	}, nil
 }
 
+// confState returns the raft configuration with all peers as voters.
 func (n *Node) confState() *raftpb.ConfState {
 	return &raftpb.ConfState{Voters: slices.Clone(n.peers)}
 }
 
-// restoreState reads the state of a saved snapshot.
+// restoreState decodes the state of a saved snapshot.
 func (n *Node) restoreState(fleet string, snapshot *raftpb.Snapshot) error {
-	if err := n.checkPeers(snapshot); err != nil {
+	if err := n.checkMembership(snapshot); err != nil {
 		return &StorageError{Reason: oneLine(err)}
 	}
 	state, err := UnmarshalState(snapshot.Data)
@@ -73,22 +75,22 @@
 		return &FleetMismatchError{Fleet: state.Fleet(), Want: fleet}
 	}
 	n.state = state
-	n.applied = snapshot.GetMetadata().GetIndex()
-	n.compactedIndex = n.applied
+	n.appliedIndex = snapshot.GetMetadata().GetIndex()
+	n.compactedIndex = n.appliedIndex
 	return nil
 }
 
-// checkPeers finds a snapshot of another set of replicas.
-func (n *Node) checkPeers(snapshot *raftpb.Snapshot) error {
+// checkMembership refuses a snapshot of another set of replicas.
+func (n *Node) checkMembership(snapshot *raftpb.Snapshot) error {
 	conf := snapshot.GetMetadata().GetConfState()
 	voters := slices.Sorted(slices.Values(conf.GetVoters()))
 	if !slices.Equal(voters, n.peers) || len(conf.GetLearners())+len(conf.GetVotersOutgoing())+len(conf.GetLearnersNext()) > 0 {
-		return fmt.Errorf("the snapshot is of the replicas %v, not %v", voters, n.peers)
+		return fmt.Errorf("the snapshot belongs to the replicas %v, not %v", voters, n.peers)
 	}
 	return nil
 }
 
-// entriesAfter gives the saved entries behind a snapshot.
+// entriesAfter returns the saved entries after an index. They must be consecutive, with terms that do not decrease.
 func entriesAfter(index uint64, saved []*raftpb.Entry) ([]*raftpb.Entry, error) {
 	first := slices.IndexFunc(saved, func(entry *raftpb.Entry) bool { return entry.GetIndex() > index })
 	if first < 0 {
@@ -98,26 +100,26 @@
 	term := uint64(0)
 	for i, entry := range entries {
 		if entry.GetIndex() != index+1+uint64(i) || entry.GetTerm() < term {
-			return nil, &StorageError{Reason: fmt.Sprintf("the log has a gap before entry %d", entry.GetIndex())}
+			return nil, &StorageError{Reason: fmt.Sprintf("the log has a gap or a lower term at entry %d", entry.GetIndex())}
 		}
 		term = entry.GetTerm()
 	}
 	return entries, nil
 }
 
-// restoreHardState checks that the log is as long as it was known to be.
+// restoreHardState checks that the log contains all committed entries and restores the hard state.
 func (n *Node) restoreHardState(saved *raftpb.HardState) error {
-	hard := &raftpb.HardState{Term: proto.Uint64(firstTerm), Commit: proto.Uint64(firstIndex)}
+	hardState := &raftpb.HardState{Term: proto.Uint64(initialTerm), Commit: proto.Uint64(initialIndex)}
 	if saved != nil {
-		hard = proto.Clone(saved).(*raftpb.HardState)
+		hardState = proto.Clone(saved).(*raftpb.HardState)
 	}
-	if last := n.lastSaved(); hard.GetCommit() > last {
-		return &StorageError{Reason: fmt.Sprintf("the log ends at entry %d, %d was committed", last, hard.GetCommit())}
+	if last := n.lastSavedIndex(); hardState.GetCommit() > last {
+		return &StorageError{Reason: fmt.Sprintf("the log ends at entry %d, but entry %d was committed", last, hardState.GetCommit())}
 	}
-	if hard.GetCommit() < n.applied {
-		hard.Commit = proto.Uint64(n.applied)
+	if hardState.GetCommit() < n.appliedIndex {
+		hardState.Commit = proto.Uint64(n.appliedIndex)
 	}
-	if err := n.storage.SetHardState(hard); err != nil {
+	if err := n.storage.SetHardState(hardState); err != nil {
 		return &StorageError{Reason: oneLine(err)}
 	}
 	return nil
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -6,20 +6,21 @@
 	"sandpass/internal/revision"
 )
 
-// unknownChecksum stands for what a proxy has whose word can't be built upon; no document has it.
+// unknownChecksum replaces the checksum of a proxy that does not have what this replica expects. It matches no document, so
+// the next update is full.
 const unknownChecksum = "unknown"
 
-// Session is one proxy's watch as a replica sees it: what the proxy holds, and what was sent and not yet answered.
+// Session is the replica's side of one proxy's watch: what the proxy holds, and the update that it has not yet answered.
 type Session struct {
-	hello   revision.Hello
-	sent    *revision.Update
-	refused string // the update that the proxy did not take: it is not sent again
+	hello      revision.Hello
+	unanswered *revision.Update
+	refusedKey string // updateKey of the update that the proxy refused; it is not sent again
 }
 
-// NewSession begins a watch by the proxy's Hello.
+// NewSession starts a session from the proxy's Hello. It returns an error for an unknown protocol or an invalid identity.
 func NewSession(hello revision.Hello) (*Session, error) {
 	if hello.Protocol != revision.Protocol {
-		return nil, fmt.Errorf("protocol %d is unknown, %d is spoken here", hello.Protocol, revision.Protocol)
+		return nil, fmt.Errorf("protocol %d is not supported, this replica uses protocol %d", hello.Protocol, revision.Protocol)
 	}
 	if err := hello.Identity.Check(); err != nil {
 		return nil, err
@@ -27,66 +28,67 @@
 	return &Session{hello: hello}, nil
 }
 
-// Identity says whose watch it is.
+// Identity returns the identity of the proxy.
 func (s *Session) Identity() revision.Identity { return s.hello.Identity }
 
-// Hello is what the proxy holds by all that it has reported, numbers only.
+// Hello describes what the proxy holds according to all its reports, without documents.
 func (s *Session) Hello() revision.Hello { return s.hello }
 
-// Next gives the update to send now, nil while one is unanswered, while there is nothing new, or while what there is
-// was refused. Ask after the Hello, after each Reported and after each applied command. The update counts as sent.
-// Errors are those of State.Update; after an *AheadError ask again when more is applied.
+// NextUpdate returns the update to send now and records it as sent. It returns nil while an update is unanswered, if there is
+// nothing new, or if the proxy refused the same update before. It must be called after NewSession, after each HandleReport and
+// after each applied command. The errors are those of State.UpdateFor; after a *ReplicaBehindError, call it again when more
+// commands are applied.
 func (s *Session) NextUpdate(state *State) (*revision.Update, error) {
-	if s.sent != nil {
+	if s.unanswered != nil {
 		return nil, nil
 	}
 	update, err := state.UpdateFor(s.hello)
-	if err != nil || update == nil || updateKey(update) == s.refused {
+	if err != nil || update == nil || updateKey(update) == s.refusedKey {
 		return nil, err
 	}
-	s.sent = update
+	s.unanswered = update
 	return update, nil
 }
 
-// Unsent takes back an update that Next gave and that was not sent after all, for the pacer's sake.
-func (s *Session) CancelSent() { s.sent = nil }
+// CancelSent undoes NextUpdate if the update was not sent because the rate limit delays it.
+func (s *Session) CancelSent() { s.unanswered = nil }
 
-// updateKey names what an update would lead to.
+// updateKey identifies the result of an update.
 func updateKey(update *revision.Update) string {
 	return fmt.Sprintf("%d %s", update.Revision, update.Checksum)
 }
 
-// Reported takes the proxy's answer. It says whether the report belongs to the update that was sent last.
+// HandleReport processes a report of the proxy. It returns false if the report does not answer the last sent update.
 func (s *Session) HandleReport(report revision.Report) bool {
-	if s.sent == nil || report.Revision != s.sent.Revision {
+	if s.unanswered == nil || report.Revision != s.unanswered.Revision {
 		return false
 	}
-	update := s.sent
-	s.sent = nil
+	update := s.unanswered
+	s.unanswered = nil
 	verdict := report.Verdict
 	if verdict == revision.InForce && report.Checksum != "" && report.Checksum != update.Checksum {
 		verdict = revision.Unknown
 	}
 	switch verdict {
 	case revision.InForce:
-		s.take(update)
+		s.applyUpdate(update)
 	case revision.Unknown:
 		s.hello.Checksum = unknownChecksum
 		if update.Full {
-			s.refused = updateKey(update) // another whole one would fare no better
+			s.refusedKey = updateKey(update) // sending the same full update again would not help
 		}
 	default:
-		s.refused = updateKey(update)
+		s.refusedKey = updateKey(update)
 	}
 	return true
 }
 
-// take notes that an update is in force.
-func (s *Session) take(update *revision.Update) {
+// applyUpdate records that an update is in force.
+func (s *Session) applyUpdate(update *revision.Update) {
 	held := map[revision.Scope]revision.Number{}
 	if !update.Full {
-		for _, one := range s.hello.Documents {
-			held[one.Scope] = one.Number
+		for _, document := range s.hello.Documents {
+			held[document.Scope] = document.Number
 		}
 	}
 	for _, change := range update.Scopes {
@@ -100,5 +102,5 @@
 	}
 	s.hello.Revision = update.Revision
 	s.hello.Checksum = update.Checksum
-	s.refused = ""
+	s.refusedKey = ""
 }
--- a/internal/control/sim_test.go
+++ b/internal/control/sim_test.go
@@ -18,11 +18,11 @@
 
 // defects are what a history may have wrong on purpose. They live in this harness only.
 type defects struct {
-	acknowledgeUnsaved bool // messages leave and commands count before they are saved
-	noBaseCheck        bool // a submitter's base is replaced by the newest revision
-	noGuard            bool // revisions have no canaries
-	readLocally        bool // reads don't ask the leader
-	heldForgotten      bool // replicas take proxies to hold nothing
+	acknowledgeUnsaved   bool // messages leave and commands count before they are saved
+	noBaseCheck          bool // a submitter's base is replaced by the newest revision
+	noCanaries           bool // revisions have no canaries
+	readLocally          bool // reads don't ask the leader
+	heldDocumentsIgnored bool // replicas take proxies to hold nothing
 }
 
 const (
@@ -38,55 +38,55 @@
 
 // simReplica is one replica: what is on its disk, and the node while it runs.
 type simReplica struct {
-	id    uint64
-	disk  PersistedState
-	cache []Work // written and not synced: a crash may lose it
-	node  *Node  // nil while it is down
-	reads map[string]revision.Number
-	view  *FleetView
-	guard *CanaryController
-	led   bool
+	id        uint64
+	disk      PersistedState
+	unsynced  []Work // written and not synced: a crash may lose it
+	node      *Node  // nil while it is down
+	reads     map[string]revision.Number
+	view      *FleetView
+	canaries  *CanaryController
+	wasLeader bool
 
 	paused bool // it does nothing, what comes in waits
 }
 
 // submission is what a client asked for and what it was told.
 type submission struct {
-	command Command
-	sawBase revision.Number
-	watched bool            // the leader knew of a proxy that the scope concerns
-	number  revision.Number // told as accepted, 0 while not
+	command           Command
+	seenBase          revision.Number
+	canariesAvailable bool            // the leader knew of a proxy that the scope concerns
+	acceptedNumber    revision.Number // told as accepted, 0 while not
 }
 
 // sim is five replicas, the network between them, clients and proxies.
 type sim struct {
-	choose      chooser
-	defects     defects
-	now         float64
-	replicas    []*simReplica
-	network     []envelope
-	cut         map[[2]uint64]bool
-	submissions map[string]*submission
-	log         map[uint64]string // what each index of the log holds, by whoever applied it first
-	outcomes    map[string]string
-	accepted    revision.Number // the newest that a client was told
-	contexts    int
-	proxies     []*simProxy
-	sentTo      map[revision.Number]map[string]bool // proxies that a refused document was sent to
-	counts      map[string]int
-	violation   error
+	choose         chooser
+	defects        defects
+	now            float64
+	replicas       []*simReplica
+	network        []envelope
+	blockedLinks   map[[2]uint64]bool
+	submissions    map[string]*submission
+	log            map[uint64]string // what each index of the log holds, by whoever applied it first
+	outcomes       map[string]string
+	newestAccepted revision.Number // the newest that a client was told
+	contexts       int
+	proxies        []*simProxy
+	sentTo         map[revision.Number]map[string]bool // proxies that a refused document was sent to
+	counts         map[string]int
+	violation      error
 }
 
 func newSim(choose chooser, wrong defects) *sim {
 	s := &sim{
-		choose:      choose,
-		defects:     wrong,
-		cut:         map[[2]uint64]bool{},
-		submissions: map[string]*submission{},
-		log:         map[uint64]string{},
-		outcomes:    map[string]string{},
-		sentTo:      map[revision.Number]map[string]bool{},
-		counts:      map[string]int{},
+		choose:       choose,
+		defects:      wrong,
+		blockedLinks: map[[2]uint64]bool{},
+		submissions:  map[string]*submission{},
+		log:          map[uint64]string{},
+		outcomes:     map[string]string{},
+		sentTo:       map[revision.Number]map[string]bool{},
+		counts:       map[string]int{},
 	}
 	for id := range uint64(simReplicas) {
 		s.replicas = append(s.replicas, &simReplica{id: id + 1})
@@ -113,12 +113,12 @@
 		s.fail("replica %d does not start: %w", r.id, err)
 		return
 	}
-	node.limits = compactionLimits{entries: 12, bytes: SnapshotIntervalBytes, kept: 4}
+	node.limits = compactionLimits{entries: 12, bytes: SnapshotIntervalBytes, retainedEntries: 4}
 	r.node = node
 	r.reads = map[string]revision.Number{}
 	r.view = NewFleetView()
-	r.guard = NewCanaryController(CanaryConfig{Share: 1})
-	r.led = false
+	r.canaries = NewCanaryController(CanaryConfig{Share: 1})
+	r.wasLeader = false
 }
 
 // crash stops a replica; what is not synced is lost if the choice falls so.
@@ -127,11 +127,11 @@
 		return
 	}
 	s.counts["crashes"]++
-	kept := s.choose.below("writes kept", len(r.cache)+1)
-	for _, work := range r.cache[:kept] {
+	kept := s.choose.below("writes kept", len(r.unsynced)+1)
+	for _, work := range r.unsynced[:kept] {
 		r.disk.save(work)
 	}
-	r.cache = nil
+	r.unsynced = nil
 	r.node = nil
 	for _, proxy := range s.proxies {
 		if proxy.replica == r {
@@ -184,18 +184,18 @@
 
 // write saves a Work, and all before it if it has to be synced.
 func (s *sim) write(r *simReplica, work Work) {
-	r.cache = append(r.cache, work)
+	r.unsynced = append(r.unsynced, work)
 	if !work.MustSync {
 		return
 	}
-	synced := len(r.cache)
+	synced := len(r.unsynced)
 	if s.defects.acknowledgeUnsaved {
 		synced-- // it is synced with the next one only
 	}
-	for _, earlier := range r.cache[:synced] {
+	for _, earlier := range r.unsynced[:synced] {
 		r.disk.save(earlier)
 	}
-	r.cache = slices.Clone(r.cache[synced:])
+	r.unsynced = slices.Clone(r.unsynced[synced:])
 }
 
 // run does a replica's work. A crash may fall between any two steps of it.
@@ -230,7 +230,7 @@
 			s.fail("replica %d: %w", r.id, err)
 			return
 		}
-		s.took(r, progress)
+		s.checkResult(r, progress)
 	}
 }
 
@@ -238,9 +238,9 @@
 	to := message.GetTo()
 	if message.GetType() == raftpb.MsgSnap {
 		s.counts["snapshots sent"]++
-		r.node.ReportSnapshot(to, !s.cut[[2]uint64{r.id, to}])
+		r.node.ReportSnapshot(to, !s.blockedLinks[[2]uint64{r.id, to}])
 	}
-	if s.cut[[2]uint64{r.id, to}] {
+	if s.blockedLinks[[2]uint64{r.id, to}] {
 		r.node.ReportUnreachable(to)
 		return
 	}
@@ -254,7 +254,7 @@
 		s.network = append(s.network, one)
 		return
 	}
-	if r.node == nil || s.cut[[2]uint64{one.from, one.to}] {
+	if r.node == nil || s.blockedLinks[[2]uint64{one.from, one.to}] {
 		return
 	}
 	if err := r.node.Step(proto.Clone(one.message).(*raftpb.Message)); err != nil {
@@ -266,7 +266,7 @@
 }
 
 // took checks what a replica's state went through.
-func (s *sim) took(r *simReplica, progress AdvanceResult) {
+func (s *sim) checkResult(r *simReplica, progress AdvanceResult) {
 	if progress.StateReplaced {
 		s.counts["states restored"]++
 	}
@@ -294,11 +294,11 @@
 	if asked == nil || applied.Outcome.Err != nil {
 		return
 	}
-	asked.number = applied.Outcome.Number
-	s.accepted = max(s.accepted, asked.number)
-	entry, known := r.node.State().Entry(asked.number)
-	if known && entry.Previous != asked.sawBase {
-		s.fail("revision %d follows %d, its author saw %d", entry.Number, entry.Previous, asked.sawBase)
+	asked.acceptedNumber = applied.Outcome.Number
+	s.newestAccepted = max(s.newestAccepted, asked.acceptedNumber)
+	entry, known := r.node.State().Entry(asked.acceptedNumber)
+	if known && entry.Previous != asked.seenBase {
+		s.fail("revision %d follows %d, its author saw %d", entry.Number, entry.Previous, asked.seenBase)
 	}
 }
 
@@ -308,7 +308,7 @@
 	}
 	s.contexts++
 	context := fmt.Sprintf("read %d", s.contexts)
-	r.reads[context] = s.accepted
+	r.reads[context] = s.newestAccepted
 	if s.defects.readLocally {
 		s.checkRead(r, context)
 		return
@@ -363,17 +363,17 @@
 		Document: revision.Document(document),
 		Author:   "anna",
 		Reason:   id,
-		Canaries: leader.guard.SelectCanaries(leader.view.ConnectedIdentities(), scope),
+		Canaries: leader.canaries.SelectCanaries(leader.view.ConnectedIdentities(), scope),
 	}
-	if s.defects.noGuard {
+	if s.defects.noCanaries {
 		apply.Canaries = nil
 	}
 	if newest, _ := leader.node.State().Latest(scope); s.defects.noBaseCheck {
 		apply.Base = newest.Number
 	}
-	asked := &submission{command: Command{ID: id, Apply: &apply}, sawBase: base.Number}
-	asked.watched = slices.ContainsFunc(leader.view.ConnectedIdentities(), func(identity revision.Identity) bool {
-		return concerns(scope, identity)
+	asked := &submission{command: Command{ID: id, Apply: &apply}, seenBase: base.Number}
+	asked.canariesAvailable = slices.ContainsFunc(leader.view.ConnectedIdentities(), func(identity revision.Identity) bool {
+		return scopeIncludes(scope, identity)
 	})
 	s.submissions[id] = asked
 	if leader.node.Propose(asked.command) == nil {
@@ -392,20 +392,20 @@
 }
 
 // guard has each leader propose what its guard finds due.
-func (s *sim) guard() {
+func (s *sim) proposeCanaryCommands() {
 	for _, r := range s.replicas {
 		if r.node == nil || r.paused {
 			continue
 		}
 		leads := r.node.IsLeader()
-		if leads && !r.led {
-			r.guard.ResetFromFleet(s.now, r.view)
+		if leads && !r.wasLeader {
+			r.canaries.ResetFromFleet(s.now, r.view)
 		}
-		r.led = leads
+		r.wasLeader = leads
 		if !leads {
 			continue
 		}
-		for _, command := range r.guard.PendingCommands(s.now, r.node.State()) {
+		for _, command := range r.canaries.PendingCommands(s.now, r.node.State()) {
 			_ = r.node.Propose(command)
 		}
 	}
@@ -413,7 +413,7 @@
 
 // settle heals all and lets time pass until the replicas are quiet.
 func (s *sim) settle() {
-	clear(s.cut)
+	clear(s.blockedLinks)
 	for _, r := range s.replicas {
 		if r.node == nil {
 			s.start(r)
@@ -439,7 +439,7 @@
 			s.run(r, false)
 		}
 	}
-	s.guard()
+	s.proposeCanaryCommands()
 	for range 6 {
 		waiting := s.network
 		s.network = nil
@@ -478,12 +478,12 @@
 	}
 	state := s.replicas[0].node.State()
 	for id, asked := range s.submissions {
-		if asked.number == 0 {
+		if asked.acceptedNumber == 0 {
 			continue
 		}
 		s.counts["accepted"]++
-		if entry, known := state.Entry(asked.number); !known || entry.Reason != id {
-			s.fail("revision %d (%s) was accepted and is lost", asked.number, id)
+		if entry, known := state.Entry(asked.acceptedNumber); !known || entry.Reason != id {
+			s.fail("revision %d (%s) was accepted and is lost", asked.acceptedNumber, id)
 		}
 	}
 	if leader := s.leader(); leader == nil {
--- a/internal/control/simproxy_test.go
+++ b/internal/control/simproxy_test.go
@@ -19,12 +19,12 @@
 
 // simProxy is a proxy: what its state folder holds, and its watch.
 type simProxy struct {
-	identity revision.Identity
-	held     []revision.ScopeDocument // with documents
-	revision revision.Number
-	checksum string
-	replica  *simReplica // nil while it has no watch
-	session  *Session
+	identity  revision.Identity
+	documents []revision.ScopeDocument // with documents
+	revision  revision.Number
+	checksum  string
+	replica   *simReplica // nil while it has no watch
+	session   *Session
 }
 
 // newSimProxies gives nine proxies in three zones.
@@ -54,7 +54,7 @@
 		Revision: p.revision,
 		Checksum: p.checksum,
 	}
-	hello.Documents = numbersOnly(p.held)
+	hello.Documents = numbersOnly(p.documents)
 	return hello
 }
 
@@ -65,7 +65,7 @@
 		return
 	}
 	hello := p.hello()
-	if s.defects.heldForgotten {
+	if s.defects.heldDocumentsIgnored {
 		hello.Documents, hello.Revision, hello.Checksum = nil, 0, ""
 	}
 	session, err := NewSession(hello)
@@ -104,7 +104,7 @@
 	s.counts["updates"]++
 	if update.Full {
 		s.counts["whole updates"]++
-		if len(p.held) == 0 {
+		if len(p.documents) == 0 {
 			s.counts["first updates"]++
 		}
 		if update.Revision == p.revision {
@@ -129,7 +129,7 @@
 			continue
 		}
 		r.view.RecordReport(s.time(), fmt.Sprint(p.replica.id), p.session.Hello(), report)
-		r.guard.RecordReport(s.now, p.identity.Proxy, report)
+		r.canaries.RecordReport(s.now, p.identity.Proxy, report)
 	}
 }
 
@@ -139,12 +139,12 @@
 	if update.Revision < p.revision || update.Revision == p.revision && !update.Full {
 		s.fail("proxy %s has revision %d and is sent %d", p.identity.Proxy, p.revision, update.Revision)
 	}
-	held := slices.Clone(p.held)
+	held := slices.Clone(p.documents)
 	if update.Full {
 		held = nil
 	}
 	for _, change := range update.Scopes {
-		if before := heldNumber(p.held, change.Scope); change.Number < before {
+		if before := heldNumber(p.documents, change.Scope); change.Number < before {
 			s.fail("proxy %s goes back in %v from %d to %d", p.identity.Proxy, change.Scope, before, change.Number)
 		}
 		document := change.Document
@@ -181,7 +181,7 @@
 		report.Reason = "it is bad"
 		return report
 	}
-	p.held = held
+	p.documents = held
 	p.revision = update.Revision
 	p.checksum = update.Checksum
 	report.Verdict = revision.InForce
@@ -201,7 +201,7 @@
 			s.sentTo[change.Number] = map[string]bool{}
 		}
 		s.sentTo[change.Number][p.identity.Proxy] = true
-		if sent := len(s.sentTo[change.Number]); s.submissions[entry.Reason].watched && sent > 3 {
+		if sent := len(s.sentTo[change.Number]); s.submissions[entry.Reason].canariesAvailable && sent > 3 {
 			s.fail("revision %d, which all refuse, was sent to %d proxies in 3 zones", change.Number, sent)
 		}
 	}
@@ -209,12 +209,12 @@
 
 // damage has a proxy lose a document, which its checksum tells at the next watch.
 func (s *sim) damage(p *simProxy) {
-	if len(p.held) == 0 {
+	if len(p.documents) == 0 {
 		return
 	}
-	i := s.choose.below("damaged", len(p.held))
-	p.held[i].Document = revision.Document(`{"lost":true}`)
-	if effective, err := revision.EffectiveDocument(p.identity, p.held); err == nil {
+	i := s.choose.below("damaged", len(p.documents))
+	p.documents[i].Document = revision.Document(`{"lost":true}`)
+	if effective, err := revision.EffectiveDocument(p.identity, p.documents); err == nil {
 		p.checksum = revision.Checksum(effective)
 	}
 	p.disconnect()
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -10,26 +10,27 @@
 	"sandpass/internal/revision"
 )
 
-// SnapshotFormat is the version of a snapshot's form. A replica refuses one that it does not know.
+// SnapshotFormatVersion is the version of the snapshot format. A replica refuses any other version.
 const SnapshotFormatVersion = 1
 
-// numberMost is the highest number of a revision that a snapshot may have: one more must be countable.
-const numberMost = 1 << 53
+// maxRevisionNumber is the highest revision number in a snapshot. It leaves room for further revisions without overflow.
+const maxRevisionNumber = 1 << 53
 
-// snapshotHeader is a snapshot's first line, the body is its second.
+// snapshotHeader is the first line of a snapshot. The second line is the snapshotBody.
 type snapshotHeader struct {
 	Format   int    `json:"format"`
-	Checksum string `json:"checksum"` // of the body
+	Checksum string `json:"checksum"` // checksum of the body
 }
 
+// snapshotBody is the serialized State.
 type snapshotBody struct {
 	Fleet    string          `json:"fleet"`
 	Newest   revision.Number `json:"newest"`
-	Entries  []*Entry        `json:"entries"`  // ascending
-	Outcomes []OutcomeRecord `json:"outcomes"` // the oldest first
+	Entries  []*Entry        `json:"entries"`  // ascending by number
+	Outcomes []OutcomeRecord `json:"outcomes"` // oldest first
 }
 
-// Marshal writes a snapshot with a format version and a checksum. Equal states give equal bytes.
+// Marshal returns a snapshot of the state, with a format version and a checksum. Equal states produce equal bytes.
 func (s *State) Marshal() ([]byte, error) {
 	body := snapshotBody{Fleet: s.fleet, Newest: s.newest}
 	for _, entry := range s.entries {
@@ -54,31 +55,31 @@
 	return slices.Concat(header, []byte("\n"), text), nil
 }
 
-// Checksum is that of the whole state: replicas that have applied the same commands have the same.
+// Checksum returns the checksum of the whole state. Replicas that have applied the same commands have the same checksum.
 func (s *State) Checksum() (string, error) {
-	if s.cache.state != "" {
-		return s.cache.state, nil
+	if s.cache.stateChecksum != "" {
+		return s.cache.stateChecksum, nil
 	}
 	text, err := s.Marshal()
 	if err != nil {
 		return "", err
 	}
-	s.cache.state = revision.Checksum(text)
-	return s.cache.state, nil
+	s.cache.stateChecksum = revision.Checksum(text)
+	return s.cache.stateChecksum, nil
 }
 
-// UnmarshalState reads a snapshot; the error is a *SnapshotError.
+// UnmarshalState decodes and validates a snapshot. The error is a *SnapshotError.
 func UnmarshalState(text []byte) (*State, error) {
 	head, text, cut := bytes.Cut(text, []byte("\n"))
 	var header snapshotHeader
 	if err := json.Unmarshal(head, &header); err != nil || !cut {
-		return nil, &SnapshotError{Reason: "it has no header"}
+		return nil, &SnapshotError{Reason: "the header is missing or invalid"}
 	}
 	if header.Format != SnapshotFormatVersion {
-		return nil, &SnapshotError{Reason: fmt.Sprintf("format %d, known is %d", header.Format, SnapshotFormatVersion)}
+		return nil, &SnapshotError{Reason: fmt.Sprintf("format version %d, not %d", header.Format, SnapshotFormatVersion)}
 	}
 	if header.Checksum != revision.Checksum(text) {
-		return nil, &SnapshotError{Reason: "its checksum is wrong"}
+		return nil, &SnapshotError{Reason: "the checksum does not match"}
 	}
 	var body snapshotBody
 	if err := json.Unmarshal(text, &body); err != nil {
@@ -91,27 +92,27 @@
 	return state, nil
 }
 
-// state builds the state and checks what its methods rely on.
+// state builds the State and checks the invariants that its methods rely on.
 func (b *snapshotBody) state() (*State, error) {
-	if b.Newest > numberMost {
-		return nil, fmt.Errorf("revision %d is beyond any that there could be", b.Newest)
+	if b.Newest > maxRevisionNumber {
+		return nil, fmt.Errorf("revision number %d is too high", b.Newest)
 	}
 	s := NewState(b.Fleet)
 	s.newest = b.Newest
 	last := revision.Number(0)
 	for _, entry := range b.Entries {
 		if entry == nil || entry.Number <= last || entry.Number > b.Newest {
-			return nil, fmt.Errorf("after revision %d comes one out of order", last)
+			return nil, fmt.Errorf("the entry after revision %d is missing or out of order", last)
 		}
 		last = entry.Number
 		if err := entry.check(); err != nil {
 			return nil, fmt.Errorf("revision %d: %w", entry.Number, err)
 		}
-		s.insert(entry)
+		s.appendEntry(entry)
 	}
 	for _, record := range b.Outcomes {
-		if _, twice := s.outcomes.get(record.ID); twice || record.ID == "" {
-			return nil, fmt.Errorf("outcome ID %q stands twice or is empty", record.ID)
+		if _, duplicate := s.outcomes.get(record.ID); duplicate || record.ID == "" {
+			return nil, fmt.Errorf("outcome ID %q is empty or a duplicate", record.ID)
 		}
 		outcome, err := record.Outcome()
 		if err != nil {
@@ -122,7 +123,7 @@
 	return s, nil
 }
 
-// check finds an entry that Apply could not have made.
+// check refuses an entry that Apply could not have produced.
 func (e *Entry) check() error {
 	if _, err := revision.ParseScope(e.Scope.String()); err != nil {
 		return err
@@ -137,7 +138,7 @@
 		return err
 	}
 	if !bytes.Equal(document, e.Document) || e.Checksum != revision.Checksum(document) {
-		return fmt.Errorf("the document is not canonical, or its checksum is wrong")
+		return fmt.Errorf("the document is not canonical or does not match its checksum")
 	}
 	return nil
 }
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -31,7 +31,7 @@
 }
 
 // tried is a command with a trial.
-func tried(id string, scope revision.Scope, base revision.Number, document string, canaries ...string) Command {
+func applyWithCanaries(id string, scope revision.Scope, base revision.Number, document string, canaries ...string) Command {
 	command := apply(id, scope, base, document)
 	command.Apply.Canaries = canaries
 	return command
@@ -45,7 +45,7 @@
 func hold(number revision.Number) Command    { return *holdCommand(number, "p1", "no such key") }
 
 // accept applies commands that have to be accepted.
-func accept(t *testing.T, s *State, commands ...Command) {
+func mustApply(t *testing.T, s *State, commands ...Command) {
 	t.Helper()
 	for _, command := range commands {
 		if outcome := s.Apply(command); outcome.Err != nil {
@@ -73,28 +73,28 @@
 			"1 superseded, 2 released",
 		},
 		"a trial leaves the released one": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1")},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1")},
 			"1 released, 2 trial",
 		},
 		"a trial ends well": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1"), release(2)},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1"), release(2)},
 			"1 superseded, 2 released",
 		},
 		"a trial is held": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1"), hold(2)},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1"), hold(2)},
 			"1 released, 2 held",
 		},
 		"held after its release": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1"), release(2), hold(2)},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1"), release(2), hold(2)},
 			"1 released, 2 held",
 		},
 		"the next one after a held one": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), tried("b", revision.FleetScope, 1, "{}", "p1"), hold(2),
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1"), hold(2),
 				apply("c", revision.FleetScope, 2, "{}")},
 			"1 superseded, 2 held, 3 released",
 		},
 		"a trial is overtaken": {
-			[]Command{tried("a", revision.FleetScope, 0, "{}", "p1"), tried("b", revision.FleetScope, 1, "{}", "p2"), release(2)},
+			[]Command{applyWithCanaries("a", revision.FleetScope, 0, "{}", "p1"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p2"), release(2)},
 			"1 superseded, 2 released",
 		},
 		"scopes have chains of their own": {
@@ -104,7 +104,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewState(simFleet)
-			accept(t, s, test.commands...)
+			mustApply(t, s, test.commands...)
 			if got := stages(s); got != test.want {
 				t.Errorf("%s; wanted %s", got, test.want)
 			}
@@ -127,7 +127,7 @@
 		"no document":        {apply("x", revision.FleetScope, 2, ""), new(*InvalidCommandError)},
 		"no ID":              {apply("", revision.FleetScope, 2, "{}"), new(*InvalidCommandError)},
 		"long ID":            {apply(strings.Repeat("x", MaxCommandIDBytes+1), revision.FleetScope, 2, "{}"), new(*InvalidCommandError)},
-		"bad canary":         {tried("x", revision.FleetScope, 2, "{}", "p 1"), new(*InvalidCommandError)},
+		"bad canary":         {applyWithCanaries("x", revision.FleetScope, 2, "{}", "p 1"), new(*InvalidCommandError)},
 		"nothing set":        {Command{ID: "x"}, new(*InvalidCommandError)},
 		"long reason":        {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: long}}, new(*InvalidCommandError)},
 		"no UTF-8":           {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: "\xff"}}, new(*InvalidCommandError)},
@@ -140,7 +140,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewState(simFleet)
-			accept(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`), apply("b", revision.FleetScope, 1, `{"a":2}`))
+			mustApply(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`), apply("b", revision.FleetScope, 1, `{"a":2}`))
 			before := stages(s)
 			outcome := s.Apply(test.command)
 			if outcome.Err == nil || !errors.As(outcome.Err, test.want) {
@@ -158,7 +158,7 @@
 
 func TestAConflictTellsWhatChangedMeanwhile(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s,
+	mustApply(t, s,
 		apply("a", revision.FleetScope, 0, `{"limits":{"rate":1},"x":1}`),
 		apply("b", zoneA, 0, `{"y":1}`),
 		apply("c", revision.FleetScope, 1, `{"limits":{"rate":2},"x":1}`),
@@ -180,9 +180,9 @@
 
 func TestASecondCommandWithAnIDChangesNothing(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`))
+	mustApply(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`))
 	refused := s.Apply(apply("b", revision.FleetScope, 2, `{"a":2}`))
-	accept(t, s, apply("c", revision.FleetScope, 1, `{"a":3}`))
+	mustApply(t, s, apply("c", revision.FleetScope, 1, `{"a":3}`))
 	if outcome := s.Apply(apply("a", revision.FleetScope, 2, `{"a":4}`)); outcome.Number != 1 || outcome.Err != nil {
 		t.Errorf("the second a: %v", outcome)
 	}
@@ -203,8 +203,8 @@
 
 func TestRollbackIsANewRevision(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`), apply("b", revision.FleetScope, 1, `{"a":2}`))
-	accept(t, s, rollback(revision.FleetScope, 2, 1))
+	mustApply(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`), apply("b", revision.FleetScope, 1, `{"a":2}`))
+	mustApply(t, s, rollback(revision.FleetScope, 2, 1))
 	latest, _ := s.Latest(revision.FleetScope)
 	if latest.Number != 3 || string(latest.Document) != `{"a":1}` || latest.RollbackOf != 1 || latest.Previous != 2 {
 		t.Errorf("%+v", latest)
@@ -213,7 +213,7 @@
 
 func TestHistoryIsBoundedAndKeepsWhatIsNeeded(t *testing.T) {
 	s := NewState(simFleet)
-	accept(t, s, apply("zone", zoneA, 0, `{"a":1}`), apply("zone 2", zoneA, 1, `{"a":2}`))
+	mustApply(t, s, apply("zone", zoneA, 0, `{"a":1}`), apply("zone 2", zoneA, 1, `{"a":2}`))
 	base := revision.Number(0)
 	for i := range MaxHistoryRevisions + 100 {
 		command := apply(fmt.Sprint("f", i), revision.FleetScope, base, fmt.Sprintf(`{"a":%d}`, i))
@@ -232,7 +232,7 @@
 	if _, known := s.Entry(3); known {
 		t.Error("the fleet's first revision is kept")
 	}
-	if accept(t, s, hold(2)); s.chains[zoneA].released().Number != 1 {
+	if mustApply(t, s, hold(2)); s.chains[zoneA].latestReleased().Number != 1 {
 		t.Error("what the zone goes back to is not kept")
 	}
 }
@@ -256,14 +256,14 @@
 	s := NewState(simFleet)
 	base := revision.Number(0)
 	for i := range MaxUnreleasedRevisions {
-		accept(t, s, tried(fmt.Sprint(i), revision.FleetScope, base, "{}", "p1"))
+		mustApply(t, s, applyWithCanaries(fmt.Sprint(i), revision.FleetScope, base, "{}", "p1"))
 		base = s.NewestNumber()
 	}
 	limit := new(LimitError)
-	if outcome := s.Apply(tried("x", revision.FleetScope, base, "{}", "p1")); !errors.As(outcome.Err, &limit) {
+	if outcome := s.Apply(applyWithCanaries("x", revision.FleetScope, base, "{}", "p1")); !errors.As(outcome.Err, &limit) {
 		t.Errorf("one more: %v", outcome)
 	}
-	accept(t, s, apply("at once", revision.FleetScope, base, "{}"))
+	mustApply(t, s, apply("at once", revision.FleetScope, base, "{}"))
 }
 
 func TestOutcomesAreBounded(t *testing.T) {
@@ -277,12 +277,12 @@
 }
 
 // everyOutcome gives a state with all stages and all kinds of outcomes.
-func everyOutcome(t testing.TB) *State {
+func stateWithAllOutcomes(t testing.TB) *State {
 	s := NewState(simFleet)
 	s.Apply(apply("a", revision.FleetScope, 0, `{"html":"<&>\u2028","n":1.50}`))
-	s.Apply(tried("b", revision.FleetScope, 1, `{"n":2}`, "p1", "p2"))
+	s.Apply(applyWithCanaries("b", revision.FleetScope, 1, `{"n":2}`, "p1", "p2"))
 	s.Apply(hold(2))
-	s.Apply(tried("c", zoneA, 0, `{"n":2}`, "p1"))
+	s.Apply(applyWithCanaries("c", zoneA, 0, `{"n":2}`, "p1"))
 	s.Apply(apply("conflict", revision.FleetScope, 1, `{"n":3}`))
 	s.Apply(apply("unknown", revision.FleetScope, 9, `{"n":3}`))
 	s.Apply(apply("bad", revision.FleetScope, 2, `{"n":`))
@@ -293,7 +293,7 @@
 }
 
 func TestASnapshotGivesTheSameState(t *testing.T) {
-	s := everyOutcome(t)
+	s := stateWithAllOutcomes(t)
 	text, err := s.Marshal()
 	if err != nil {
 		t.Fatal(err)
@@ -315,8 +315,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	accept(t, s, apply("z", revision.FleetScope, 2, "{}"))
-	accept(t, read, apply("z", revision.FleetScope, 2, "{}"))
+	mustApply(t, s, apply("z", revision.FleetScope, 2, "{}"))
+	mustApply(t, read, apply("z", revision.FleetScope, 2, "{}"))
 	one, err := s.Checksum()
 	if other, otherErr := read.Checksum(); err != nil || otherErr != nil || one != other || one == before {
 		t.Errorf("%s (%v) and %s (%v), before %s", one, err, other, otherErr, before)
@@ -324,12 +324,12 @@
 }
 
 // sealed gives a snapshot's body a right header.
-func sealed(body string) []byte {
+func withHeader(body string) []byte {
 	return fmt.Appendf(nil, "{\"format\":%d,\"checksum\":%q}\n%s", SnapshotFormatVersion, revision.Checksum([]byte(body)), body)
 }
 
 func TestBadSnapshotsAreRefused(t *testing.T) {
-	whole, err := everyOutcome(t).Marshal()
+	whole, err := stateWithAllOutcomes(t).Marshal()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -344,17 +344,17 @@
 		"cut":             whole[:len(whole)-5],
 		"a bit":           slices.Concat(whole[:len(whole)-9], []byte{whole[len(whole)-9] ^ 1}, whole[len(whole)-8:]),
 		"another format":  []byte("{\"format\":99}\n{}"),
-		"no JSON":         sealed("{"),
-		"out of order":    sealed(`{"newest":2,"entries":[` + second + "," + entry(1, "held", "{}", empty) + `]}`),
-		"beyond newest":   sealed(`{"newest":1,"entries":[` + second + `]}`),
-		"unknown stage":   sealed(`{"newest":2,"entries":[` + entry(2, "lost", "{}", empty) + `]}`),
-		"wrong checksum":  sealed(`{"newest":2,"entries":[` + entry(2, "held", `{"a":1}`, empty) + `]}`),
-		"no document":     sealed(`{"newest":2,"entries":[` + entry(2, "held", `null`, empty) + `]}`),
-		"endless":         sealed(`{"newest":18446744073709551615}`),
-		"null entry":      sealed(`{"newest":2,"entries":[null]}`),
-		"outcome twice":   sealed(`{"outcomes":[{"id":"a"},{"id":"a"}]}`),
-		"outcome unknown": sealed(`{"outcomes":[{"id":"a","kind":"odd"}]}`),
-		"outcome empty":   sealed(`{"outcomes":[{"id":"a","kind":"stage"}]}`),
+		"no JSON":         withHeader("{"),
+		"out of order":    withHeader(`{"newest":2,"entries":[` + second + "," + entry(1, "held", "{}", empty) + `]}`),
+		"beyond newest":   withHeader(`{"newest":1,"entries":[` + second + `]}`),
+		"unknown stage":   withHeader(`{"newest":2,"entries":[` + entry(2, "lost", "{}", empty) + `]}`),
+		"wrong checksum":  withHeader(`{"newest":2,"entries":[` + entry(2, "held", `{"a":1}`, empty) + `]}`),
+		"no document":     withHeader(`{"newest":2,"entries":[` + entry(2, "held", `null`, empty) + `]}`),
+		"endless":         withHeader(`{"newest":18446744073709551615}`),
+		"null entry":      withHeader(`{"newest":2,"entries":[null]}`),
+		"outcome twice":   withHeader(`{"outcomes":[{"id":"a"},{"id":"a"}]}`),
+		"outcome unknown": withHeader(`{"outcomes":[{"id":"a","kind":"odd"}]}`),
+		"outcome empty":   withHeader(`{"outcomes":[{"id":"a","kind":"stage"}]}`),
 	} {
 		bad := new(SnapshotError)
 		if _, err := UnmarshalState(text); !errors.As(err, &bad) || strings.Contains(err.Error(), "\n") {
--- a/internal/control/summary.go
+++ b/internal/control/summary.go
@@ -8,34 +8,34 @@
 	"sandpass/internal/revision"
 )
 
-// Lag is a proxy that has yet to take a revision.
+// LaggingProxy describes a proxy that does not have its target revision yet.
 type LaggingProxy struct {
 	Proxy         string          `json:"proxy"`
 	InForce       revision.Number `json:"in_force"`
 	Target        revision.Number `json:"wanted"`
-	InForceSince  time.Time       `json:"since"` // when what is in force there was reported
+	InForceSince  time.Time       `json:"since"` // when InForce was first reported
 	RefusedNumber revision.Number `json:"refused,omitempty"`
 	RefusalReason string          `json:"reason,omitempty"`
 }
 
-// Summary says how far a revision has come.
+// RolloutSummary describes the progress of a rollout.
 type RolloutSummary struct {
 	Revision     revision.Number `json:"revision"`
-	Targeted     int             `json:"concerned"` // connected proxies that are to have it
-	InForce      int             `json:"in_force"`  // of them, those that have it or a newer one of its scope
-	Lagging      []LaggingProxy  `json:"behind"`    // the others, the slowest first
-	Disconnected int             `json:"gone"`      // proxies that are known and not connected
+	Targeted     int             `json:"concerned"` // connected proxies that should have it
+	InForce      int             `json:"in_force"`  // of those, the proxies that have it or a newer revision of its scope
+	Lagging      []LaggingProxy  `json:"behind"`    // the other connected proxies, longest unchanged first
+	Disconnected int             `json:"gone"`      // known proxies that are not connected
 }
 
-// Summary says how many proxies have all that they are to have.
+// Summary returns how many proxies have all their target revisions.
 func (v *FleetView) Summary(s *State) RolloutSummary {
 	return v.summarize(s.newest, func(status ProxyStatus) (bool, revision.Number) {
-		return true, s.missing(status)
+		return true, s.missingNumber(status)
 	})
 }
 
-// RevisionSummary says how far one revision has come among the proxies that it concerns, whatever its stage. The error is
-// an *UnknownRevisionError.
+// RevisionSummary returns the progress of one revision among the proxies in its scope, whatever its stage. The error is an
+// *UnknownRevisionError.
 func (v *FleetView) RevisionSummary(s *State, number revision.Number) (RolloutSummary, error) {
 	entry := s.entries[number]
 	if entry == nil {
@@ -43,27 +43,28 @@
 	}
 	return v.summarize(number, func(status ProxyStatus) (bool, revision.Number) {
 		if heldNumber(status.HeldDocuments, entry.Scope) >= number {
-			return concerns(entry.Scope, status.Identity), 0
+			return scopeIncludes(entry.Scope, status.Identity), 0
 		}
-		return concerns(entry.Scope, status.Identity), number
+		return scopeIncludes(entry.Scope, status.Identity), number
 	}), nil
 }
 
-// summarize counts; judge says whether a proxy is concerned and which revision it lacks, 0 for none.
-func (v *FleetView) summarize(number revision.Number, judge func(ProxyStatus) (bool, revision.Number)) RolloutSummary {
+// summarize builds a RolloutSummary. The function classify reports whether a proxy is targeted, and which revision it lacks
+// (0 for none).
+func (v *FleetView) summarize(number revision.Number, classify func(ProxyStatus) (bool, revision.Number)) RolloutSummary {
 	summary := RolloutSummary{Revision: number, Lagging: []LaggingProxy{}}
 	for _, status := range v.proxies {
-		concerned, wanted := judge(status)
+		targeted, target := classify(status)
 		switch {
-		case !concerned:
+		case !targeted:
 		case !status.Connected:
 			summary.Disconnected++
-		case wanted == 0:
+		case target == 0:
 			summary.Targeted++
 			summary.InForce++
 		default:
 			summary.Targeted++
-			summary.Lagging = append(summary.Lagging, status.lag(wanted))
+			summary.Lagging = append(summary.Lagging, status.lagging(target))
 		}
 	}
 	slices.SortFunc(summary.Lagging, func(a, b LaggingProxy) int {
@@ -75,19 +76,20 @@
 	return summary
 }
 
-func (p ProxyStatus) lag(wanted revision.Number) LaggingProxy {
+// lagging returns the LaggingProxy for a proxy that lacks the target revision.
+func (p ProxyStatus) lagging(target revision.Number) LaggingProxy {
 	return LaggingProxy{
 		Proxy:         p.Identity.Proxy,
 		InForce:       p.InForce,
-		Target:        wanted,
+		Target:        target,
 		InForceSince:  p.InForceSince,
 		RefusedNumber: p.RefusedNumber,
 		RefusalReason: p.RefusalReason,
 	}
 }
 
-// missing is the newest revision that a proxy is to have and has not, 0 for none.
-func (s *State) missing(status ProxyStatus) revision.Number {
+// missingNumber returns the newest revision that a proxy should have and does not have, or 0.
+func (s *State) missingNumber(status ProxyStatus) revision.Number {
 	missing := revision.Number(0)
 	for _, scope := range status.Identity.Scopes() {
 		held := heldNumber(status.HeldDocuments, scope)
--- a/internal/control/work.go
+++ b/internal/control/work.go
@@ -8,63 +8,68 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Compaction of the log.
+// Settings of log compaction.
 const (
-	SnapshotIntervalEntries = 512     // entries applied since the last snapshot make the next one due
-	SnapshotIntervalBytes   = 8 << 20 // bytes of commands applied since it do, too, after snapshotEntriesMin
-	RetainedLogEntries      = 256     // entries before a snapshot that stay for replicas that are a little behind
-	snapshotEntriesMin      = 16
+	SnapshotIntervalEntries = 512     // applied entries after which a new snapshot is due
+	SnapshotIntervalBytes   = 8 << 20 // applied bytes after which one is due, from minSnapshotEntries on
+	RetainedLogEntries      = 256     // entries before a snapshot that are retained for replicas that lag behind
+	minSnapshotEntries      = 16
 )
 
-// compactionLimits says when a snapshot is due and what stays of the log.
+// compactionLimits determines when a snapshot is due and how many entries before it are retained.
 type compactionLimits struct {
-	entries, bytes, kept int
+	entries, bytes, retainedEntries int
 }
 
-var defaultLimits = compactionLimits{entries: SnapshotIntervalEntries, bytes: SnapshotIntervalBytes, kept: RetainedLogEntries}
+var defaultCompactionLimits = compactionLimits{
+	entries:         SnapshotIntervalEntries,
+	bytes:           SnapshotIntervalBytes,
+	retainedEntries: RetainedLogEntries,
+}
 
-// Work is what a replica's storage and network are to do, in this order: save Snapshot, Compaction, Entries and HardState
-// in one transaction, synced if MustSync; then send Messages; then call Advance. Nothing in it may be changed.
+// Work describes the I/O that the caller must do, in this order: save Snapshot, Compaction, Entries and HardState in one
+// transaction, synced to disk if MustSync is set; then send Messages; then call Node.Advance. The caller must not modify it.
 type Work struct {
-	Snapshot   *raftpb.Snapshot  // from the leader, nil for none: it replaces the whole log
-	Compaction *Compaction       // of the own log, nil for none
-	HardState  *raftpb.HardState // nil while unchanged
-	Entries    []*raftpb.Entry   // they replace all that is saved from the first one's index on
+	Snapshot   *raftpb.Snapshot  // from the leader, nil for none; it replaces the whole log
+	Compaction *Compaction       // of the local log, nil for none
+	HardState  *raftpb.HardState // nil if unchanged
+	Entries    []*raftpb.Entry   // they replace all saved entries from the index of the first one on
 	MustSync   bool
 	Messages   []*raftpb.Message
 
 	ready *raft.Ready
 }
 
-// Compaction puts a snapshot in the place of the log's beginning.
+// Compaction replaces the beginning of the log by a snapshot.
 type Compaction struct {
 	Snapshot           *raftpb.Snapshot
-	FirstRetainedIndex uint64 // entries below this index are deleted
+	FirstRetainedIndex uint64 // entries with a lower index are deleted
 }
 
-// Ready gives the next work, false for none. Advance is to follow before Ready is called again.
-func (n *Node) Ready() (work Work, any bool) {
-	err := n.guarded(func() error {
+// Ready returns the next Work, or false if there is none. Advance must be called before Ready is called again.
+func (n *Node) Ready() (work Work, found bool) {
+	err := n.callRaft(func() error {
 		if n.compactionDue() {
 			compaction, err := n.compaction()
 			if err != nil {
 				return &NodeFailedError{Reason: oneLine(err)}
 			}
 			work = Work{Compaction: compaction, MustSync: true}
-			any = true
+			found = true
 			return nil
 		}
-		if any = n.raft.HasReady(); any {
+		if found = n.raft.HasReady(); found {
 			work = newWork(n.raft.Ready())
 			if last := len(work.Entries) - 1; last >= 0 {
-				n.handedOut = work.Entries[last].GetIndex()
+				n.lastHandedOutIndex = work.Entries[last].GetIndex()
 			}
 		}
 		return nil
 	})
-	return work, any && err == nil
+	return work, found && err == nil
 }
 
+// newWork converts a raft.Ready.
 func newWork(ready raft.Ready) Work {
 	work := Work{
 		HardState: ready.HardState,
@@ -80,19 +85,19 @@
 	return work
 }
 
-// compactionDue says whether enough was applied since the last snapshot.
+// compactionDue reports whether enough entries or bytes were applied since the last snapshot.
 func (n *Node) compactionDue() bool {
-	since := int(n.applied - n.compactedIndex)
-	return since >= n.limits.entries || since >= snapshotEntriesMin && n.loggedBytes >= n.limits.bytes
+	sinceSnapshot := int(n.appliedIndex - n.compactedIndex)
+	return sinceSnapshot >= n.limits.entries || sinceSnapshot >= minSnapshotEntries && n.bytesSinceSnapshot >= n.limits.bytes
 }
 
-// compaction makes a snapshot of the state as it is now.
+// compaction creates a snapshot of the current state.
 func (n *Node) compaction() (*Compaction, error) {
 	data, err := n.state.Marshal()
 	if err != nil {
 		return nil, err
 	}
-	snapshot, err := n.storage.CreateSnapshot(n.applied, n.confState(), data)
+	snapshot, err := n.storage.CreateSnapshot(n.appliedIndex, n.confState(), data)
 	if err != nil {
 		return nil, err
 	}
@@ -100,38 +105,39 @@
 	if err != nil {
 		return nil, err
 	}
-	behind := min(n.applied, uint64(n.limits.kept))
-	return &Compaction{Snapshot: snapshot, FirstRetainedIndex: max(first, n.applied-behind+1)}, nil
+	retained := min(n.appliedIndex, uint64(n.limits.retainedEntries))
+	return &Compaction{Snapshot: snapshot, FirstRetainedIndex: max(first, n.appliedIndex-retained+1)}, nil
 }
 
-// Advance says that the work is done, and carries out what it committed.
+// Advance must be called when the Work is done. It applies the committed commands and returns the effects.
 func (n *Node) Advance(work Work) (AdvanceResult, error) {
-	var progress AdvanceResult
-	err := n.guarded(func() error {
+	var result AdvanceResult
+	err := n.callRaft(func() error {
 		if work.Compaction != nil {
 			return n.advanceCompaction(work.Compaction)
 		}
 		if work.ready == nil {
 			return nil
 		}
-		if err := n.store(work, &progress); err != nil {
+		if err := n.recordSaved(work, &result); err != nil {
 			return &NodeFailedError{Reason: oneLine(err)}
 		}
 		for _, entry := range work.ready.CommittedEntries {
-			n.applyEntry(entry, &progress)
+			n.applyEntry(entry, &result)
 		}
-		n.reads = append(n.reads, work.ready.ReadStates...)
+		n.pendingReads = append(n.pendingReads, work.ready.ReadStates...)
 		n.raft.Advance(*work.ready)
 		return nil
 	})
-	n.finishReads(&progress)
-	n.giveUpPending(&progress)
-	return progress, err
+	n.completeReads(&result)
+	n.abandonPending(&result)
+	return result, err
 }
 
+// advanceCompaction removes the compacted entries from the in-memory log.
 func (n *Node) advanceCompaction(compaction *Compaction) error {
 	n.compactedIndex = compaction.Snapshot.GetMetadata().GetIndex()
-	n.loggedBytes = 0
+	n.bytesSinceSnapshot = 0
 	first, err := n.storage.FirstIndex()
 	if err == nil && compaction.FirstRetainedIndex > first {
 		err = n.storage.Compact(compaction.FirstRetainedIndex - 1)
@@ -142,13 +148,13 @@
 	return nil
 }
 
-// store takes over what has been saved.
-func (n *Node) store(work Work, progress *AdvanceResult) error {
+// recordSaved updates the in-memory log with what has been saved.
+func (n *Node) recordSaved(work Work, result *AdvanceResult) error {
 	if work.Snapshot != nil {
-		if err := n.takeSnapshot(work.Snapshot); err != nil {
+		if err := n.installSnapshot(work.Snapshot); err != nil {
 			return err
 		}
-		progress.StateReplaced = true
+		result.StateReplaced = true
 	}
 	if err := n.storage.Append(work.Entries); err != nil {
 		return err
@@ -159,31 +165,31 @@
 	return nil
 }
 
-// takeSnapshot puts a leader's snapshot in the place of log and state. Step has read it.
-func (n *Node) takeSnapshot(snapshot *raftpb.Snapshot) error {
+// installSnapshot replaces the log and the state by a leader's snapshot. Step has decoded it in most cases.
+func (n *Node) installSnapshot(snapshot *raftpb.Snapshot) error {
 	index := snapshot.GetMetadata().GetIndex()
-	if n.incoming == nil || n.incomingIndex != index {
+	if n.incomingState == nil || n.incomingIndex != index {
 		state, err := UnmarshalState(snapshot.Data)
 		if err != nil {
 			return err
 		}
-		n.incoming = state
+		n.incomingState = state
 	}
 	if err := n.storage.ApplySnapshot(snapshot); err != nil {
 		return err
 	}
-	n.state = n.incoming
-	n.incoming = nil
-	n.applied = index
+	n.state = n.incomingState
+	n.incomingState = nil
+	n.appliedIndex = index
 	n.compactedIndex = index
-	n.loggedBytes = 0
+	n.bytesSinceSnapshot = 0
 	return nil
 }
 
-// applyEntry carries out one committed entry. What is no command changes nothing, at every replica alike.
-func (n *Node) applyEntry(entry *raftpb.Entry, progress *AdvanceResult) {
-	n.applied = entry.GetIndex()
-	n.loggedBytes += len(entry.Data)
+// applyEntry applies one committed entry. An entry that is not a valid command has no effect on any replica.
+func (n *Node) applyEntry(entry *raftpb.Entry, result *AdvanceResult) {
+	n.appliedIndex = entry.GetIndex()
+	n.bytesSinceSnapshot += len(entry.Data)
 	if entry.GetType() != raftpb.EntryNormal || len(entry.Data) == 0 {
 		return
 	}
@@ -192,39 +198,41 @@
 		return
 	}
 	outcome := n.state.Apply(command)
-	delete(n.pending, command.ID)
-	progress.Applied = append(progress.Applied, AppliedCommand{Index: n.applied, Command: command, Outcome: outcome})
+	delete(n.pendingIDs, command.ID)
+	result.Applied = append(result.Applied, AppliedCommand{Index: n.appliedIndex, Command: command, Outcome: outcome})
 }
 
-// finishReads gives the reads that the state is far enough for.
-func (n *Node) finishReads(progress *AdvanceResult) {
-	n.reads = slices.DeleteFunc(n.reads, func(read raft.ReadState) bool {
-		if read.Index > n.applied {
+// completeReads returns the contexts of the reads whose index has been applied.
+func (n *Node) completeReads(result *AdvanceResult) {
+	n.pendingReads = slices.DeleteFunc(n.pendingReads, func(read raft.ReadState) bool {
+		if read.Index > n.appliedIndex {
 			return false
 		}
-		progress.ReadContexts = append(progress.ReadContexts, read.RequestCtx)
+		result.ReadContexts = append(result.ReadContexts, read.RequestCtx)
 		return true
 	})
 }
 
-// giveUpPending tells the proposals whose fate another leader decides.
-func (n *Node) giveUpPending(progress *AdvanceResult) {
-	if len(n.pending) == 0 || n.IsLeader() && n.Term() == n.pendingTerm {
+// abandonPending returns the IDs of all pending proposals as undecided if this replica is no longer the leader of their term:
+// another leader determines whether they are committed.
+func (n *Node) abandonPending(result *AdvanceResult) {
+	if len(n.pendingIDs) == 0 || n.IsLeader() && n.Term() == n.pendingTerm {
 		return
 	}
-	for id := range n.pending {
-		progress.Undecided = append(progress.Undecided, id)
+	for id := range n.pendingIDs {
+		result.Undecided = append(result.Undecided, id)
 	}
-	slices.Sort(progress.Undecided)
-	clear(n.pending)
+	slices.Sort(result.Undecided)
+	clear(n.pendingIDs)
 }
 
-// Step takes a peer's message. The error is a *MessageError for one that changes nothing, or a *FailedError.
+// Step processes a message of a peer. The error is a *MessageError if the message was refused without an effect, or a
+// *NodeFailedError.
 func (n *Node) Step(message *raftpb.Message) error {
 	if err := n.checkMessage(message); err != nil {
 		return err
 	}
-	return n.guarded(func() error {
+	return n.callRaft(func() error {
 		if err := n.raft.Step(message); err != nil {
 			return &MessageError{Reason: oneLine(fmt.Errorf("step: %w", err))}
 		}
