--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -7,7 +7,7 @@
 	"sandpass/internal/revision"
 )
 
-// benchDocument has so many keys.
+// benchDocument returns a document with the given number of settings.
 func benchDocument(keys, value int) string {
 	text := "{"
 	for i := range keys {
@@ -16,7 +16,7 @@
 	return text + `"last":1}`
 }
 
-// benchFleet is 560 proxies in 3 regions, 11 zones and 51 services, and a state with documents of all of these scopes.
+// benchFleet returns 560 proxies in 3 regions, 11 zones and 51 services, and a state with documents for all these scopes.
 func benchFleet(b *testing.B) (*State, []revision.Identity) {
 	s := NewState(simFleet)
 	add := func(scope revision.Scope, keys int) {
@@ -48,8 +48,9 @@
 	return s, identities
 }
 
-// BenchmarkUpdateOf560 is a change of the fleet's document, told to all proxies that have what was before it.
-func BenchmarkUpdateOf560(b *testing.B) {
+// BenchmarkFleetUpdateFor560Proxies measures one change of the fleet's document and the updates for all proxies, which hold
+// the previous revision.
+func BenchmarkFleetUpdateFor560Proxies(b *testing.B) {
 	s, identities := benchFleet(b)
 	sessions := benchSessions(b, s, identities)
 	for b.Loop() {
@@ -62,7 +63,7 @@
 	}
 }
 
-// benchSessions gives the watches of proxies that have all that there is.
+// benchSessions returns sessions of proxies that are up to date.
 func benchSessions(b *testing.B, s *State, identities []revision.Identity) []*Session {
 	var sessions []*Session
 	for _, identity := range identities {
@@ -76,6 +77,7 @@
 	return sessions
 }
 
+// deliverUpdates has each session send its next update and receive the report that it is in force.
 func deliverUpdates(b *testing.B, s *State, sessions []*Session) {
 	for _, session := range sessions {
 		update, err := session.NextUpdate(s)
@@ -86,8 +88,8 @@
 	}
 }
 
-// BenchmarkNothingNewFor560 is what each committed command costs that concerns none of them.
-func BenchmarkNothingNewFor560(b *testing.B) {
+// BenchmarkNoUpdateFor560Proxies measures the cost of a committed command for sessions that it does not affect.
+func BenchmarkNoUpdateFor560Proxies(b *testing.B) {
 	s, identities := benchFleet(b)
 	sessions := benchSessions(b, s, identities)
 	for b.Loop() {
@@ -111,12 +113,13 @@
 	}
 }
 
-// BenchmarkMarshal is a snapshot of a full history of documents of 5 KB.
+// BenchmarkMarshal measures a snapshot of a full history of 5 KB documents.
 func BenchmarkMarshal(b *testing.B) {
 	s, _ := benchFleet(b)
 	for i := range MaxHistoryRevisions {
 		latest, _ := s.Latest(revision.FleetScope)
-		if outcome := s.Apply(apply(fmt.Sprint("h", i), revision.FleetScope, latest.Number, benchDocument(100, i))); outcome.Err != nil {
+		if outcome := s.Apply(apply(
+			fmt.Sprint("h", i), revision.FleetScope, latest.Number, benchDocument(100, i))); outcome.Err != nil {
 			b.Fatal(outcome.Err)
 		}
 	}
--- a/internal/control/delivery_test.go
+++ b/internal/control/delivery_test.go
@@ -16,10 +16,10 @@
 
 var testIdentity = revision.Identity{Fleet: simFleet, Proxy: "p1", Region: "eu", Zone: "a", Service: "cart"}
 
-// numbers are those of some scopes.
+// scopeNumbers maps scopes to revision numbers.
 type scopeNumbers map[revision.Scope]revision.Number
 
-// held lists numbers of scopes.
+// scopeDocuments converts scopeNumbers to a list without documents.
 func scopeDocuments(scopes scopeNumbers) []revision.ScopeDocument {
 	var list []revision.ScopeDocument
 	for scope, number := range scopes {
@@ -28,14 +28,14 @@
 	return list
 }
 
-// told gives an update in one line.
+// describeUpdate formats an update in one line.
 func describeUpdate(update *revision.Update) string {
 	if update == nil {
 		return "nothing"
 	}
 	text := fmt.Sprint(update.Revision)
 	if update.Full {
-		text += " whole"
+		text += " full"
 	}
 	for _, change := range update.Scopes {
 		text += fmt.Sprintf(" %v@%d", change.Scope, change.Number)
@@ -48,7 +48,8 @@
 
 const paddingMember = `"filler":"as long as it takes for a change to be shorter than the whole document"`
 
-// deliveryState has revisions 1, 2, 4 and 6 (on trial at p1) of the fleet, 3 and 5 of zone a, the latter held.
+// deliveryState returns a state with revisions 1, 2, 4 and 6 of the fleet and 3 and 5 of zone a. Revision 6 is on trial with
+// canary p1, and revision 5 is held.
 func deliveryState(t testing.TB) *State {
 	s := NewState(simFleet)
 	for _, command := range []Command{
@@ -56,9 +57,9 @@
 		apply("2", revision.FleetScope, 1, `{"a":2,`+paddingMember+`}`),
 		apply("3", zoneA, 0, `{"b":3,`+paddingMember+`}`),
 		apply("4", revision.FleetScope, 2, `{"a":4,`+paddingMember+`}`),
-		applyWithCanaries("5", zoneA, 3, `{"b":5,`+paddingMember+`}`, "p9"),
+		applyTrial("5", zoneA, 3, `{"b":5,`+paddingMember+`}`, "p9"),
 		hold(5),
-		applyWithCanaries("6", revision.FleetScope, 4, `{"a":6,`+paddingMember+`}`, "p1"),
+		applyTrial("6", revision.FleetScope, 4, `{"a":6,`+paddingMember+`}`, "p1"),
 	} {
 		if outcome := s.Apply(command); outcome.Err != nil {
 			t.Fatal(command.ID, outcome.Err)
@@ -67,9 +68,9 @@
 	return s
 }
 
-func TestUpdates(t *testing.T) {
+func TestUpdateFor(t *testing.T) {
 	s := deliveryState(t)
-	sum := func(list ...revision.Number) string {
+	sumOf := func(list ...revision.Number) string {
 		var documents []revision.Document
 		for _, number := range list {
 			documents = append(documents, s.entries[number].Document)
@@ -81,25 +82,31 @@
 		return revision.Checksum(merged)
 	}
 	for name, test := range map[string]struct {
-		proxy    string
-		revision revision.Number
-		held     scopeNumbers
-		checksum string
-		want     string
-		after    string
+		proxy         string
+		revision      revision.Number
+		held          scopeNumbers
+		checksum      string
+		want          string
+		checksumAfter string
 	}{
-		"a new canary":      {proxy: "p1", want: "6 whole fleet@6 zone:a@3", after: sum(6, 3)},
-		"a new other proxy": {proxy: "p2", want: "4 whole fleet@4 zone:a@3", after: sum(4, 3)},
-		"a canary behind": {
-			"p1", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, sum(4, 3), `6 fleet@6 from 4 by {"a":6}`, sum(6, 3)},
-		"another that has all": {"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, sum(4, 3), "nothing", ""},
-		"a wrong checksum":     {"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
-		"no checksum":          {"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, "", "4 whole fleet@4 zone:a@3", sum(4, 3)},
-		"two behind":           {"p2", 1, scopeNumbers{revision.FleetScope: 1}, sum(1), `4 fleet@4 from 1 by {"a":4} zone:a@3`, sum(4, 3)},
-		"holds a held one":     {"p9", 5, scopeNumbers{revision.FleetScope: 4, zoneA: 5}, sum(4, 5), "nothing", ""},
-		"and lacks another":    {"p9", 5, scopeNumbers{revision.FleetScope: 2, zoneA: 5}, sum(2, 5), "5 whole fleet@4 zone:a@5", sum(4, 5)},
-		"and lost it":          {"p9", 5, scopeNumbers{revision.FleetScope: 4, zoneA: 5}, sum(4), "5 whole fleet@4 zone:a@5", sum(4, 5)},
-		"moved from a zone":    {"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneB: 2}, sum(4), "4 whole fleet@4 zone:a@3", sum(4, 3)},
+		"a new canary":      {proxy: "p1", want: "6 full fleet@6 zone:a@3", checksumAfter: sumOf(6, 3)},
+		"a new other proxy": {proxy: "p2", want: "4 full fleet@4 zone:a@3", checksumAfter: sumOf(4, 3)},
+		"a canary that lags": {
+			"p1", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, sumOf(4, 3), `6 fleet@6 from 4 by {"a":6}`, sumOf(6, 3)},
+		"another proxy that is up to date": {"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, sumOf(4, 3), "nothing", ""},
+		"a wrong checksum": {
+			"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, sumOf(4), "4 full fleet@4 zone:a@3", sumOf(4, 3)},
+		"no checksum": {
+			"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneA: 3}, "", "4 full fleet@4 zone:a@3", sumOf(4, 3)},
+		"two revisions behind": {
+			"p2", 1, scopeNumbers{revision.FleetScope: 1}, sumOf(1), `4 fleet@4 from 1 by {"a":4} zone:a@3`, sumOf(4, 3)},
+		"holds a held revision": {"p9", 5, scopeNumbers{revision.FleetScope: 4, zoneA: 5}, sumOf(4, 5), "nothing", ""},
+		"holds it and lacks another": {
+			"p9", 5, scopeNumbers{revision.FleetScope: 2, zoneA: 5}, sumOf(2, 5), "5 full fleet@4 zone:a@5", sumOf(4, 5)},
+		"holds it with a wrong checksum": {
+			"p9", 5, scopeNumbers{revision.FleetScope: 4, zoneA: 5}, sumOf(4), "5 full fleet@4 zone:a@5", sumOf(4, 5)},
+		"moved from another zone": {
+			"p2", 4, scopeNumbers{revision.FleetScope: 4, zoneB: 2}, sumOf(4), "4 full fleet@4 zone:a@3", sumOf(4, 3)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			identity := testIdentity
@@ -108,16 +115,16 @@
 				Identity: identity, Revision: test.revision, Documents: scopeDocuments(test.held), Checksum: test.checksum,
 			})
 			if err != nil || describeUpdate(update) != test.want {
-				t.Fatalf("%s, %v; wanted %s", describeUpdate(update), err, test.want)
+				t.Fatalf("got %s, %v, want %s", describeUpdate(update), err, test.want)
 			}
-			if update != nil && update.Checksum != test.after {
-				t.Errorf("checksum %s; wanted %s", update.Checksum, test.after)
+			if update != nil && update.Checksum != test.checksumAfter {
+				t.Errorf("got checksum %s, want %s", update.Checksum, test.checksumAfter)
 			}
 		})
 	}
 }
 
-func TestUpdatesThatCannotBeGiven(t *testing.T) {
+func TestUpdateForErrors(t *testing.T) {
 	s := deliveryState(t)
 	foreign := testIdentity
 	foreign.Fleet = "other"
@@ -125,19 +132,22 @@
 		hello revision.Hello
 		want  any
 	}{
-		"another fleet":       {revision.Hello{Identity: foreign}, new(*FleetMismatchError)},
-		"a scope ahead":       {revision.Hello{Identity: testIdentity, Documents: scopeDocuments(scopeNumbers{zoneA: 7})}, new(*ReplicaBehindError)},
-		"a number ahead":      {revision.Hello{Identity: testIdentity, Revision: 7}, new(*ReplicaBehindError)},
-		"another's number":    {revision.Hello{Identity: testIdentity, Documents: scopeDocuments(scopeNumbers{zoneA: 4})}, new(*UnknownRevisionError)},
-		"a scope without any": {revision.Hello{Identity: testIdentity, Documents: scopeDocuments(scopeNumbers{cart: 4})}, new(*UnknownRevisionError)},
+		"another fleet": {revision.Hello{Identity: foreign}, new(*FleetMismatchError)},
+		"a newer scope revision": {
+			revision.Hello{Identity: testIdentity, Documents: scopeDocuments(scopeNumbers{zoneA: 7})}, new(*ReplicaBehindError)},
+		"a newer revision": {revision.Hello{Identity: testIdentity, Revision: 7}, new(*ReplicaBehindError)},
+		"a number of another scope": {
+			revision.Hello{Identity: testIdentity, Documents: scopeDocuments(scopeNumbers{zoneA: 4})}, new(*UnknownRevisionError)},
+		"a scope without revisions": {
+			revision.Hello{Identity: testIdentity, Documents: scopeDocuments(scopeNumbers{cart: 4})}, new(*UnknownRevisionError)},
 	} {
 		if update, err := s.UpdateFor(test.hello); update != nil || !errors.As(err, test.want) {
-			t.Errorf("%s: %v, %v", name, describeUpdate(update), err)
+			t.Errorf("%s: got %v, %v, want %T", name, describeUpdate(update), err, test.want)
 		}
 	}
 }
 
-func TestANumberThatThePatchLibraryTakesForEqualIsSentWhole(t *testing.T) {
+func TestNumberThatPatchLibraryTreatsAsEqualIsSentInFull(t *testing.T) {
 	s := NewState(simFleet)
 	mustApply(t, s,
 		apply("1", revision.FleetScope, 0, `{"a":9007199254740992,`+paddingMember+`}`),
@@ -158,11 +168,11 @@
 		}
 	}
 	if revision.Checksum(document) != update.Checksum {
-		t.Errorf("%s leads to %s", describeUpdate(update), document)
+		t.Errorf("%s produces %s, which does not match its checksum", describeUpdate(update), document)
 	}
 }
 
-// document draws a canonical document.
+// documentGenerator generates canonical documents.
 func documentGenerator() *rapid.Generator[revision.Document] {
 	key := rapid.SampledFrom([]string{"a", "b", "c.d", "<", ""})
 	var value *rapid.Generator[any]
@@ -190,7 +200,7 @@
 	})
 }
 
-func TestMergedIsWhatAProxyMerges(t *testing.T) {
+func TestMergedTreeEqualsProxyMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(simFleet)
 		documents := rapid.SliceOfN(documentGenerator(), 0, 5).Draw(t, "documents")
@@ -204,32 +214,32 @@
 		}
 		got, err := s.mergedTree(entries)
 		if err != nil || string(got.document()) != string(want) {
-			t.Fatalf("%s, %v; a proxy has %s", got.document(), err, want)
+			t.Fatalf("got %s, %v, a proxy merges %s", got.document(), err, want)
 		}
 		checksum, err := s.mergedChecksum(entries)
 		if err != nil || checksum != revision.Checksum(want) {
-			t.Fatalf("checksum %s, %v", checksum, err)
+			t.Fatalf("got checksum %s, %v, want %s", checksum, err, revision.Checksum(want))
 		}
 	})
 }
 
-func TestWhatIsKeptForManyProxiesIsBounded(t *testing.T) {
-	kept := newBoundedCache[int, string](100)
+func TestBoundedCacheLimit(t *testing.T) {
+	cached := newBoundedCache[int, string](100)
 	for i := range 1000 {
-		kept.put(i, "value", 7)
-		if _, known := kept.get(i); !known || len(kept.values) > 100/7 {
-			t.Fatalf("after %d values %d are kept", i, len(kept.values))
+		cached.put(i, "value", 7)
+		if _, found := cached.get(i); !found || len(cached.values) > 100/7 {
+			t.Fatalf("after value %d, %d values are cached", i, len(cached.values))
 		}
 	}
 }
 
-func TestExplainGivesEachValueItsScope(t *testing.T) {
+func TestValueOriginsNameTheScope(t *testing.T) {
 	s := NewState(simFleet)
 	mustApply(t, s,
 		apply("1", revision.FleetScope, 0, `{"limits":{"rate":1,"burst":[2,3]},"x":{"y":1},"e":{},"f":{"g":1}}`),
 		apply("2", zoneA, 0, `{"limits":{"rate":4},"x":5,"z":{"a.b":true}}`),
 		apply("3", zoneB, 0, `{"limits":{"rate":9}}`),
-		applyWithCanaries("4", cart, 0, `{"limits":{"rate":8}}`, "p1"),
+		applyTrial("4", cart, 0, `{"limits":{"rate":8}}`, "p1"),
 		apply("5", revision.Scope{Kind: revision.ProxyKind, Name: "p1"}, 0, `{"x":{"w":6},"e":{"h":1},"f":{}}`))
 	origins, err := s.ValueOrigins(testIdentity)
 	if err != nil {
@@ -246,11 +256,11 @@
 x.w=6 proxy:p1@5
 z."a.b"=true zone:a@2`
 	if got := strings.Join(lines, "\n"); got != want {
-		t.Errorf("%s\nwanted\n%s", got, want)
+		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
 
-func TestExplainHasTheValuesOfTheMergedDocument(t *testing.T) {
+func TestValueOriginsCoverTheMergedDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(simFleet)
 		for i, scope := range testIdentity.Scopes() {
@@ -280,12 +290,12 @@
 			got[origin.Path] = string(origin.Value)
 		}
 		if len(origins) != len(want) || !maps.Equal(got, want) {
-			t.Fatalf("%v; wanted %v", got, want)
+			t.Fatalf("got %v, want %v", got, want)
 		}
 	})
 }
 
-// leaves gives all values of an object by their paths.
+// collectLeaves collects all values of an object by their paths.
 func collectLeaves(path string, object map[string]any, into map[string]string) {
 	for key, value := range object {
 		if inner, is := value.(map[string]any); is && len(inner) > 0 {
@@ -297,7 +307,7 @@
 	}
 }
 
-func TestDifferences(t *testing.T) {
+func TestDiffDocuments(t *testing.T) {
 	changes, err := DiffDocuments(
 		revision.Document(`{"a":{"b":1,"c":2},"d":[1],"e":1,"f":{"g":1},"same":{"x":1}}`),
 		revision.Document(`{"a":{"b":1,"c":3},"d":[1,2],"f":2,"h":{"i":1},"same":{"x":1}}`))
@@ -314,7 +324,7 @@
 f: {"g":1} -> 2
 h: ` + " -> " + `{"i":1}`
 	if got := strings.Join(lines, "\n"); got != want {
-		t.Errorf("%s\nwanted\n%s", got, want)
+		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
 
@@ -324,7 +334,9 @@
 		apply("1", revision.FleetScope, 0, `{"least":1}`),
 		apply("2", zoneA, 0, `{"most":5}`),
 		apply("3", zoneB, 0, `{"most":2}`))
-	identities := []revision.Identity{testIdentity, testIdentity, testIdentity, {Fleet: simFleet, Proxy: "q", Zone: "b", Service: "cart"}}
+	identities := []revision.Identity{
+		testIdentity, testIdentity, testIdentity, {Fleet: simFleet, Proxy: "q", Zone: "b", Service: "cart"},
+	}
 	identities[1].Proxy = "p2"
 	identities[2].Service = "stock"
 	var checked []string
@@ -337,22 +349,22 @@
 		return nil
 	}
 	err := s.CheckApply(command, identities, check)
-	wrong := new(CheckError)
-	if !errors.As(err, &wrong) || err.Error() != "fleet + zone:b + service:cart: least is above most" {
-		t.Errorf("%v", err)
+	checkError := new(CheckError)
+	if !errors.As(err, &checkError) || err.Error() != "fleet + zone:b + service:cart: least is above most" {
+		t.Errorf("got %v", err)
 	}
 	want := `[{"least":3} {"least":3,"most":5} {"least":3,"most":2}]`
 	if fmt.Sprint(checked) != want {
-		t.Errorf("%v; wanted %s", checked, want)
+		t.Errorf("got checks of %v, want %s", checked, want)
 	}
 	unknown := new(UnknownRevisionError)
 	err = s.CheckApply(ApplyCommand{Scope: cart, RollbackOf: 1}, identities, check)
 	if !errors.As(err, &unknown) {
-		t.Errorf("a rollback to another scope's revision: %v", err)
+		t.Errorf("rollback to another scope's revision: got %v", err)
 	}
 }
 
-func TestASessionSendsOneUpdateAtATimeAndNoneTwice(t *testing.T) {
+func TestSessionSendsOneUpdateAtATimeAndNoRefusedOneAgain(t *testing.T) {
 	s := deliveryState(t)
 	identity := testIdentity
 	identity.Proxy = "p2"
@@ -364,54 +376,54 @@
 		t.Helper()
 		update, err := session.NextUpdate(s)
 		if err != nil || describeUpdate(update) != want {
-			t.Fatalf("%s, %v; wanted %s", describeUpdate(update), err, want)
+			t.Fatalf("got %s, %v, want %s", describeUpdate(update), err, want)
 		}
 		return update
 	}
 	report := func(update *revision.Update, verdict revision.Verdict) {
 		t.Helper()
 		if !session.HandleReport(revision.Report{Revision: update.Revision, Verdict: verdict}) {
-			t.Fatal("the report is not taken")
+			t.Fatal("the report is not accepted")
 		}
 	}
-	first := next("4 whole fleet@4 zone:a@3")
+	first := next("4 full fleet@4 zone:a@3")
 	next("nothing")
 	if session.HandleReport(revision.Report{Revision: 3, Verdict: revision.InForce}) {
-		t.Error("a report on what was never sent is taken")
+		t.Error("a report for an update that was never sent is accepted")
 	}
 	report(first, revision.Refused)
 	next("nothing")
 	mustApply(t, s, release(6))
-	second := next("6 whole fleet@6 zone:a@3")
+	second := next("6 full fleet@6 zone:a@3")
 	report(second, revision.InForce)
 	next("nothing")
 	mustApply(t, s, apply("7", revision.FleetScope, 6, `{"a":7,`+paddingMember+`}`))
 	third := next(`7 fleet@7 from 6 by {"a":7}`)
 	report(third, revision.Unknown)
-	fourth := next("7 whole fleet@7 zone:a@3")
+	fourth := next("7 full fleet@7 zone:a@3")
 	report(fourth, revision.Unknown)
 	next("nothing")
 	mustApply(t, s, apply("8", revision.FleetScope, 7, `{"a":8,`+paddingMember+`}`))
-	fifth := next("8 whole fleet@8 zone:a@3")
+	fifth := next("8 full fleet@8 zone:a@3")
 	session.CancelSent()
-	next("8 whole fleet@8 zone:a@3")
+	next("8 full fleet@8 zone:a@3")
 	if !session.HandleReport(revision.Report{Revision: 8, Verdict: revision.InForce, Checksum: fifth.Checksum}) {
-		t.Error("the report is not taken")
+		t.Error("the report is not accepted")
 	}
 	next("nothing")
 	if hello := session.Hello(); hello.Revision != 8 || hello.Checksum != fifth.Checksum {
-		t.Errorf("%+v", hello)
+		t.Errorf("got hello %+v", hello)
 	}
 }
 
-func TestAWatchWithoutIdentityOrOfAnotherProtocolIsRefused(t *testing.T) {
+func TestNewSessionRefusesInvalidHello(t *testing.T) {
 	for _, hello := range []revision.Hello{
 		{Protocol: revision.Protocol},
 		{Protocol: 99, Identity: testIdentity},
 		{Protocol: revision.Protocol, Identity: revision.Identity{Fleet: simFleet, Proxy: "a b"}},
 	} {
 		if _, err := NewSession(hello); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%+v: %v", hello, err)
+			t.Errorf("%+v: got error %v", hello, err)
 		}
 	}
 }
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -21,13 +21,13 @@
 	}
 	f.Add(whole, false)
 	f.Add([]byte(`{"newest":1,"entries":[null]}`), true)
-	f.Fuzz(func(t *testing.T, text []byte, seal bool) {
-		if seal {
+	f.Fuzz(func(t *testing.T, text []byte, addHeader bool) {
+		if addHeader {
 			text = withHeader(string(text))
 		}
 		s, err := UnmarshalState(text)
-		if bad := new(SnapshotError); err != nil {
-			if !errors.As(err, &bad) {
+		if invalid := new(SnapshotError); err != nil {
+			if !errors.As(err, &invalid) {
 				t.Fatalf("%T: %v", err, err)
 			}
 			return
@@ -36,7 +36,7 @@
 	})
 }
 
-// exercise calls what reads and what changes a state.
+// exerciseState calls the functions that read a state and those that change it.
 func exerciseState(t *testing.T, s *State) {
 	s.History(nil, 10)
 	identity := testIdentity
@@ -45,7 +45,7 @@
 	_, _ = s.ValueOrigins(identity)
 	NewCanaryController(CanaryConfig{}).PendingCommands(1, s)
 	latest, _ := s.Latest(revision.FleetScope)
-	s.Apply(applyWithCanaries("new", revision.FleetScope, latest.Number, `{"a":1}`, "p1"))
+	s.Apply(applyTrial("new", revision.FleetScope, latest.Number, `{"a":1}`, "p1"))
 	s.Apply(hold(s.NewestNumber()))
 	if _, err := s.Marshal(); err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 }
 
 func FuzzDecodeCommand(f *testing.F) {
-	for _, command := range []Command{applyWithCanaries("a", zoneA, 3, `{"a":1}`, "p1"), release(2), hold(2)} {
+	for _, command := range []Command{applyTrial("a", zoneA, 3, `{"a":1}`, "p1"), release(2), hold(2)} {
 		text, err := EncodeCommand(command)
 		if err != nil {
 			f.Fatal(err)
@@ -62,8 +62,8 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		command, err := DecodeCommand(text)
-		if bad := new(InvalidCommandError); err != nil {
-			if !errors.As(err, &bad) {
+		if invalid := new(InvalidCommandError); err != nil {
+			if !errors.As(err, &invalid) {
 				t.Fatalf("%T: %v", err, err)
 			}
 			return
@@ -71,7 +71,7 @@
 		s := deliveryState(t)
 		before := s.NewestNumber()
 		if outcome := s.Apply(command); outcome.Err != nil && s.NewestNumber() != before {
-			t.Fatalf("%v, and yet revision %d is new", outcome.Err, s.NewestNumber())
+			t.Fatalf("the command failed with %v but created revision %d", outcome.Err, s.NewestNumber())
 		}
 		first, err := s.Marshal()
 		if err != nil {
@@ -106,11 +106,11 @@
 			return
 		}
 		if update.Revision < hello.Revision || update.Revision == hello.Revision && !update.Full {
-			t.Fatalf("%s, revision %d is in force", describeUpdate(update), hello.Revision)
+			t.Fatalf("got update %s, but revision %d is in force", describeUpdate(update), hello.Revision)
 		}
 		for _, change := range update.Scopes {
 			if change.Number < heldNumber(hello.Documents, change.Scope) {
-				t.Fatalf("%s goes back: %s", describeUpdate(update), text)
+				t.Fatalf("update %s goes back to a lower number for hello %s", describeUpdate(update), text)
 			}
 		}
 	})
@@ -136,8 +136,8 @@
 	})
 }
 
-// checkFuzzedMessage has a replica take a message as if a peer had sent it. It may refuse it or fail with an error; no
-// call panics.
+// checkFuzzedMessage passes a message to a replica as if a peer had sent it. The replica may refuse it or fail with an
+// error, but no call may panic.
 func (s *sim) checkFuzzedMessage(t *testing.T, r *simReplica, text []byte) {
 	message := &raftpb.Message{}
 	if proto.Unmarshal(text, message) != nil {
@@ -156,10 +156,11 @@
 			break
 		}
 	}
-	if bad, failed := new(MessageError), new(NodeFailedError); err != nil && !errors.As(err, &bad) && !errors.As(err, &failed) {
+	if invalid, failed := new(MessageError), new(NodeFailedError); err != nil &&
+		!errors.As(err, &invalid) && !errors.As(err, &failed) {
 		t.Fatalf("%T: %v", err, err)
 	}
 	if fmt.Sprint(err) == "" {
-		t.Fatal("an error without a text")
+		t.Fatal("the error has no text")
 	}
 }
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -14,7 +14,7 @@
 	"sandpass/internal/revision"
 )
 
-// quietSim is five replicas that have chosen a leader.
+// newSimWithLeader returns a simulation of five replicas that have elected a leader.
 func newSimWithLeader(t *testing.T) *sim {
 	t.Helper()
 	cryptotest.SetGlobalRandom(t, 1)
@@ -23,12 +23,12 @@
 		s.round()
 	}
 	if s.violation != nil || s.leader() == nil {
-		t.Fatal("nobody leads after 30 ticks:", s.violation)
+		t.Fatal("no leader after 30 ticks:", s.violation)
 	}
 	return s
 }
 
-// follower gives a replica that does not lead.
+// follower returns a replica that is not the leader.
 func (s *sim) follower() *simReplica {
 	for _, r := range s.replicas {
 		if !r.node.IsLeader() {
@@ -38,15 +38,15 @@
 	return nil
 }
 
-func TestOnlyTheLeaderTakesProposals(t *testing.T) {
+func TestOnlyLeaderAcceptsProposals(t *testing.T) {
 	s := newSimWithLeader(t)
 	command := apply("a", revision.FleetScope, 0, "{}")
 	if err := s.follower().node.Propose(command); !errors.Is(err, ErrNotLeader) {
-		t.Errorf("a follower: %v", err)
+		t.Errorf("proposal to a follower: got %v", err)
 	}
-	bad := new(InvalidCommandError)
-	if err := s.leader().node.Propose(Command{}); !errors.As(err, &bad) {
-		t.Errorf("an empty command: %v", err)
+	invalid := new(InvalidCommandError)
+	if err := s.leader().node.Propose(Command{}); !errors.As(err, &invalid) {
+		t.Errorf("empty command: got %v", err)
 	}
 	if err := s.leader().node.Propose(command); err != nil {
 		t.Fatal(err)
@@ -54,12 +54,12 @@
 	s.round()
 	for _, r := range s.replicas {
 		if r.node.State().NewestNumber() != 1 {
-			t.Errorf("replica %d is at %d", r.id, r.node.State().NewestNumber())
+			t.Errorf("replica %d is at revision %d, want 1", r.id, r.node.State().NewestNumber())
 		}
 	}
 }
 
-func TestALeaderWithoutAQuorumTellsThatItsProposalIsUndecided(t *testing.T) {
+func TestLeaderWithoutQuorumReportsProposalAsUndecided(t *testing.T) {
 	s := newSimWithLeader(t)
 	leader := s.leader()
 	for _, r := range s.replicas {
@@ -73,17 +73,17 @@
 		s.round()
 	}
 	if s.counts["undecided"] != 1 || leader.node.IsLeader() {
-		t.Errorf("%d are undecided, it leads: %v", s.counts["undecided"], leader.node.IsLeader())
+		t.Errorf("%d proposals are undecided, want 1; still the leader: %v", s.counts["undecided"], leader.node.IsLeader())
 	}
 	if err := leader.node.Propose(apply("b", revision.FleetScope, 0, "{}")); !errors.Is(err, ErrNotLeader) {
-		t.Errorf("the next proposal: %v", err)
+		t.Errorf("next proposal: got %v", err)
 	}
 	if other := s.leader(); other == nil || other == leader {
 		t.Error("the others have no leader")
 	}
 }
 
-func TestALeaderThatStoodStillTellsNothingStale(t *testing.T) {
+func TestPausedLeaderServesNoStaleRead(t *testing.T) {
 	s := newSimWithLeader(t)
 	old := s.leader()
 	old.paused = true
@@ -105,7 +105,7 @@
 	}
 	old.paused = false
 	if !old.node.IsLeader() {
-		t.Fatal("it does not believe to lead any more")
+		t.Fatal("the paused replica no longer considers itself the leader")
 	}
 	s.startRead(old)
 	s.run(old, false)
@@ -118,21 +118,21 @@
 		t.Error(s.violation)
 	}
 	if s.counts["reads"] == 0 {
-		t.Error("no read at it is ever answered")
+		t.Error("the paused replica never answers a read")
 	}
 }
 
-func TestACutOfOneWayLeavesALeader(t *testing.T) {
-	for name, way := range map[string]func(s *sim, leader, other uint64){
-		"the leader is not heard":  func(s *sim, leader, other uint64) { s.blockedLinks[[2]uint64{leader, other}] = true },
-		"the leader does not hear": func(s *sim, leader, other uint64) { s.blockedLinks[[2]uint64{other, leader}] = true },
+func TestOneWayPartitionLeavesOneLeader(t *testing.T) {
+	for name, block := range map[string]func(s *sim, leader, other uint64){
+		"from the leader": func(s *sim, leader, other uint64) { s.blockedLinks[[2]uint64{leader, other}] = true },
+		"to the leader":   func(s *sim, leader, other uint64) { s.blockedLinks[[2]uint64{other, leader}] = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSimWithLeader(t)
 			old := s.leader()
 			for _, r := range s.replicas {
 				if r != old {
-					way(s, old.id, r.id)
+					block(s, old.id, r.id)
 				}
 			}
 			for range 50 {
@@ -150,20 +150,20 @@
 			}
 			s.round()
 			if leaders != 1 || s.follower().node.State().NewestNumber()+old.node.State().NewestNumber() == 0 {
-				t.Errorf("%d lead, the others are at %d", leaders, s.follower().node.State().NewestNumber())
+				t.Errorf("%d leaders, want 1; a follower is at revision %d", leaders, s.follower().node.State().NewestNumber())
 			}
 		})
 	}
 }
 
-func TestLargeCommandsMakeASnapshotDue(t *testing.T) {
+func TestLargeCommandsMakeSnapshotDue(t *testing.T) {
 	s := newSimWithLeader(t)
 	leader := s.leader()
 	leader.node.limits = defaultCompactionLimits
 	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", SnapshotIntervalBytes/minSnapshotEntries))
 	for i := range minSnapshotEntries {
 		if leader.disk.Snapshot != nil {
-			t.Fatalf("after %d commands there is one", i)
+			t.Fatalf("there is a snapshot after %d commands", i)
 		}
 		if err := leader.node.Propose(apply(fmt.Sprint(i), revision.FleetScope, revision.Number(i), large)); err != nil {
 			t.Fatal(err)
@@ -171,11 +171,11 @@
 		s.round()
 	}
 	if leader.disk.Snapshot == nil {
-		t.Error("there is none")
+		t.Error("there is no snapshot")
 	}
 }
 
-func TestTooManyWaitingProposalsAreDropped(t *testing.T) {
+func TestExcessiveUncommittedProposalsAreDropped(t *testing.T) {
 	s := newSimWithLeader(t)
 	leader := s.leader()
 	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", 1<<20-100))
@@ -188,13 +188,13 @@
 			t.Fatal(err)
 		}
 	}
-	t.Error("none of 32 MB is dropped")
+	t.Error("none of 32 proposals of 1 MB is dropped")
 }
 
-func TestALateReplicaIsBroughtUpByASnapshot(t *testing.T) {
+func TestLaggingReplicaCatchesUpBySnapshot(t *testing.T) {
 	s := newSimWithLeader(t)
-	late := s.follower()
-	s.crash(late)
+	lagging := s.follower()
+	s.crash(lagging)
 	base := revision.Number(0)
 	for i := range 40 {
 		if err := s.leader().node.Propose(apply(fmt.Sprint(i), revision.FleetScope, base, "{}")); err != nil {
@@ -203,15 +203,16 @@
 		s.round()
 		base = s.leader().node.State().NewestNumber()
 	}
-	s.start(late)
+	s.start(lagging)
 	for range 20 {
 		s.round()
 	}
-	if late.node.State().NewestNumber() != 40 || s.counts["states restored"] == 0 {
-		t.Errorf("it is at %d, %d were restored", late.node.State().NewestNumber(), s.counts["states restored"])
+	if lagging.node.State().NewestNumber() != 40 || s.counts["states restored"] == 0 {
+		t.Errorf("the replica is at revision %d, want 40; %d states were restored",
+			lagging.node.State().NewestNumber(), s.counts["states restored"])
 	}
-	s.crash(late)
-	s.start(late)
+	s.crash(lagging)
+	s.start(lagging)
 	for range 20 {
 		s.round()
 	}
@@ -221,7 +222,7 @@
 	}
 }
 
-func TestStorageThatCannotBeRightIsRefused(t *testing.T) {
+func TestInconsistentStorageIsRefused(t *testing.T) {
 	s := newSimWithLeader(t)
 	for i := range 3 {
 		if err := s.leader().node.Propose(apply(fmt.Sprint(i), revision.FleetScope, revision.Number(i), "{}")); err != nil {
@@ -230,40 +231,40 @@
 		s.round()
 	}
 	good := s.replicas[0].disk
-	for name, spoil := range map[string]func(*PersistedState){
+	for name, corrupt := range map[string]func(*PersistedState){
 		"a gap": func(p *PersistedState) { p.Entries = append(p.Entries[:1:1], p.Entries[2:]...) },
-		"a lost end": func(p *PersistedState) {
+		"a truncated log": func(p *PersistedState) {
 			p.Entries = p.Entries[:1]
 			p.HardState.Commit = proto.Uint64(4)
 		},
-		"a torn snapshot": func(p *PersistedState) {
+		"a truncated snapshot": func(p *PersistedState) {
 			p.Snapshot = &raftpb.Snapshot{Data: []byte("{"), Metadata: &raftpb.SnapshotMetadata{
 				Index: proto.Uint64(2), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3, 4, 5}},
 			}}
 		},
-		"a snapshot of others": func(p *PersistedState) {
+		"a snapshot of other replicas": func(p *PersistedState) {
 			p.Snapshot = &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(2), Term: proto.Uint64(1)}}
 		},
 	} {
 		saved := good.copy()
-		spoil(&saved)
+		corrupt(&saved)
 		_, err := NewNode(NodeConfig{ID: 1, Peers: []uint64{1, 2, 3, 4, 5}, Fleet: simFleet, Persisted: saved})
-		bad := new(StorageError)
-		if !errors.As(err, &bad) {
+		invalid := new(StorageError)
+		if !errors.As(err, &invalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	if _, err := NewNode(NodeConfig{ID: 1, Peers: []uint64{1, 2, 3, 4, 5}, Fleet: simFleet, Persisted: good.copy()}); err != nil {
-		t.Error("a good one:", err)
+		t.Error("consistent storage is refused:", err)
 	}
 	for _, peers := range [][]uint64{nil, {2, 3}, {1, 1, 2}} {
 		if _, err := NewNode(NodeConfig{ID: 1, Peers: peers, Fleet: simFleet}); err == nil {
-			t.Errorf("peers %v are taken", peers)
+			t.Errorf("peers %v are accepted", peers)
 		}
 	}
 }
 
-func TestMessagesOfNoSoundPeerChangeNothing(t *testing.T) {
+func TestInvalidMessagesHaveNoEffect(t *testing.T) {
 	s := newSimWithLeader(t)
 	r := s.follower()
 	from := s.leader().id
@@ -283,39 +284,41 @@
 		return m
 	}
 	for name, m := range map[string]*raftpb.Message{
-		"nothing":            nil,
-		"empty":              {},
-		"from a stranger":    message(raftpb.MsgHeartbeat, func(m *raftpb.Message) { m.From = proto.Uint64(9) }),
-		"to another":         message(raftpb.MsgHeartbeat, func(m *raftpb.Message) { m.To = proto.Uint64(9) }),
-		"from itself":        message(raftpb.MsgHeartbeat, func(m *raftpb.Message) { m.From = m.To }),
-		"local":              message(raftpb.MsgHup, func(*raftpb.Message) {}),
-		"without a term":     message(raftpb.MsgApp, func(m *raftpb.Message) { m.Term = nil }),
-		"beyond the log":     message(raftpb.MsgHeartbeat, func(m *raftpb.Message) { m.Commit = proto.Uint64(999) }),
-		"answer beyond":      message(raftpb.MsgAppResp, func(m *raftpb.Message) { m.Index = proto.Uint64(999) }),
-		"read of nothing":    message(raftpb.MsgReadIndex, func(*raftpb.Message) {}),
-		"entries with a gap": message(raftpb.MsgApp, func(m *raftpb.Message) { m.Entries = []*raftpb.Entry{{Index: proto.Uint64(7)}} }),
+		"no message":              nil,
+		"empty":                   {},
+		"from an unknown replica": message(raftpb.MsgHeartbeat, func(m *raftpb.Message) { m.From = proto.Uint64(9) }),
+		"to another replica":      message(raftpb.MsgHeartbeat, func(m *raftpb.Message) { m.To = proto.Uint64(9) }),
+		"from itself":             message(raftpb.MsgHeartbeat, func(m *raftpb.Message) { m.From = m.To }),
+		"of a local type":         message(raftpb.MsgHup, func(*raftpb.Message) {}),
+		"without a term":          message(raftpb.MsgApp, func(m *raftpb.Message) { m.Term = nil }),
+		"beyond the log":          message(raftpb.MsgHeartbeat, func(m *raftpb.Message) { m.Commit = proto.Uint64(999) }),
+		"response beyond the log": message(raftpb.MsgAppResp, func(m *raftpb.Message) { m.Index = proto.Uint64(999) }),
+		"read without a context":  message(raftpb.MsgReadIndex, func(*raftpb.Message) {}),
+		"entries with a gap": message(raftpb.MsgApp, func(m *raftpb.Message) {
+			m.Entries = []*raftpb.Entry{{Index: proto.Uint64(7)}}
+		}),
 		"a change of peers": message(raftpb.MsgApp, func(m *raftpb.Message) {
 			m.Entries = []*raftpb.Entry{{Index: proto.Uint64(1), Type: raftpb.EntryConfChange.Enum()}}
 		}),
 		"no snapshot": message(raftpb.MsgSnap, func(*raftpb.Message) {}),
-		"a torn snapshot": message(raftpb.MsgSnap, func(m *raftpb.Message) {
+		"a truncated snapshot": message(raftpb.MsgSnap, func(m *raftpb.Message) {
 			m.Snapshot = &raftpb.Snapshot{Data: []byte("x"), Metadata: &raftpb.SnapshotMetadata{ConfState: voters}}
 		}),
-		"a foreign snapshot": message(raftpb.MsgSnap, func(m *raftpb.Message) {
+		"a snapshot of another fleet": message(raftpb.MsgSnap, func(m *raftpb.Message) {
 			m.Snapshot = &raftpb.Snapshot{Data: foreign, Metadata: &raftpb.SnapshotMetadata{ConfState: voters}}
 		}),
 	} {
-		bad := new(MessageError)
-		if err := r.node.Step(m); !errors.As(err, &bad) || strings.Contains(err.Error(), "\n") {
+		invalid := new(MessageError)
+		if err := r.node.Step(m); !errors.As(err, &invalid) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	if _, any := r.node.Ready(); any || r.node.Err() != nil {
-		t.Error("there is work after them:", r.node.Err())
+		t.Error("the messages caused work or a failure:", r.node.Err())
 	}
 }
 
-func TestACommittedEntryThatIsNoCommandChangesNothing(t *testing.T) {
+func TestCommittedEntryThatIsNoCommandHasNoEffect(t *testing.T) {
 	s := newSimWithLeader(t)
 	before := s.leader().node.AppliedIndex()
 	if err := s.leader().node.raft.Propose([]byte("{no command")); err != nil {
@@ -324,7 +327,7 @@
 	s.round()
 	for _, r := range s.replicas {
 		if r.node.AppliedIndex() != before+1 || r.node.State().NewestNumber() != 0 || r.node.Err() != nil {
-			t.Errorf("replica %d: applied %d, %v", r.id, r.node.AppliedIndex(), r.node.Err())
+			t.Errorf("replica %d: applied index %d, error %v", r.id, r.node.AppliedIndex(), r.node.Err())
 		}
 	}
 }
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -12,12 +12,12 @@
 
 const (
 	partitionDuration = time.Hour
-	changeInterval    = 24 * time.Hour / 810 // as many as the operators make
-	catchUpTime       = 3 * time.Second      // of the healing
+	changeInterval    = 24 * time.Hour / 810 // 810 changes per day, as many as the operators make
+	catchUpTime       = 3 * time.Second      // after the end of the partition
 )
 
-// cutOff cuts the ways between some replicas and the others, or heals them.
-func (s *sim) setPartition(replicas []uint64, cut bool) {
+// setPartition blocks or unblocks all links between the given replicas and the others.
+func (s *sim) setPartition(replicas []uint64, blocked bool) {
 	inside := map[uint64]bool{}
 	for _, id := range replicas {
 		inside[id] = true
@@ -25,18 +25,18 @@
 	for from := range uint64(simReplicas) {
 		for to := range uint64(simReplicas) {
 			if inside[from+1] != inside[to+1] {
-				s.blockedLinks[[2]uint64{from + 1, to + 1}] = cut
+				s.blockedLinks[[2]uint64{from + 1, to + 1}] = blocked
 			}
 		}
 	}
 }
 
-// pass lets time pass, with a change now and then.
-func (s *sim) runFor(lasts, between time.Duration) {
-	rounds := int(lasts / TickInterval)
-	every := max(1, int(between/TickInterval))
-	for n := range rounds {
-		if between > 0 && n%every == every-1 {
+// runFor simulates a duration, with a submission at each interval (none if it is 0).
+func (s *sim) runFor(duration, interval time.Duration) {
+	rounds := int(duration / TickInterval)
+	every := max(1, int(interval/TickInterval))
+	for tick := range rounds {
+		if interval > 0 && tick%every == every-1 {
 			s.submit()
 		}
 		s.round()
@@ -46,25 +46,26 @@
 	}
 }
 
-func TestARegionCutOffForAnHourIsUpToDateAfterThreeSeconds(t *testing.T) {
-	for number, region := range [][]uint64{{1, 2}, {3, 4}, {5}} {
+func TestRegionCatchesUpWithinThreeSecondsOfOneHourPartition(t *testing.T) {
+	for seed, region := range [][]uint64{{1, 2}, {3, 4}, {5}} {
 		t.Run(fmt.Sprint("replicas ", region), func(t *testing.T) {
-			cryptotest.SetGlobalRandom(t, uint64(number))
-			s := newSim(seedChooser{rand.New(rand.NewPCG(uint64(number), 2))}, defects{})
+			cryptotest.SetGlobalRandom(t, uint64(seed))
+			s := newSim(seedChooser{rand.New(rand.NewPCG(uint64(seed), 2))}, defects{})
 			s.runFor(10*time.Second, time.Second)
-			before := s.newestAccepted
+			acceptedBefore := s.newestAccepted
 			s.setPartition(region, true)
 			s.runFor(partitionDuration, changeInterval)
-			during := s.newestAccepted - before
+			acceptedDuring := s.newestAccepted - acceptedBefore
 			if s.violation != nil {
 				t.Fatal(s.violation)
 			}
-			far := s.replicas[region[0]-1].node.State().NewestNumber()
-			if during < 10 || far > before+revision.Number(1) {
-				t.Errorf("%d revisions accepted during the cut, the region cut off went from %d to %d", during, before, far)
+			isolatedNewest := s.replicas[region[0]-1].node.State().NewestNumber()
+			if acceptedDuring < 10 || isolatedNewest > acceptedBefore+revision.Number(1) {
+				t.Errorf("%d revisions accepted during the partition, the isolated region went from revision %d to %d",
+					acceptedDuring, acceptedBefore, isolatedNewest)
 			}
 			if s.checkReplicas(); s.violation == nil {
-				t.Error("the replicas are equal during the cut: the test shows nothing")
+				t.Error("the replicas are equal during the partition, so the test verifies nothing")
 			}
 			s.violation = nil
 			s.setPartition(region, false)
@@ -75,7 +76,8 @@
 			if s.violation != nil {
 				t.Fatal(s.violation)
 			}
-			t.Logf("%d revisions accepted during the cut, %d states restored by snapshot", during, s.counts["states restored"])
+			t.Logf("%d revisions accepted during the partition, %d states restored from snapshots",
+				acceptedDuring, s.counts["states restored"])
 		})
 	}
 }
--- a/internal/control/sim_test.go
+++ b/internal/control/sim_test.go
@@ -11,18 +11,18 @@
 	"sandpass/internal/revision"
 )
 
-// chooser makes the choices of a history: rapid's, or those of a seed.
+// chooser makes the random choices of a history, either through rapid or from a seed.
 type chooser interface {
 	below(label string, n int) int
 }
 
-// defects are what a history may have wrong on purpose. They live in this harness only.
+// defects are faults that a history injects on purpose. They exist only in this test harness.
 type defects struct {
-	acknowledgeUnsaved   bool // messages leave and commands count before they are saved
-	noBaseCheck          bool // a submitter's base is replaced by the newest revision
+	acknowledgeUnsaved   bool // messages are sent and commands acknowledged before they are saved
+	noBaseCheck          bool // the submitted base is replaced by the newest revision
 	noCanaries           bool // revisions have no canaries
-	readLocally          bool // reads don't ask the leader
-	heldDocumentsIgnored bool // replicas take proxies to hold nothing
+	readLocally          bool // reads are answered without asking the leader
+	heldDocumentsIgnored bool // replicas ignore what proxies hold
 }
 
 const (
@@ -30,35 +30,35 @@
 	simReplicas = 5
 )
 
-// envelope is a message under way.
+// envelope is a message in transit.
 type envelope struct {
 	from, to uint64
 	message  *raftpb.Message
 }
 
-// simReplica is one replica: what is on its disk, and the node while it runs.
+// simReplica is one replica: the contents of its disk, and its node while it runs.
 type simReplica struct {
 	id        uint64
 	disk      PersistedState
-	unsynced  []Work // written and not synced: a crash may lose it
-	node      *Node  // nil while it is down
+	unsynced  []Work // written but not synced; a crash may lose it
+	node      *Node  // nil while the replica is stopped
 	reads     map[string]revision.Number
 	view      *FleetView
 	canaries  *CanaryController
 	wasLeader bool
 
-	paused bool // it does nothing, what comes in waits
+	paused bool // the replica does nothing and incoming messages wait
 }
 
-// submission is what a client asked for and what it was told.
+// submission is a command of a client with its result.
 type submission struct {
 	command           Command
 	seenBase          revision.Number
-	canariesAvailable bool            // the leader knew of a proxy that the scope concerns
-	acceptedNumber    revision.Number // told as accepted, 0 while not
+	canariesAvailable bool            // whether the leader knew a connected proxy in the scope
+	acceptedNumber    revision.Number // 0 until accepted
 }
 
-// sim is five replicas, the network between them, clients and proxies.
+// sim simulates five replicas, the network between them, clients and proxies.
 type sim struct {
 	choose         chooser
 	defects        defects
@@ -67,20 +67,21 @@
 	network        []envelope
 	blockedLinks   map[[2]uint64]bool
 	submissions    map[string]*submission
-	log            map[uint64]string // what each index of the log holds, by whoever applied it first
+	log            map[uint64]string // command ID of each log index, as first applied by any replica
 	outcomes       map[string]string
-	newestAccepted revision.Number // the newest that a client was told
+	newestAccepted revision.Number // the newest revision that was reported to a client as accepted
 	contexts       int
 	proxies        []*simProxy
-	sentTo         map[revision.Number]map[string]bool // proxies that a refused document was sent to
+	sentTo         map[revision.Number]map[string]bool // by revision: proxies that were sent a document that they refuse
 	counts         map[string]int
 	violation      error
 }
 
-func newSim(choose chooser, wrong defects) *sim {
+// newSim returns a simulation with all replicas started.
+func newSim(choose chooser, injected defects) *sim {
 	s := &sim{
 		choose:       choose,
-		defects:      wrong,
+		defects:      injected,
 		blockedLinks: map[[2]uint64]bool{},
 		submissions:  map[string]*submission{},
 		log:          map[uint64]string{},
@@ -96,13 +97,14 @@
 	return s
 }
 
-// fail notes the first violation of what has to hold.
+// fail records the first violation of an invariant.
 func (s *sim) fail(format string, values ...any) {
 	if s.violation == nil {
 		s.violation = fmt.Errorf(format, values...)
 	}
 }
 
+// start starts a replica from its disk.
 func (s *sim) start(r *simReplica) {
 	var peers []uint64
 	for id := range uint64(simReplicas) {
@@ -121,7 +123,7 @@
 	r.wasLeader = false
 }
 
-// crash stops a replica; what is not synced is lost if the choice falls so.
+// crash stops a replica. A random number of the writes that are not synced is lost.
 func (s *sim) crash(r *simReplica) {
 	if r.node == nil {
 		return
@@ -140,7 +142,7 @@
 	}
 }
 
-// copy gives what a disk holds, so that nothing of a running node is on it.
+// copy returns a deep copy, which shares nothing with a running node.
 func (p PersistedState) copy() PersistedState {
 	copied := PersistedState{Entries: cloneAll(p.Entries)}
 	if p.HardState != nil {
@@ -152,6 +154,7 @@
 	return copied
 }
 
+// cloneAll returns deep copies of the entries.
 func cloneAll(entries []*raftpb.Entry) []*raftpb.Entry {
 	var copied []*raftpb.Entry
 	for _, entry := range entries {
@@ -160,7 +163,7 @@
 	return copied
 }
 
-// save writes a Work as the doc comment of Work asks it.
+// save persists a Work as the doc comment of Work specifies.
 func (p *PersistedState) save(work Work) {
 	if work.Snapshot != nil {
 		p.Snapshot = proto.Clone(work.Snapshot).(*raftpb.Snapshot)
@@ -182,7 +185,7 @@
 	}
 }
 
-// write saves a Work, and all before it if it has to be synced.
+// write buffers a Work and, if it must be synced, saves it and all earlier ones.
 func (s *sim) write(r *simReplica, work Work) {
 	r.unsynced = append(r.unsynced, work)
 	if !work.MustSync {
@@ -190,7 +193,7 @@
 	}
 	synced := len(r.unsynced)
 	if s.defects.acknowledgeUnsaved {
-		synced-- // it is synced with the next one only
+		synced-- // it is synced only together with the next one
 	}
 	for _, earlier := range r.unsynced[:synced] {
 		r.disk.save(earlier)
@@ -198,11 +201,11 @@
 	r.unsynced = slices.Clone(r.unsynced[synced:])
 }
 
-// run does a replica's work. A crash may fall between any two steps of it.
+// run executes a replica's pending work. A crash may occur between any two steps.
 func (s *sim) run(r *simReplica, mayCrash bool) {
 	for r.node != nil && !r.paused && s.violation == nil {
-		work, any := r.node.Ready()
-		if !any {
+		work, found := r.node.Ready()
+		if !found {
 			break
 		}
 		crashAt := -1
@@ -225,15 +228,16 @@
 			s.crash(r)
 			return
 		}
-		progress, err := r.node.Advance(work)
+		result, err := r.node.Advance(work)
 		if err != nil {
 			s.fail("replica %d: %w", r.id, err)
 			return
 		}
-		s.checkResult(r, progress)
+		s.checkResult(r, result)
 	}
 }
 
+// send puts a message on the network, unless its link is blocked.
 func (s *sim) send(r *simReplica, message *raftpb.Message) {
 	to := message.GetTo()
 	if message.GetType() == raftpb.MsgSnap {
@@ -247,17 +251,17 @@
 	s.network = append(s.network, envelope{r.id, to, proto.Clone(message).(*raftpb.Message)})
 }
 
-// deliver hands a message over. The bytes travel, not the value.
-func (s *sim) deliver(one envelope) {
-	r := s.replicas[one.to-1]
+// deliver passes a copy of a message to its receiver.
+func (s *sim) deliver(sent envelope) {
+	r := s.replicas[sent.to-1]
 	if r.paused {
-		s.network = append(s.network, one)
+		s.network = append(s.network, sent)
 		return
 	}
-	if r.node == nil || s.blockedLinks[[2]uint64{one.from, one.to}] {
+	if r.node == nil || s.blockedLinks[[2]uint64{sent.from, sent.to}] {
 		return
 	}
-	if err := r.node.Step(proto.Clone(one.message).(*raftpb.Message)); err != nil {
+	if err := r.node.Step(proto.Clone(sent.message).(*raftpb.Message)); err != nil {
 		if r.node.Err() != nil {
 			s.fail("replica %d: %w", r.id, err)
 		}
@@ -265,43 +269,46 @@
 	}
 }
 
-// took checks what a replica's state went through.
-func (s *sim) checkResult(r *simReplica, progress AdvanceResult) {
-	if progress.StateReplaced {
+// checkResult checks the effects of a completed Work.
+func (s *sim) checkResult(r *simReplica, result AdvanceResult) {
+	if result.StateReplaced {
 		s.counts["states restored"]++
 	}
-	for _, applied := range progress.Applied {
+	for _, applied := range result.Applied {
 		s.checkApplied(r, applied)
 	}
-	for _, context := range progress.ReadContexts {
+	for _, context := range result.ReadContexts {
 		s.checkRead(r, string(context))
 	}
-	s.counts["undecided"] += len(progress.Undecided)
+	s.counts["undecided"] += len(result.Undecided)
 }
 
+// checkApplied checks that all replicas apply the same command at the same index, with the same outcome and the base that
+// its author saw.
 func (s *sim) checkApplied(r *simReplica, applied AppliedCommand) {
 	id := applied.Command.ID
-	if before, known := s.log[applied.Index]; known && before != id {
-		s.fail("entry %d is %s at one replica and %s at replica %d", applied.Index, before, id, r.id)
+	if before, found := s.log[applied.Index]; found && before != id {
+		s.fail("entry %d is %s on one replica and %s on replica %d", applied.Index, before, id, r.id)
 	}
 	s.log[applied.Index] = id
-	told := fmt.Sprint(applied.Outcome)
-	if before, known := s.outcomes[id]; known && before != told {
-		s.fail("%s has the outcome %s at one replica and %s at replica %d", id, before, told, r.id)
+	outcome := fmt.Sprint(applied.Outcome)
+	if before, found := s.outcomes[id]; found && before != outcome {
+		s.fail("%s has the outcome %s on one replica and %s on replica %d", id, before, outcome, r.id)
 	}
-	s.outcomes[id] = told
-	asked := s.submissions[id]
-	if asked == nil || applied.Outcome.Err != nil {
+	s.outcomes[id] = outcome
+	submitted := s.submissions[id]
+	if submitted == nil || applied.Outcome.Err != nil {
 		return
 	}
-	asked.acceptedNumber = applied.Outcome.Number
-	s.newestAccepted = max(s.newestAccepted, asked.acceptedNumber)
-	entry, known := r.node.State().Entry(asked.acceptedNumber)
-	if known && entry.Previous != asked.seenBase {
-		s.fail("revision %d follows %d, its author saw %d", entry.Number, entry.Previous, asked.seenBase)
+	submitted.acceptedNumber = applied.Outcome.Number
+	s.newestAccepted = max(s.newestAccepted, submitted.acceptedNumber)
+	entry, found := r.node.State().Entry(submitted.acceptedNumber)
+	if found && entry.Previous != submitted.seenBase {
+		s.fail("revision %d follows revision %d, but its author saw revision %d", entry.Number, entry.Previous, submitted.seenBase)
 	}
 }
 
+// startRead starts a linearizable read at a replica.
 func (s *sim) startRead(r *simReplica) {
 	if r.node == nil {
 		return
@@ -316,19 +323,20 @@
 	r.node.ReadIndex([]byte(context))
 }
 
+// checkRead checks that a read returns all revisions that were accepted before it started.
 func (s *sim) checkRead(r *simReplica, context string) {
-	least, asked := r.reads[context]
-	if !asked {
+	minimum, started := r.reads[context]
+	if !started {
 		return
 	}
 	delete(r.reads, context)
 	s.counts["reads"]++
-	if newest := r.node.State().NewestNumber(); newest < least {
-		s.fail("a read at replica %d tells revision %d as newest, %d was accepted before it", r.id, newest, least)
+	if newest := r.node.State().NewestNumber(); newest < minimum {
+		s.fail("a read at replica %d returns revision %d as newest, but revision %d was accepted before it", r.id, newest, minimum)
 	}
 }
 
-// leader gives a replica that believes to lead and runs, of several any one.
+// leader returns a running replica that considers itself the leader. If there are several, it chooses one.
 func (s *sim) leader() *simReplica {
 	var leaders []*simReplica
 	for _, r := range s.replicas {
@@ -342,7 +350,7 @@
 	return leaders[s.choose.below("leader", len(leaders))]
 }
 
-// submit has a client ask the leader for a new revision, on the base that some replica shows.
+// submit has a client submit a new revision to the leader, with the base that a random replica shows.
 func (s *sim) submit() {
 	shown := s.replicas[s.choose.below("shown by", simReplicas)]
 	leader := s.leader()
@@ -371,17 +379,17 @@
 	if newest, _ := leader.node.State().Latest(scope); s.defects.noBaseCheck {
 		apply.Base = newest.Number
 	}
-	asked := &submission{command: Command{ID: id, Apply: &apply}, seenBase: base.Number}
-	asked.canariesAvailable = slices.ContainsFunc(leader.view.ConnectedIdentities(), func(identity revision.Identity) bool {
+	submitted := &submission{command: Command{ID: id, Apply: &apply}, seenBase: base.Number}
+	submitted.canariesAvailable = slices.ContainsFunc(leader.view.ConnectedIdentities(), func(identity revision.Identity) bool {
 		return scopeIncludes(scope, identity)
 	})
-	s.submissions[id] = asked
-	if leader.node.Propose(asked.command) == nil {
+	s.submissions[id] = submitted
+	if leader.node.Propose(submitted.command) == nil {
 		s.counts["submitted"]++
 	}
 }
 
-// resubmit asks again under the same ID, as after an answer that was lost.
+// resubmit submits an earlier command again with the same ID, as a client does after a lost answer.
 func (s *sim) resubmit() {
 	leader := s.leader()
 	if leader == nil || len(s.submissions) == 0 {
@@ -391,7 +399,7 @@
 	_ = leader.node.Propose(s.submissions[id].command)
 }
 
-// guard has each leader propose what its guard finds due.
+// proposeCanaryCommands has each leader propose the pending commands of its CanaryController.
 func (s *sim) proposeCanaryCommands() {
 	for _, r := range s.replicas {
 		if r.node == nil || r.paused {
@@ -411,7 +419,7 @@
 	}
 }
 
-// settle heals all and lets time pass until the replicas are quiet.
+// settle unblocks all links, starts all replicas and lets enough time pass for them to become consistent.
 func (s *sim) settle() {
 	clear(s.blockedLinks)
 	for _, r := range s.replicas {
@@ -430,7 +438,7 @@
 	}
 }
 
-// round lets a tick's time pass without trouble.
+// round simulates one tick without faults.
 func (s *sim) round() {
 	s.now += TickInterval.Seconds()
 	for _, r := range s.replicas {
@@ -443,8 +451,8 @@
 	for range 6 {
 		waiting := s.network
 		s.network = nil
-		for _, one := range waiting {
-			s.deliver(one)
+		for _, message := range waiting {
+			s.deliver(message)
 		}
 		for _, r := range s.replicas {
 			s.run(r, false)
@@ -452,7 +460,7 @@
 	}
 }
 
-// checkSettled looks for what must hold once all is healed.
+// checkSettled checks the invariants that must hold after settle.
 func (s *sim) checkSettled() {
 	s.checkReplicas()
 	for _, proxy := range s.proxies {
@@ -460,7 +468,7 @@
 	}
 }
 
-// checkReplicas looks for equal states that have all that was accepted, and a leader.
+// checkReplicas checks that all replicas have equal states with all accepted revisions, and that there is a leader.
 func (s *sim) checkReplicas() {
 	var first []byte
 	for _, r := range s.replicas {
@@ -473,20 +481,20 @@
 			first = text
 		}
 		if string(text) != string(first) {
-			s.fail("after the healing replica %d has another state than replica 1:\n%s\n%s", r.id, text, first)
+			s.fail("the states of replica %d and replica 1 differ:\n%s\n%s", r.id, text, first)
 		}
 	}
 	state := s.replicas[0].node.State()
-	for id, asked := range s.submissions {
-		if asked.acceptedNumber == 0 {
+	for id, submitted := range s.submissions {
+		if submitted.acceptedNumber == 0 {
 			continue
 		}
 		s.counts["accepted"]++
-		if entry, known := state.Entry(asked.acceptedNumber); !known || entry.Reason != id {
-			s.fail("revision %d (%s) was accepted and is lost", asked.acceptedNumber, id)
+		if entry, found := state.Entry(submitted.acceptedNumber); !found || entry.Reason != id {
+			s.fail("revision %d (%s) was accepted but is lost", submitted.acceptedNumber, id)
 		}
 	}
 	if leader := s.leader(); leader == nil {
-		s.fail("nobody leads after the healing")
+		s.fail("there is no leader after all faults have ended")
 	}
 }
--- a/internal/control/history_test.go
+++ b/internal/control/simhistory_test.go
@@ -9,17 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-// rapidChooser has rapid draw, so that it can shrink a history.
+// rapidChooser draws from rapid, so that rapid can shrink a failing history.
 type rapidChooser struct{ t *rapid.T }
 
 func (c rapidChooser) below(label string, n int) int { return rapid.IntRange(0, n-1).Draw(c.t, label) }
 
-// seedChooser draws from a seed.
+// seedChooser draws from a seeded random generator.
 type seedChooser struct{ *rand.Rand }
 
 func (c seedChooser) below(_ string, n int) int { return c.IntN(n) }
 
-// actions are what may happen next, each as often as its weight.
+// actions are the possible steps of a history, chosen in proportion to their weights.
 var actions = []struct {
 	weight int
 	do     func(*sim)
@@ -48,15 +48,16 @@
 func (s *sim) anyMessage() int         { return s.choose.below("message", len(s.network)) }
 func (s *sim) removeMessage(at int)    { s.network = append(s.network[:at:at], s.network[at+1:]...) }
 
+// deliverAnyMessage delivers a random message and runs its receiver.
 func (s *sim) deliverAnyMessage() {
 	if len(s.network) == 0 {
 		return
 	}
 	at := s.anyMessage()
-	one := s.network[at]
+	message := s.network[at]
 	s.removeMessage(at)
-	s.deliver(one)
-	s.run(s.replicas[one.to-1], true)
+	s.deliver(message)
+	s.run(s.replicas[message.to-1], true)
 }
 
 func (s *sim) dropAnyMessage() {
@@ -71,6 +72,7 @@
 	}
 }
 
+// tickAny advances the time by one tick, and the clock of a random replica by one to ElectionTicks ticks.
 func (s *sim) tickAny() {
 	s.now += TickInterval.Seconds()
 	if r := s.anyReplica(); r.node != nil {
@@ -88,7 +90,7 @@
 	}
 }
 
-// cutAny cuts one direction between two replicas, or all of one replica's ways out.
+// blockAnyLink blocks one direction between two replicas, or all outgoing links of one replica.
 func (s *sim) blockAnyLink() {
 	from := uint64(1 + s.choose.below("cut from", simReplicas))
 	if s.choose.below("cut all", 3) == 0 {
@@ -107,7 +109,7 @@
 	}
 }
 
-// play has so many things happen, heals all and checks what must hold.
+// runHistory executes a number of random actions, ends all faults and checks the invariants.
 func (s *sim) runHistory(steps int) error {
 	total := 0
 	for _, action := range actions {
@@ -135,7 +137,7 @@
 	return s.violation
 }
 
-func TestHistoriesOfFiveReplicas(t *testing.T) {
+func TestRandomHistoriesOfFiveReplicas(t *testing.T) {
 	counts := map[string]int{}
 	rapid.Check(t, func(r *rapid.T) {
 		cryptotest.SetGlobalRandom(t, rapid.Uint64().Draw(r, "election time-outs"))
@@ -149,20 +151,20 @@
 	})
 	t.Log(counts)
 	for _, key := range []string{
-		"accepted", "crashes", "reads", "updates", "whole updates", "refusals", "patches",
+		"accepted", "crashes", "reads", "updates", "full updates", "refusals", "patches",
 		"snapshots sent", "states restored", "undecided",
 	} {
 		if counts[key] == 0 {
-			t.Errorf("no history had any %s", key)
+			t.Errorf("no history covered %q", key)
 		}
 	}
 }
 
-// firstViolation plays histories by seeds until one fails.
-func firstViolation(t *testing.T, wrong defects, seeds int) error {
+// firstViolation runs histories of consecutive seeds until one fails. It returns nil if none does.
+func firstViolation(t *testing.T, injected defects, seeds int) error {
 	for seed := range uint64(seeds) {
 		cryptotest.SetGlobalRandom(t, seed)
-		s := newSim(seedChooser{rand.New(rand.NewPCG(seed, 1))}, wrong)
+		s := newSim(seedChooser{rand.New(rand.NewPCG(seed, 1))}, injected)
 		if err := s.runHistory(300); err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
@@ -171,17 +173,17 @@
 }
 
 func TestSeededDefectsAreCaught(t *testing.T) {
-	for name, wrong := range map[string]defects{
-		"acknowledged before it is saved": {acknowledgeUnsaved: true},
-		"the base is not checked":         {noBaseCheck: true},
-		"the guard is off":                {noCanaries: true},
-		"reads don't ask the leader":      {readLocally: true},
-		"what proxies hold is forgotten":  {heldDocumentsIgnored: true},
+	for name, injected := range map[string]defects{
+		"acknowledged before saved":   {acknowledgeUnsaved: true},
+		"the base is not checked":     {noBaseCheck: true},
+		"no canaries":                 {noCanaries: true},
+		"reads do not ask the leader": {readLocally: true},
+		"held documents ignored":      {heldDocumentsIgnored: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := firstViolation(t, wrong, 30)
+			err := firstViolation(t, injected, 30)
 			if err == nil {
-				t.Fatal("no history of 30 shows it")
+				t.Fatal("none of 30 histories detects the defect")
 			}
 			t.Logf("%.200v", err)
 		})
--- a/internal/control/simproxy_test.go
+++ b/internal/control/simproxy_test.go
@@ -17,17 +17,17 @@
 	{Kind: revision.ProxyKind, Name: "p11"},
 }
 
-// simProxy is a proxy: what its state folder holds, and its watch.
+// simProxy is a proxy: the contents of its state folder, and its watch.
 type simProxy struct {
 	identity  revision.Identity
-	documents []revision.ScopeDocument // with documents
+	documents []revision.ScopeDocument // with their contents
 	revision  revision.Number
 	checksum  string
-	replica   *simReplica // nil while it has no watch
+	replica   *simReplica // nil if it has no watch
 	session   *Session
 }
 
-// newSimProxies gives nine proxies in three zones.
+// newSimProxies returns nine proxies in three zones.
 func newSimProxies() []*simProxy {
 	var proxies []*simProxy
 	for i := range 9 {
@@ -42,11 +42,13 @@
 	return proxies
 }
 
+// disconnect ends the watch.
 func (p *simProxy) disconnect() {
 	p.replica = nil
 	p.session = nil
 }
 
+// hello returns the Hello that describes what the proxy holds.
 func (p *simProxy) hello() revision.Hello {
 	hello := revision.Hello{
 		Protocol: revision.Protocol,
@@ -78,11 +80,12 @@
 	r.view.RecordWatchOpened(s.time(), fmt.Sprint(r.id), session.Hello())
 }
 
+// time returns the simulated time.
 func (s *sim) time() time.Time {
 	return time.Unix(0, 0).Add(time.Duration(s.now * float64(time.Second)))
 }
 
-// stepProxy has a proxy take what there is for it, over a watch at the replica if it has none.
+// stepProxy has a proxy process its next update. If it has no watch, it first opens one at the given replica.
 func (s *sim) stepProxy(p *simProxy, r *simReplica) {
 	if p.replica == nil || p.replica.node == nil {
 		s.connect(p, r)
@@ -91,8 +94,8 @@
 		return
 	}
 	update, err := p.session.NextUpdate(p.replica.node.State())
-	if ahead := new(ReplicaBehindError); errors.As(err, &ahead) {
-		s.counts["proxies ahead"]++
+	if behind := new(ReplicaBehindError); errors.As(err, &behind) {
+		s.counts["replicas behind"]++
 		return
 	}
 	if err != nil {
@@ -103,12 +106,12 @@
 	}
 	s.counts["updates"]++
 	if update.Full {
-		s.counts["whole updates"]++
+		s.counts["full updates"]++
 		if len(p.documents) == 0 {
 			s.counts["first updates"]++
 		}
 		if update.Revision == p.revision {
-			s.counts["whole updates for their number"]++
+			s.counts["full updates with the same number"]++
 		}
 	}
 	report := s.take(p, *update)
@@ -119,10 +122,10 @@
 	s.report(p, report)
 }
 
-// report has the replicas learn a proxy's word; the leader learns it at once.
+// report delivers a proxy's report to all running replicas at once.
 func (s *sim) report(p *simProxy, report revision.Report) {
 	if !p.session.HandleReport(report) {
-		s.fail("proxy %s: its report is not taken for one on the update sent", p.identity.Proxy)
+		s.fail("proxy %s: its report does not match the update that was sent", p.identity.Proxy)
 	}
 	for _, r := range s.replicas {
 		if r.node == nil {
@@ -133,11 +136,11 @@
 	}
 }
 
-// take is a proxy's side of an update: whole or not at all, and never back.
+// take applies an update on the proxy's side: completely or not at all, and never back to a lower number.
 func (s *sim) take(p *simProxy, update revision.Update) revision.Report {
 	report := revision.Report{Revision: update.Revision, Checksum: p.checksum}
 	if update.Revision < p.revision || update.Revision == p.revision && !update.Full {
-		s.fail("proxy %s has revision %d and is sent %d", p.identity.Proxy, p.revision, update.Revision)
+		s.fail("proxy %s has revision %d and is sent revision %d", p.identity.Proxy, p.revision, update.Revision)
 	}
 	held := slices.Clone(p.documents)
 	if update.Full {
@@ -145,14 +148,14 @@
 	}
 	for _, change := range update.Scopes {
 		if before := heldNumber(p.documents, change.Scope); change.Number < before {
-			s.fail("proxy %s goes back in %v from %d to %d", p.identity.Proxy, change.Scope, before, change.Number)
+			s.fail("proxy %s is sent back in %v from revision %d to %d", p.identity.Proxy, change.Scope, before, change.Number)
 		}
 		document := change.Document
 		if change.From != 0 {
 			s.counts["patches"]++
 			i := slices.IndexFunc(held, func(one revision.ScopeDocument) bool { return one.Scope == change.Scope })
 			if i < 0 || held[i].Number != change.From {
-				s.fail("proxy %s is sent a change from %d of %v", p.identity.Proxy, change.From, change.Scope)
+				s.fail("proxy %s is sent a patch of revision %d of %v, which it does not hold", p.identity.Proxy, change.From, change.Scope)
 				return report
 			}
 			var err error
@@ -170,13 +173,13 @@
 	if revision.Checksum(effective) != update.Checksum {
 		s.counts["unknown verdicts"]++
 		if update.Full {
-			s.fail("proxy %s is sent a whole update with a wrong checksum", p.identity.Proxy)
+			s.fail("proxy %s is sent a full update with a wrong checksum", p.identity.Proxy)
 		}
 		report.Verdict = revision.Unknown
 		return report
 	}
 	if strings.Contains(string(effective), `"bad"`) {
-		s.noteBad(p, update)
+		s.recordRefusal(p, update)
 		report.Verdict = revision.Refused
 		report.Reason = "it is bad"
 		return report
@@ -189,12 +192,12 @@
 	return report
 }
 
-// noteBad counts the proxies that a refused revision was sent to: its canaries at most.
-func (s *sim) noteBad(p *simProxy, update revision.Update) {
+// recordRefusal records which proxies were sent a revision that all proxies refuse. They may only be its canaries.
+func (s *sim) recordRefusal(p *simProxy, update revision.Update) {
 	s.counts["refusals"]++
 	for _, change := range update.Scopes {
-		entry, known := p.replica.node.State().Entry(change.Number)
-		if !known || !strings.Contains(string(entry.Document), `"bad"`) {
+		entry, found := p.replica.node.State().Entry(change.Number)
+		if !found || !strings.Contains(string(entry.Document), `"bad"`) {
 			continue
 		}
 		if s.sentTo[change.Number] == nil {
@@ -202,12 +205,12 @@
 		}
 		s.sentTo[change.Number][p.identity.Proxy] = true
 		if sent := len(s.sentTo[change.Number]); s.submissions[entry.Reason].canariesAvailable && sent > 3 {
-			s.fail("revision %d, which all refuse, was sent to %d proxies in 3 zones", change.Number, sent)
+			s.fail("revision %d, which all proxies refuse, was sent to %d proxies in 3 zones", change.Number, sent)
 		}
 	}
 }
 
-// damage has a proxy lose a document, which its checksum tells at the next watch.
+// damage replaces a document that a proxy holds. Its next Hello has a checksum that does not match.
 func (s *sim) damage(p *simProxy) {
 	if len(p.documents) == 0 {
 		return
@@ -220,19 +223,19 @@
 	p.disconnect()
 }
 
-// checkSettled says what a proxy must have once all is healed and told.
+// checkSettled checks that a proxy has all revisions that it does not refuse, after settle.
 func (p *simProxy) checkSettled(s *sim, state *State) {
 	update, err := state.UpdateFor(p.hello())
 	if err != nil {
-		s.fail("proxy %s in the end: %w", p.identity.Proxy, err)
+		s.fail("proxy %s after settling: %w", p.identity.Proxy, err)
 		return
 	}
 	if update == nil {
 		return
 	}
-	// Only what it refuses may be missing.
+	// Only revisions that it refuses may be missing.
 	report := s.take(p, *update)
 	if report.Verdict != revision.Refused {
-		s.fail("proxy %s has yet to take revision %d in the end", p.identity.Proxy, update.Revision)
+		s.fail("proxy %s does not have revision %d after settling", p.identity.Proxy, update.Revision)
 	}
 }
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -18,7 +18,7 @@
 	testTime = time.Date(2030, 5, 6, 7, 8, 9, 0, time.UTC)
 )
 
-// apply is a command without a trial.
+// apply returns a command that adds a revision without canaries.
 func apply(id string, scope revision.Scope, base revision.Number, document string) Command {
 	return Command{ID: id, Apply: &ApplyCommand{
 		Scope:    scope,
@@ -30,21 +30,25 @@
 	}}
 }
 
-// tried is a command with a trial.
-func applyWithCanaries(id string, scope revision.Scope, base revision.Number, document string, canaries ...string) Command {
+// applyTrial returns a command that adds a revision with canaries.
+func applyTrial(id string, scope revision.Scope, base revision.Number, document string, canaries ...string) Command {
 	command := apply(id, scope, base, document)
 	command.Apply.Canaries = canaries
 	return command
 }
 
+// rollback returns a command that restores the document of an earlier revision.
 func rollback(scope revision.Scope, base, to revision.Number) Command {
 	return Command{ID: "rollback", Apply: &ApplyCommand{Scope: scope, Base: base, RollbackOf: to}}
 }
 
+// release returns the command that releases a revision.
 func release(number revision.Number) Command { return *releaseCommand(number) }
-func hold(number revision.Number) Command    { return *holdCommand(number, "p1", "no such key") }
 
-// accept applies commands that have to be accepted.
+// hold returns the command that holds a revision because p1 refused it.
+func hold(number revision.Number) Command { return *holdCommand(number, "p1", "no such key") }
+
+// mustApply applies commands and fails the test if one is refused.
 func mustApply(t *testing.T, s *State, commands ...Command) {
 	t.Helper()
 	for _, command := range commands {
@@ -54,7 +58,7 @@
 	}
 }
 
-// stages gives the stages of all revisions, ascending.
+// stages formats the stages of all revisions, in ascending order.
 func stages(s *State) string {
 	var list []string
 	for _, entry := range slices.Backward(s.History(nil, MaxHistoryRevisions)) {
@@ -72,32 +76,33 @@
 			[]Command{apply("a", revision.FleetScope, 0, "{}"), apply("b", revision.FleetScope, 1, "{}")},
 			"1 superseded, 2 released",
 		},
-		"a trial leaves the released one": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1")},
+		"a trial keeps the released revision": {
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyTrial("b", revision.FleetScope, 1, "{}", "p1")},
 			"1 released, 2 trial",
 		},
-		"a trial ends well": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1"), release(2)},
+		"a trial is released": {
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyTrial("b", revision.FleetScope, 1, "{}", "p1"), release(2)},
 			"1 superseded, 2 released",
 		},
 		"a trial is held": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1"), hold(2)},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyTrial("b", revision.FleetScope, 1, "{}", "p1"), hold(2)},
 			"1 released, 2 held",
 		},
 		"held after its release": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1"), release(2), hold(2)},
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyTrial("b", revision.FleetScope, 1, "{}", "p1"), release(2), hold(2)},
 			"1 released, 2 held",
 		},
-		"the next one after a held one": {
-			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p1"), hold(2),
+		"a revision after a held one": {
+			[]Command{apply("a", revision.FleetScope, 0, "{}"), applyTrial("b", revision.FleetScope, 1, "{}", "p1"), hold(2),
 				apply("c", revision.FleetScope, 2, "{}")},
 			"1 superseded, 2 held, 3 released",
 		},
-		"a trial is overtaken": {
-			[]Command{applyWithCanaries("a", revision.FleetScope, 0, "{}", "p1"), applyWithCanaries("b", revision.FleetScope, 1, "{}", "p2"), release(2)},
+		"a trial is superseded": {
+			[]Command{applyTrial("a", revision.FleetScope, 0, "{}", "p1"), applyTrial("b", revision.FleetScope, 1, "{}", "p2"),
+				release(2)},
 			"1 superseded, 2 released",
 		},
-		"scopes have chains of their own": {
+		"scopes are independent": {
 			[]Command{apply("a", revision.FleetScope, 0, "{}"), apply("b", zoneA, 0, "{}"), apply("c", revision.FleetScope, 1, "{}")},
 			"1 superseded, 2 released, 3 released",
 		},
@@ -106,37 +111,38 @@
 			s := NewState(simFleet)
 			mustApply(t, s, test.commands...)
 			if got := stages(s); got != test.want {
-				t.Errorf("%s; wanted %s", got, test.want)
+				t.Errorf("got %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-func TestRefusedCommandsChangeNothing(t *testing.T) {
+func TestRefusedCommandsHaveNoEffect(t *testing.T) {
 	long := strings.Repeat("x", MaxReasonBytes+1)
 	for name, test := range map[string]struct {
 		command Command
 		want    any
 	}{
-		"stale base":         {apply("x", revision.FleetScope, 1, "{}"), new(*ConflictError)},
-		"base to come":       {apply("x", revision.FleetScope, 9, "{}"), new(*UnknownRevisionError)},
-		"no scope":           {apply("x", revision.Scope{}, 0, "{}"), new(*InvalidCommandError)},
-		"unknown kind":       {apply("x", revision.Scope{Kind: "rack", Name: "a"}, 0, "{}"), new(*InvalidCommandError)},
-		"cut document":       {apply("x", revision.FleetScope, 2, `{"a":`), new(*InvalidCommandError)},
-		"null in it":         {apply("x", revision.FleetScope, 2, `{"a":null}`), new(*InvalidCommandError)},
-		"no document":        {apply("x", revision.FleetScope, 2, ""), new(*InvalidCommandError)},
-		"no ID":              {apply("", revision.FleetScope, 2, "{}"), new(*InvalidCommandError)},
-		"long ID":            {apply(strings.Repeat("x", MaxCommandIDBytes+1), revision.FleetScope, 2, "{}"), new(*InvalidCommandError)},
-		"bad canary":         {applyWithCanaries("x", revision.FleetScope, 2, "{}", "p 1"), new(*InvalidCommandError)},
-		"nothing set":        {Command{ID: "x"}, new(*InvalidCommandError)},
-		"long reason":        {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: long}}, new(*InvalidCommandError)},
-		"no UTF-8":           {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: "\xff"}}, new(*InvalidCommandError)},
-		"two set":            {Command{ID: "x", Hold: &HoldCommand{}, Release: &ReleaseCommand{}}, new(*InvalidCommandError)},
-		"release of old":     {release(1), new(*StageError)},
-		"hold of old":        {hold(1), new(*StageError)},
-		"release of none":    {release(9), new(*UnknownRevisionError)},
-		"rollback to none":   {rollback(revision.FleetScope, 2, 9), new(*UnknownRevisionError)},
-		"rollback of zone's": {rollback(zoneB, 0, 1), new(*UnknownRevisionError)},
+		"stale base":            {apply("x", revision.FleetScope, 1, "{}"), new(*ConflictError)},
+		"base not yet assigned": {apply("x", revision.FleetScope, 9, "{}"), new(*UnknownRevisionError)},
+		"no scope":              {apply("x", revision.Scope{}, 0, "{}"), new(*InvalidCommandError)},
+		"unknown kind":          {apply("x", revision.Scope{Kind: "rack", Name: "a"}, 0, "{}"), new(*InvalidCommandError)},
+		"truncated document":    {apply("x", revision.FleetScope, 2, `{"a":`), new(*InvalidCommandError)},
+		"null in the document":  {apply("x", revision.FleetScope, 2, `{"a":null}`), new(*InvalidCommandError)},
+		"no document":           {apply("x", revision.FleetScope, 2, ""), new(*InvalidCommandError)},
+		"no ID":                 {apply("", revision.FleetScope, 2, "{}"), new(*InvalidCommandError)},
+		"long ID": {
+			apply(strings.Repeat("x", MaxCommandIDBytes+1), revision.FleetScope, 2, "{}"), new(*InvalidCommandError)},
+		"invalid canary name":        {applyTrial("x", revision.FleetScope, 2, "{}", "p 1"), new(*InvalidCommandError)},
+		"no variant set":             {Command{ID: "x"}, new(*InvalidCommandError)},
+		"long reason":                {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: long}}, new(*InvalidCommandError)},
+		"invalid UTF-8":              {Command{ID: "x", Hold: &HoldCommand{Number: 2, Reason: "\xff"}}, new(*InvalidCommandError)},
+		"two variants set":           {Command{ID: "x", Hold: &HoldCommand{}, Release: &ReleaseCommand{}}, new(*InvalidCommandError)},
+		"release of an older one":    {release(1), new(*StageError)},
+		"hold of an older one":       {hold(1), new(*StageError)},
+		"release of an unknown one":  {release(9), new(*UnknownRevisionError)},
+		"rollback to an unknown one": {rollback(revision.FleetScope, 2, 9), new(*UnknownRevisionError)},
+		"rollback across scopes":     {rollback(zoneB, 0, 1), new(*UnknownRevisionError)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewState(simFleet)
@@ -144,19 +150,19 @@
 			before := stages(s)
 			outcome := s.Apply(test.command)
 			if outcome.Err == nil || !errors.As(outcome.Err, test.want) {
-				t.Errorf("%v; wanted %T", outcome.Err, test.want)
+				t.Errorf("got error %v, want %T", outcome.Err, test.want)
 			}
 			if strings.Contains(fmt.Sprint(outcome.Err), "\n") {
-				t.Errorf("the error is no line: %q", outcome.Err)
+				t.Errorf("the error has more than one line: %q", outcome.Err)
 			}
 			if after := stages(s); after != before || s.NewestNumber() != 2 {
-				t.Errorf("%s has become %s", before, after)
+				t.Errorf("stages changed from %s to %s", before, after)
 			}
 		})
 	}
 }
 
-func TestAConflictTellsWhatChangedMeanwhile(t *testing.T) {
+func TestConflictListsInterveningChanges(t *testing.T) {
 	s := NewState(simFleet)
 	mustApply(t, s,
 		apply("a", revision.FleetScope, 0, `{"limits":{"rate":1},"x":1}`),
@@ -168,50 +174,50 @@
 	if !errors.As(outcome.Err, &conflict) {
 		t.Fatal(outcome.Err)
 	}
-	var told []string
+	var listed []string
 	for _, change := range conflict.Changes {
-		told = append(told, fmt.Sprint(change.Number, change.Author, change.Reason, change.Keys))
+		listed = append(listed, fmt.Sprint(change.Number, change.Author, change.Reason, change.Keys))
 	}
 	want := "[3annabecause of c[limits.rate] 4annabecause of d[x z]]"
-	if fmt.Sprint(told) != want || conflict.Newest != 4 {
-		t.Errorf("%v, newest %d; wanted %s", told, conflict.Newest, want)
+	if fmt.Sprint(listed) != want || conflict.Newest != 4 {
+		t.Errorf("got %v with newest %d, want %s with newest 4", listed, conflict.Newest, want)
 	}
 }
 
-func TestASecondCommandWithAnIDChangesNothing(t *testing.T) {
+func TestRepeatedCommandIDHasNoEffect(t *testing.T) {
 	s := NewState(simFleet)
 	mustApply(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`))
 	refused := s.Apply(apply("b", revision.FleetScope, 2, `{"a":2}`))
 	mustApply(t, s, apply("c", revision.FleetScope, 1, `{"a":3}`))
 	if outcome := s.Apply(apply("a", revision.FleetScope, 2, `{"a":4}`)); outcome.Number != 1 || outcome.Err != nil {
-		t.Errorf("the second a: %v", outcome)
+		t.Errorf("second command a: got %v", outcome)
 	}
-	// Its base exists by now, but its submitter was told that it was refused.
+	// The base exists now, but the submitter was told that the command was refused.
 	if outcome := s.Apply(apply("b", revision.FleetScope, 2, `{"a":2}`)); outcome.Err != refused.Err {
-		t.Errorf("the second b: %v, the first %v", outcome, refused)
+		t.Errorf("second command b: got %v, the first got %v", outcome, refused)
 	}
 	if s.NewestNumber() != 2 {
-		t.Errorf("newest is %d", s.NewestNumber())
+		t.Errorf("newest revision is %d, want 2", s.NewestNumber())
 	}
-	if outcome, known := s.Outcome("c"); !known || outcome.Number != 2 {
-		t.Errorf("the outcome of c is told as %v, %v", outcome, known)
+	if outcome, found := s.Outcome("c"); !found || outcome.Number != 2 {
+		t.Errorf("outcome of c: got %v, %v", outcome, found)
 	}
-	if _, known := s.Outcome("d"); known {
-		t.Error("an outcome of d is told")
+	if _, found := s.Outcome("d"); found {
+		t.Error("there is an outcome of d, which was never applied")
 	}
 }
 
-func TestRollbackIsANewRevision(t *testing.T) {
+func TestRollbackCreatesNewRevision(t *testing.T) {
 	s := NewState(simFleet)
 	mustApply(t, s, apply("a", revision.FleetScope, 0, `{"a":1}`), apply("b", revision.FleetScope, 1, `{"a":2}`))
 	mustApply(t, s, rollback(revision.FleetScope, 2, 1))
 	latest, _ := s.Latest(revision.FleetScope)
 	if latest.Number != 3 || string(latest.Document) != `{"a":1}` || latest.RollbackOf != 1 || latest.Previous != 2 {
-		t.Errorf("%+v", latest)
+		t.Errorf("got %+v", latest)
 	}
 }
 
-func TestHistoryIsBoundedAndKeepsWhatIsNeeded(t *testing.T) {
+func TestHistoryIsLimitedAndRetainsRequiredRevisions(t *testing.T) {
 	s := NewState(simFleet)
 	mustApply(t, s, apply("zone", zoneA, 0, `{"a":1}`), apply("zone 2", zoneA, 1, `{"a":2}`))
 	base := revision.Number(0)
@@ -224,65 +230,65 @@
 		base = outcome.Number
 	}
 	if len(s.entries) != MaxHistoryRevisions {
-		t.Errorf("%d revisions are kept", len(s.entries))
+		t.Errorf("%d revisions are retained, want %d", len(s.entries), MaxHistoryRevisions)
 	}
-	if latest, known := s.Latest(zoneA); !known || string(latest.Document) != `{"a":2}` {
-		t.Errorf("the zone's latest: %v, %v", latest, known)
+	if latest, found := s.Latest(zoneA); !found || string(latest.Document) != `{"a":2}` {
+		t.Errorf("latest revision of the zone: got %v, %v", latest, found)
 	}
-	if _, known := s.Entry(3); known {
-		t.Error("the fleet's first revision is kept")
+	if _, found := s.Entry(3); found {
+		t.Error("the fleet's first revision is still retained")
 	}
 	if mustApply(t, s, hold(2)); s.chains[zoneA].latestReleased().Number != 1 {
-		t.Error("what the zone goes back to is not kept")
+		t.Error("the revision that the zone falls back to is not retained")
 	}
 }
 
-func TestDocumentBytesAreBounded(t *testing.T) {
+func TestDocumentBytesAreLimited(t *testing.T) {
 	s := NewState(simFleet)
 	large := fmt.Sprintf(`{"a":%q}`, strings.Repeat("x", revision.MaxDocumentBytes-100))
 	for i := range 2 * MaxTotalDocumentBytes / len(large) {
 		scope := revision.Scope{Kind: revision.ProxyKind, Name: fmt.Sprint("p", i)}
 		outcome := s.Apply(apply(scope.Name, scope, 0, large))
 		if s.documentBytes > MaxTotalDocumentBytes {
-			t.Fatalf("%d bytes are kept", s.documentBytes)
+			t.Fatalf("%d bytes are retained", s.documentBytes)
 		}
 		if limit := new(LimitError); i > MaxTotalDocumentBytes/len(large) && !errors.As(outcome.Err, &limit) {
-			t.Fatalf("document %d: %v", i, outcome)
+			t.Fatalf("document %d: got %v, want a LimitError", i, outcome)
 		}
 	}
 }
 
-func TestUnreleasedRevisionsOfAScopeAreBounded(t *testing.T) {
+func TestUnreleasedRevisionsOfAScopeAreLimited(t *testing.T) {
 	s := NewState(simFleet)
 	base := revision.Number(0)
 	for i := range MaxUnreleasedRevisions {
-		mustApply(t, s, applyWithCanaries(fmt.Sprint(i), revision.FleetScope, base, "{}", "p1"))
+		mustApply(t, s, applyTrial(fmt.Sprint(i), revision.FleetScope, base, "{}", "p1"))
 		base = s.NewestNumber()
 	}
 	limit := new(LimitError)
-	if outcome := s.Apply(applyWithCanaries("x", revision.FleetScope, base, "{}", "p1")); !errors.As(outcome.Err, &limit) {
-		t.Errorf("one more: %v", outcome)
+	if outcome := s.Apply(applyTrial("x", revision.FleetScope, base, "{}", "p1")); !errors.As(outcome.Err, &limit) {
+		t.Errorf("one more than the limit: got %v, want a LimitError", outcome)
 	}
 	mustApply(t, s, apply("at once", revision.FleetScope, base, "{}"))
 }
 
-func TestOutcomesAreBounded(t *testing.T) {
+func TestRememberedOutcomesAreLimited(t *testing.T) {
 	s := NewState(simFleet)
 	for i := range MaxRememberedOutcomes + 10 {
 		s.Apply(Command{ID: fmt.Sprint(i), Release: &ReleaseCommand{Number: 1}})
 	}
 	if len(s.outcomes.byID) != MaxRememberedOutcomes || len(s.outcomes.order) != MaxRememberedOutcomes {
-		t.Errorf("%d and %d outcomes are kept", len(s.outcomes.byID), len(s.outcomes.order))
+		t.Errorf("%d outcomes and %d IDs are retained", len(s.outcomes.byID), len(s.outcomes.order))
 	}
 }
 
-// everyOutcome gives a state with all stages and all kinds of outcomes.
+// stateWithAllOutcomes returns a state with all stages and all kinds of outcomes.
 func stateWithAllOutcomes(t testing.TB) *State {
 	s := NewState(simFleet)
 	s.Apply(apply("a", revision.FleetScope, 0, `{"html":"<&>\u2028","n":1.50}`))
-	s.Apply(applyWithCanaries("b", revision.FleetScope, 1, `{"n":2}`, "p1", "p2"))
+	s.Apply(applyTrial("b", revision.FleetScope, 1, `{"n":2}`, "p1", "p2"))
 	s.Apply(hold(2))
-	s.Apply(applyWithCanaries("c", zoneA, 0, `{"n":2}`, "p1"))
+	s.Apply(applyTrial("c", zoneA, 0, `{"n":2}`, "p1"))
 	s.Apply(apply("conflict", revision.FleetScope, 1, `{"n":3}`))
 	s.Apply(apply("unknown", revision.FleetScope, 9, `{"n":3}`))
 	s.Apply(apply("bad", revision.FleetScope, 2, `{"n":`))
@@ -292,7 +298,7 @@
 	return s
 }
 
-func TestASnapshotGivesTheSameState(t *testing.T) {
+func TestSnapshotRestoresTheSameState(t *testing.T) {
 	s := stateWithAllOutcomes(t)
 	text, err := s.Marshal()
 	if err != nil {
@@ -304,11 +310,11 @@
 	}
 	again, err := read.Marshal()
 	if err != nil || string(again) != string(text) {
-		t.Errorf("%v\n%s\n%s", err, text, again)
+		t.Errorf("error %v, marshaled\n%s\nand after reading it\n%s", err, text, again)
 	}
 	for _, id := range s.outcomes.order {
 		if before, after := fmt.Sprint(s.outcomes.byID[id]), fmt.Sprint(read.outcomes.byID[id]); before != after {
-			t.Errorf("%s: %s has become %s", id, before, after)
+			t.Errorf("outcome of %s changed from %s to %s", id, before, after)
 		}
 	}
 	before, err := read.Checksum()
@@ -319,16 +325,16 @@
 	mustApply(t, read, apply("z", revision.FleetScope, 2, "{}"))
 	one, err := s.Checksum()
 	if other, otherErr := read.Checksum(); err != nil || otherErr != nil || one != other || one == before {
-		t.Errorf("%s (%v) and %s (%v), before %s", one, err, other, otherErr, before)
+		t.Errorf("checksums %s (%v) and %s (%v), %s before the command", one, err, other, otherErr, before)
 	}
 }
 
-// sealed gives a snapshot's body a right header.
+// withHeader prepends a valid header to a snapshot body.
 func withHeader(body string) []byte {
 	return fmt.Appendf(nil, "{\"format\":%d,\"checksum\":%q}\n%s", SnapshotFormatVersion, revision.Checksum([]byte(body)), body)
 }
 
-func TestBadSnapshotsAreRefused(t *testing.T) {
+func TestInvalidSnapshotsAreRefused(t *testing.T) {
 	whole, err := stateWithAllOutcomes(t).Marshal()
 	if err != nil {
 		t.Fatal(err)
@@ -339,26 +345,26 @@
 	empty := revision.Checksum(revision.EmptyDocument)
 	second := entry(2, "held", "{}", empty)
 	for name, text := range map[string][]byte{
-		"nothing":         nil,
-		"no body":         []byte(`{"format":1}`),
-		"cut":             whole[:len(whole)-5],
-		"a bit":           slices.Concat(whole[:len(whole)-9], []byte{whole[len(whole)-9] ^ 1}, whole[len(whole)-8:]),
-		"another format":  []byte("{\"format\":99}\n{}"),
-		"no JSON":         withHeader("{"),
-		"out of order":    withHeader(`{"newest":2,"entries":[` + second + "," + entry(1, "held", "{}", empty) + `]}`),
-		"beyond newest":   withHeader(`{"newest":1,"entries":[` + second + `]}`),
-		"unknown stage":   withHeader(`{"newest":2,"entries":[` + entry(2, "lost", "{}", empty) + `]}`),
-		"wrong checksum":  withHeader(`{"newest":2,"entries":[` + entry(2, "held", `{"a":1}`, empty) + `]}`),
-		"no document":     withHeader(`{"newest":2,"entries":[` + entry(2, "held", `null`, empty) + `]}`),
-		"endless":         withHeader(`{"newest":18446744073709551615}`),
-		"null entry":      withHeader(`{"newest":2,"entries":[null]}`),
-		"outcome twice":   withHeader(`{"outcomes":[{"id":"a"},{"id":"a"}]}`),
-		"outcome unknown": withHeader(`{"outcomes":[{"id":"a","kind":"odd"}]}`),
-		"outcome empty":   withHeader(`{"outcomes":[{"id":"a","kind":"stage"}]}`),
+		"empty":                  nil,
+		"no body":                []byte(`{"format":1}`),
+		"truncated":              whole[:len(whole)-5],
+		"a flipped bit":          slices.Concat(whole[:len(whole)-9], []byte{whole[len(whole)-9] ^ 1}, whole[len(whole)-8:]),
+		"unknown format version": []byte("{\"format\":99}\n{}"),
+		"invalid JSON":           withHeader("{"),
+		"out of order":           withHeader(`{"newest":2,"entries":[` + second + "," + entry(1, "held", "{}", empty) + `]}`),
+		"number above newest":    withHeader(`{"newest":1,"entries":[` + second + `]}`),
+		"unknown stage":          withHeader(`{"newest":2,"entries":[` + entry(2, "lost", "{}", empty) + `]}`),
+		"wrong checksum":         withHeader(`{"newest":2,"entries":[` + entry(2, "held", `{"a":1}`, empty) + `]}`),
+		"no document":            withHeader(`{"newest":2,"entries":[` + entry(2, "held", `null`, empty) + `]}`),
+		"number too high":        withHeader(`{"newest":18446744073709551615}`),
+		"null entry":             withHeader(`{"newest":2,"entries":[null]}`),
+		"duplicate outcome":      withHeader(`{"outcomes":[{"id":"a"},{"id":"a"}]}`),
+		"unknown error kind":     withHeader(`{"outcomes":[{"id":"a","kind":"odd"}]}`),
+		"missing error":          withHeader(`{"outcomes":[{"id":"a","kind":"stage"}]}`),
 	} {
-		bad := new(SnapshotError)
-		if _, err := UnmarshalState(text); !errors.As(err, &bad) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
+		invalid := new(SnapshotError)
+		if _, err := UnmarshalState(text); !errors.As(err, &invalid) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
 }
