--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -84,7 +84,7 @@
 	}
 	switch {
 	case variants != 1:
-		return &InvalidCommandError{Reason: fmt.Sprintf("%d of apply, release and hold are set, exactly one is required", variants)}
+		return &InvalidCommandError{Reason: fmt.Sprintf("%d of apply, release and hold are set, not one", variants)}
 	case c.Apply != nil:
 		return c.Apply.check()
 	case c.Hold != nil:
@@ -115,7 +115,7 @@
 	}
 	for _, name := range a.Canaries {
 		if _, err := revision.ParseScope(string(revision.ProxyKind) + ":" + name); err != nil {
-			return &InvalidCommandError{Reason: fmt.Sprintf("canary %q is not a valid proxy name", name)}
+			return &InvalidCommandError{Reason: fmt.Sprintf("canary %q is no proxy's name", name)}
 		}
 	}
 	return nil
