--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -29,7 +29,7 @@
 		if w.LineReceived(now + 0.01); w.Lost {
 			t.Error("still lost after a line was received")
 		}
-		if wait, changed := w.ConnectionLost(now+0.1, "the response ended", 1); wait != want || !changed {
+		if wait, changed := w.ConnectionLost(now+0.1, "the answer ended", 1); wait != want || !changed {
 			t.Errorf("wait number %d is %v, new %t", i+1, wait, changed)
 		}
 		now += 2
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("snapshot of another process: %v %v", s, err)
 	}
 	var mismatch *FleetMismatchError
-	if _, err := Load(dir, "mill", "n/1"); !errors.As(err, &mismatch) || !strings.Contains(err.Error(), `"shop", not to "mill"`) {
+	if _, err := Load(dir, "mill", "n/1"); !errors.As(err, &mismatch) || !strings.Contains(err.Error(), `"shop", not of "mill"`) {
 		t.Errorf("a folder of another fleet: %v", err)
 	}
 }
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -91,7 +91,7 @@
 type FleetMismatchError struct{ Folder, Fleet, WantFleet string }
 
 func (f *FleetMismatchError) Error() string {
-	return fmt.Sprintf("state: folder %s belongs to fleet %q, not to %q", f.Folder, f.Fleet, f.WantFleet)
+	return fmt.Sprintf("state: the folder %s is that of fleet %q, not of %q", f.Folder, f.Fleet, f.WantFleet)
 }
 
 // Write replaces a file atomically and syncs the folder. After an error the new file may be in place all the same.
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -35,8 +35,8 @@
 )
 
 var (
-	errSilent        = errors.New("no heartbeat")
-	errResponseEnded = errors.New("the response ended")
+	errSilent        = errors.New("silent")
+	errResponseEnded = errors.New("the answer ended")
 	errNotReading    = errors.New("the server reads too slowly")
 )
 
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -257,7 +257,7 @@
 		responseHead + "7d0\r\n{\"x\":\"" + strings.Repeat("y", 2000-8) + "\"}" + "\r\n": "JSON object too long",
 		responseHead + "ffffffffffffff\r\n":                                              "malformed chunk size",
 		"HTTP/1.1 200 OK\r\nContent-Length: 9999999999999999\r\n\r\n":                    "malformed or repeated Content-Length",
-		responseHead + "2\r\n{}\r\n0\r\n\r\n":                                            "the response ended",
+		responseHead + "2\r\n{}\r\n0\r\n\r\n":                                            "the answer ended",
 	} {
 		s := serve(t, "127.0.0.1:0", func(c net.Conn, _ *http.Request) { io.WriteString(c, answer) })
 		w := newRecorder()
