--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -13,23 +13,26 @@
 	"sandpass/internal/controlapi"
 )
 
-// silent never answers a request; noQuorum says that there is no leader.
-func silent(_ http.ResponseWriter, r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // the server sees that a client has gone only past the body
+// neverAnswer reads a request and sends no response until the client disconnects.
+func neverAnswer(_ http.ResponseWriter, r *http.Request) {
+	_, _ = io.Copy(io.Discard, r.Body) // the server notices a disconnect only after the body has been read
 	<-r.Context().Done()
 }
 
+// noQuorum responds that no leader is known.
 func noQuorum(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	_, _ = w.Write([]byte(`{"kind":"no_quorum","error":"no leader is known"}`))
 }
 
-func TestTheErrorThatSaysMostIsTold(t *testing.T) {
-	quiet := httptest.NewServer(http.HandlerFunc(silent))
-	defer quiet.Close()
-	alone := httptest.NewServer(http.HandlerFunc(noQuorum))
-	defer alone.Close()
-	client, err := New([]string{strings.TrimPrefix(alone.URL, "http://"), strings.TrimPrefix(quiet.URL, "http://")})
+// If replicas fail in different ways, the client must return the error that tells the operator most, whichever replica
+// failed last.
+func TestMostSpecificErrorIsReturned(t *testing.T) {
+	silentReplica := httptest.NewServer(http.HandlerFunc(neverAnswer))
+	defer silentReplica.Close()
+	leaderless := httptest.NewServer(http.HandlerFunc(noQuorum))
+	defer leaderless.Close()
+	client, err := New([]string{strings.TrimPrefix(leaderless.URL, "http://"), strings.TrimPrefix(silentReplica.URL, "http://")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,11 +41,11 @@
 		call func(ctx context.Context) error
 		want controlapi.Kind
 	}{
-		{"a read of one that answers and one that does not", func(ctx context.Context) error {
+		{"read from one replica that answers and one that does not", func(ctx context.Context) error {
 			_, err := client.Status(ctx, 0, false)
 			return err
 		}, controlapi.KindNoQuorum},
-		{"a change that one may have taken", func(ctx context.Context) error {
+		{"change that one replica may have accepted", func(ctx context.Context) error {
 			_, err := client.Apply(ctx, controlapi.ApplyRequest{})
 			return err
 		}, controlapi.KindUnknown},
@@ -50,9 +53,9 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		err := c.call(ctx)
 		cancel()
-		var answered *controlapi.Error
-		if !errors.As(err, &answered) || answered.Kind != c.want {
-			t.Errorf("%s: %v, wanted %s", c.name, err, c.want)
+		var apiErr *controlapi.Error
+		if !errors.As(err, &apiErr) || apiErr.Kind != c.want {
+			t.Errorf("%s: got error %v, want kind %s", c.name, err, c.want)
 		}
 	}
 }
