--- a/cmd/sandpass-control/client.go
+++ b/cmd/sandpass-control/client.go
@@ -19,24 +19,26 @@
 )
 
 const (
-	waitPause    = 100 * time.Millisecond // between two looks at who is missing
-	documentMost = revision.MaxDocumentBytes + 1
+	statusPollInterval = 100 * time.Millisecond // between two status requests of --wait
+	maxDocumentRead    = revision.MaxDocumentBytes + 1
 )
 
-// change is what apply and rollback have in common.
-type change struct {
+// changeOptions holds the flags shared by apply and rollback.
+type changeOptions struct {
 	author, reason string
 	atOnce, wait   bool
 }
 
-func (c *change) flags(command *cobra.Command) {
-	command.Flags().StringVar(&c.author, "author", os.Getenv("USER"), "who asks for it")
-	command.Flags().StringVar(&c.reason, "reason", "", "why, in one line (needed)")
-	command.Flags().BoolVar(&c.atOnce, "at-once", false, "send it to all proxies without a trial on few, for emergencies")
-	command.Flags().BoolVar(&c.wait, "wait", false, "end when it is in force at all connected proxies that it concerns")
+// addFlags defines the flags on a command.
+func (c *changeOptions) addFlags(command *cobra.Command) {
+	command.Flags().StringVar(&c.author, "author", os.Getenv("USER"), "author of the change")
+	command.Flags().StringVar(&c.reason, "reason", "", "reason for the change, in one line (required)")
+	command.Flags().BoolVar(&c.atOnce, "at-once", false, "send the change to all proxies at once, without canaries; for emergencies")
+	command.Flags().BoolVar(&c.wait, "wait", false, "wait until the change is in force at all connected proxies in its scope")
 }
 
-func (c *change) check() error {
+// validate reports a missing reason or author.
+func (c *changeOptions) validate() error {
 	if c.reason == "" {
 		return usageError("--reason is missing")
 	}
@@ -46,7 +48,7 @@
 	return nil
 }
 
-// readDocument reads a file, - for the standard input, in canonical form.
+// readDocument reads a document from a file, or from input if path is "-", and returns it in canonical form.
 func readDocument(path string, input io.Reader) (revision.Document, error) {
 	if path != "-" {
 		file, err := os.Open(path)
@@ -56,7 +58,7 @@
 		defer file.Close()
 		input = file
 	}
-	text, err := io.ReadAll(io.LimitReader(input, documentMost))
+	text, err := io.ReadAll(io.LimitReader(input, maxDocumentRead))
 	if err != nil {
 		return nil, err
 	}
@@ -67,6 +69,7 @@
 	return document, nil
 }
 
+// parseScope parses the value of --scope.
 func parseScope(text string) (revision.Scope, error) {
 	if text == "" {
 		return revision.Scope{}, usageError("--scope is missing: fleet, region:NAME, zone:NAME, service:NAME or proxy:NAME")
@@ -78,26 +81,28 @@
 	return scope, nil
 }
 
+// applyCommand returns the command that applies a file to a scope.
 func applyCommand(options *controlOptions) *cobra.Command {
-	var made change
+	var change changeOptions
 	var scope string
 	var base int64
-	command := &cobra.Command{Use: "apply FILE", Short: "Make a file a scope's configuration", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{Use: "apply FILE", Short: "Set a scope's configuration from a file", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			request, err := applyRequest(args[0], cmd.InOrStdin(), scope, made)
+			request, err := newApplyRequest(args[0], cmd.InOrStdin(), scope, change)
 			if err != nil {
 				return err
 			}
-			return submit(cmd, options, request, made.wait, base)
+			return submit(cmd, options, request, change.wait, base)
 		}}
-	made.flags(command)
-	command.Flags().StringVar(&scope, "scope", "", "the proxies that it is for (needed)")
-	command.Flags().Int64Var(&base, "base", -1, "the scope's revision that it was made from; by default the newest")
+	change.addFlags(command)
+	command.Flags().StringVar(&scope, "scope", "", "scope that the configuration applies to (required)")
+	command.Flags().Int64Var(&base, "base", -1, "the scope's revision that the file is based on (default: the newest)")
 	return command
 }
 
-func applyRequest(path string, input io.Reader, scope string, made change) (request controlapi.ApplyRequest, err error) {
-	if err := made.check(); err != nil {
+// newApplyRequest builds the request to apply the file at path, without its base revision.
+func newApplyRequest(path string, input io.Reader, scope string, change changeOptions) (request controlapi.ApplyRequest, err error) {
+	if err := change.validate(); err != nil {
 		return request, err
 	}
 	if request.Scope, err = parseScope(scope); err != nil {
@@ -107,30 +112,31 @@
 		return request, err
 	}
 	request.ID = controlclient.NewID()
-	request.Author, request.Reason, request.AtOnce = made.author, made.reason, made.atOnce
+	request.Author, request.Reason, request.AtOnce = change.author, change.reason, change.atOnce
 	return request, nil
 }
 
+// rollbackCommand returns the command that restores a revision's document.
 func rollbackCommand(options *controlOptions) *cobra.Command {
-	var made change
-	command := &cobra.Command{Use: "rollback REVISION", Short: "Bring back a revision's document as a new revision of its scope",
+	var change changeOptions
+	command := &cobra.Command{Use: "rollback REVISION", Short: "Restore a revision's document as a new revision of its scope",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.ParseUint(args[0], 10, 63)
 			if err != nil || number == 0 {
-				return usageError("%q is not the number of a revision", args[0])
+				return usageError("%q is not a revision number", args[0])
 			}
-			if err := made.check(); err != nil {
+			if err := change.validate(); err != nil {
 				return err
 			}
-			return rollback(cmd, options, revision.Number(number), made)
+			return rollback(cmd, options, revision.Number(number), change)
 		}}
-	made.flags(command)
+	change.addFlags(command)
 	return command
 }
 
-// rollback finds the revision's scope and submits it anew on top of the scope's newest revision.
-func rollback(cmd *cobra.Command, options *controlOptions, number revision.Number, made change) error {
+// rollback looks up the revision's scope in the history and submits a rollback based on the scope's newest revision.
+func rollback(cmd *cobra.Command, options *controlOptions, number revision.Number, change changeOptions) error {
 	client, err := options.client()
 	if err != nil {
 		return err
@@ -139,19 +145,19 @@
 	defer cancel()
 	history, err := client.History(ctx, nil, 0)
 	if err != nil {
-		return outOfReach(err)
+		return withNoQuorumCode(err)
 	}
 	for _, entry := range history.Revisions {
 		if entry.Number == number {
-			request := controlapi.ApplyRequest{ID: controlclient.NewID(), Scope: entry.Scope, Author: made.author,
-				Reason: made.reason, AtOnce: made.atOnce, RollbackOf: number}
-			return submit(cmd, options, request, made.wait, -1)
+			request := controlapi.ApplyRequest{ID: controlclient.NewID(), Scope: entry.Scope, Author: change.author,
+				Reason: change.reason, AtOnce: change.atOnce, RollbackOf: number}
+			return submit(cmd, options, request, change.wait, -1)
 		}
 	}
 	return usageError("revision %d is not in the history", number)
 }
 
-// submit asks for a change and waits until it is in force, if wanted. A base below 0 is the scope's newest revision.
+// submit sends a change and, with wait, waits until it is in force. A base below 0 means the scope's newest revision.
 func submit(cmd *cobra.Command, options *controlOptions, request controlapi.ApplyRequest, wait bool, base int64) error {
 	client, err := options.client()
 	if err != nil {
@@ -162,7 +168,7 @@
 	if base < 0 {
 		newest, err := client.ShowScope(ctx, request.Scope)
 		if err != nil {
-			return outOfReach(err)
+			return withNoQuorumCode(err)
 		}
 		base = int64(newest.Number)
 	}
@@ -170,7 +176,7 @@
 	accepted, err := client.Apply(ctx, request)
 	if err != nil {
 		printConflict(cmd.ErrOrStderr(), err)
-		return outOfReach(err)
+		return withNoQuorumCode(err)
 	}
 	if err := printApplied(cmd.OutOrStdout(), options.json, accepted, request.Base); err != nil || !wait {
 		return err
@@ -178,18 +184,18 @@
 	return awaitInForce(ctx, cmd.ErrOrStderr(), client, accepted.Number)
 }
 
-// outOfReach gives the exit code for "no replica can be reached" to errors that no replica gave.
-func outOfReach(err error) error {
-	var answered *controlapi.Error
+// withNoQuorumCode gives exitNoQuorum to an error that has no exit code and was not returned by a replica.
+func withNoQuorumCode(err error) error {
+	var apiErr *controlapi.Error
 	var coded *codedError
-	if errors.As(err, &answered) || errors.As(err, &coded) {
+	if errors.As(err, &apiErr) || errors.As(err, &coded) {
 		return err
 	}
 	return &codedError{exitNoQuorum, fmt.Errorf("no replica answers: %w", err)}
 }
 
-// awaitInForce ends when a revision is in force at all connected proxies that it concerns, when it is held, or when the
-// context ends.
+// awaitInForce waits until a revision is in force at all connected proxies in its scope. It returns an error when the
+// revision is held or the context ends first.
 func awaitInForce(ctx context.Context, progress io.Writer, client *controlclient.Client, number revision.Number) error {
 	line := newProgressLine(progress)
 	defer line.end()
@@ -199,8 +205,8 @@
 		if err == nil {
 			last = status
 			line.show("revision %d in force at %d of %d proxies", number, status.Summary.InForce, status.Summary.Targeted)
-			if asked := status.Requested; asked != nil && asked.HeldBy != "" {
-				return &codedError{exitRefused, heldError(number, asked)}
+			if requested := status.Requested; requested != nil && requested.HeldBy != "" {
+				return &codedError{exitRefused, heldError(number, requested)}
 			}
 			if status.Requested != nil && len(status.Summary.Lagging) == 0 {
 				return nil
@@ -208,34 +214,35 @@
 		}
 		select {
 		case <-ctx.Done():
-			return waitedInVain(number, last)
-		case <-time.After(waitPause):
+			return notInForceError(number, last)
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
 
-// heldError says who refused a revision.
+// heldError returns the error for a held revision, which names the proxy that refused it.
 func heldError(number revision.Number, held *control.Entry) error {
-	return fmt.Errorf("revision %d is held: proxy %s refuses it: %s", number, held.HeldBy, held.HeldReason)
+	return fmt.Errorf("revision %d is held: proxy %s refused it: %s", number, held.HeldBy, held.HeldReason)
 }
 
-// waitedInVain says who is missing.
-func waitedInVain(number revision.Number, status controlapi.StatusResponse) error {
-	const named = 5
+// notInForceError returns the error of a wait that timed out. It names the first few proxies that lack the revision.
+func notInForceError(number revision.Number, status controlapi.StatusResponse) error {
+	const maxNamed = 5
 	text := fmt.Sprintf("revision %d is accepted, but not in force everywhere:", number)
 	if status.Requested == nil {
-		text += " its state could not be read"
+		text += " its status could not be read"
 	}
 	for i, lag := range status.Summary.Lagging {
-		if i == named {
-			text += fmt.Sprintf(" and %d more", len(status.Summary.Lagging)-named)
+		if i == maxNamed {
+			text += fmt.Sprintf(" and %d more", len(status.Summary.Lagging)-maxNamed)
 			break
 		}
 		text += fmt.Sprintf(" %s (at %d)", lag.Proxy, lag.InForce)
 	}
-	return &codedError{exitWaiting, errors.New(text)}
+	return &codedError{exitNotInForce, errors.New(text)}
 }
 
+// diffCommand returns the command that compares a file with a scope's newest document.
 func diffCommand(options *controlOptions) *cobra.Command {
 	var scope string
 	command := &cobra.Command{Use: "diff FILE", Short: "Show what a file would change in a scope", Args: cobra.ExactArgs(1),
@@ -248,14 +255,15 @@
 			if err != nil {
 				return err
 			}
-			return ask(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.DiffResponse, error) {
+			return runRead(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.DiffResponse, error) {
 				return client.Diff(ctx, controlapi.DiffRequest{Scope: parsed, Document: document})
 			}, printDiff)
 		}}
-	command.Flags().StringVar(&scope, "scope", "", "the scope that it is compared with (needed)")
+	command.Flags().StringVar(&scope, "scope", "", "scope to compare the file with (required)")
 	return command
 }
 
+// historyCommand returns the command that lists revisions.
 func historyCommand(options *controlOptions) *cobra.Command {
 	var scope string
 	var limit int
@@ -269,26 +277,27 @@
 				}
 				wanted = &parsed
 			}
-			return ask(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.HistoryResponse, error) {
+			return runRead(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.HistoryResponse, error) {
 				return client.History(ctx, wanted, limit)
 			}, printHistory)
 		}}
-	command.Flags().StringVar(&scope, "scope", "", "only this scope's")
-	command.Flags().IntVar(&limit, "limit", 20, "at most so many, 0: all that are kept")
+	command.Flags().StringVar(&scope, "scope", "", "list only revisions of this scope")
+	command.Flags().IntVar(&limit, "limit", 20, "largest number of revisions to list; 0 lists all that are stored")
 	return command
 }
 
+// showCommand returns the command that shows a document.
 func showCommand(options *controlOptions) *cobra.Command {
 	var scope string
 	var proxy revision.Identity
 	var origins bool
-	command := &cobra.Command{Use: "show", Short: "Show a scope's document, or a proxy's merged one", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "show", Short: "Show a scope's document, or the document merged for a proxy", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if (scope == "") == (proxy.Proxy == "") {
-				return usageError("give either --scope or --proxy")
+				return usageError("exactly one of --scope and --proxy is required")
 			}
 			if proxy.Proxy != "" {
-				return ask(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.ShowResponse, error) {
+				return runRead(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.ShowResponse, error) {
 					return client.ShowProxy(ctx, proxy)
 				}, func(out io.Writer, response controlapi.ShowResponse) error { return printShow(out, response, origins) })
 			}
@@ -296,7 +305,7 @@
 			if err != nil {
 				return err
 			}
-			return ask(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.ShowResponse, error) {
+			return runRead(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.ShowResponse, error) {
 				return client.ShowScope(ctx, parsed)
 			}, func(out io.Writer, response controlapi.ShowResponse) error { return printShow(out, response, false) })
 		}}
@@ -306,15 +315,16 @@
 	flags.StringVar(&proxy.Region, "region", "", "the proxy's region")
 	flags.StringVar(&proxy.Zone, "zone", "", "the proxy's zone")
 	flags.StringVar(&proxy.Service, "service", "", "the proxy's service")
-	flags.BoolVar(&origins, "origins", false, "with --proxy: say for each value which scope and revision it comes from")
+	flags.BoolVar(&origins, "origins", false, "with --proxy: show the scope and revision of each value")
 	return command
 }
 
+// statusCommand returns the command that shows the state of the fleet.
 func statusCommand(options *controlOptions) *cobra.Command {
 	var proxies bool
-	command := &cobra.Command{Use: "status", Short: "Show how far the fleet is and how the replicas stand", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "status", Short: "Show the fleet's rollout progress and the state of the replicas", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return ask(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.StatusResponse, error) {
+			return runRead(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.StatusResponse, error) {
 				return client.Status(ctx, 0, proxies)
 			}, printStatus)
 		}}
@@ -322,8 +332,8 @@
 	return command
 }
 
-// ask reads something and prints it, as a table or as JSON.
-func ask[T any](cmd *cobra.Command, options *controlOptions, question func(context.Context, *controlclient.Client) (T, error),
+// runRead sends a read with the given function and prints the response, as text or as JSON.
+func runRead[T any](cmd *cobra.Command, options *controlOptions, read func(context.Context, *controlclient.Client) (T, error),
 	print func(io.Writer, T) error) error {
 	client, err := options.client()
 	if err != nil {
@@ -331,9 +341,9 @@
 	}
 	ctx, cancel := context.WithTimeout(cmd.Context(), options.timeout)
 	defer cancel()
-	response, err := question(ctx, client)
+	response, err := read(ctx, client)
 	if err != nil {
-		return outOfReach(err)
+		return withNoQuorumCode(err)
 	}
 	if options.json {
 		return printJSON(cmd.OutOrStdout(), response)
@@ -341,6 +351,7 @@
 	return print(cmd.OutOrStdout(), response)
 }
 
+// printJSON writes a value as indented JSON.
 func printJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/cmd/sandpass-control/main.go
+++ b/cmd/sandpass-control/main.go
@@ -1,5 +1,5 @@
-// Command sandpass-control keeps the configuration of a fleet of proxies: it runs a control replica, and it is the
-// operators' command line. `sandpass control` runs it. This file owns the command tree and the exit codes.
+// Command sandpass-control manages the configuration of a fleet of proxies: it runs a control replica, and it is the
+// operators' command line. `sandpass control` runs it. This file defines the command tree and the exit codes.
 package main
 
 import (
@@ -21,30 +21,34 @@
 
 // Exit codes of the control commands.
 const (
-	exitDone     = 0
-	exitError    = 1
-	exitUsage    = 2
-	exitConflict = 3
-	exitRefused  = 4
-	exitNoQuorum = 5
-	exitWaiting  = 6
+	exitOK         = 0
+	exitError      = 1
+	exitUsage      = 2
+	exitConflict   = 3
+	exitRefused    = 4
+	exitNoQuorum   = 5
+	exitNotInForce = 6
 )
 
-const controlHelp = `Configuration of a fleet of proxies, kept by control replicas.
+const controlHelp = `Manage the configuration of a fleet of proxies, which control replicas store.
 
-Exit codes: 0 done; 1 another error; 2 usage or bad input; 3 conflict with another operator's change;
+Exit codes: 0 success; 1 other error; 2 usage error or invalid input; 3 conflict with another operator's change;
 4 refused by the check, or held because a proxy refused it; 5 no quorum, or no replica can be reached;
-6 with --wait: accepted, but not in force everywhere in time.`
+6 with --wait: accepted, but not in force at all proxies within the timeout.`
 
-// codedError is an error with the exit code that it ends the process with.
+// codedError is an error with the exit code of the process.
 type codedError struct {
 	code  int
 	cause error
 }
 
+// Error returns the message of the wrapped error.
 func (e *codedError) Error() string { return e.cause.Error() }
+
+// Unwrap returns the wrapped error.
 func (e *codedError) Unwrap() error { return e.cause }
 
+// usageError formats an error with the exit code for usage.
 func usageError(format string, args ...any) error {
 	return &codedError{exitUsage, fmt.Errorf(format, args...)}
 }
@@ -57,17 +61,17 @@
 	}
 }
 
-// exitCode gives the process's exit code for an error.
+// exitCode returns the exit code of the process for an error.
 func exitCode(err error) int {
 	var coded *codedError
 	if errors.As(err, &coded) {
 		return coded.code
 	}
-	var answered *controlapi.Error
-	if !errors.As(err, &answered) {
+	var apiErr *controlapi.Error
+	if !errors.As(err, &apiErr) {
 		return exitError
 	}
-	switch answered.Kind {
+	switch apiErr.Kind {
 	case controlapi.KindConflict:
 		return exitConflict
 	case controlapi.KindRefused:
@@ -88,6 +92,7 @@
 	timeout  time.Duration
 }
 
+// client returns a client of the replicas given by the flags.
 func (o *controlOptions) client() (*controlclient.Client, error) {
 	client, err := controlclient.New(strings.Split(o.replicas, ","))
 	if err != nil {
@@ -97,7 +102,7 @@
 	return client, nil
 }
 
-// controlCommand is `sandpass control` with all below it.
+// controlCommand returns `sandpass control` with all its subcommands.
 func controlCommand() *cobra.Command {
 	options := &controlOptions{}
 	control := &cobra.Command{Use: "sandpass-control", Args: cobra.ArbitraryArgs,
@@ -106,16 +111,16 @@
 		SilenceUsage: true, SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return usageError("%q is no control command; see sandpass control --help", args[0])
+				return usageError("unknown control command %q; see sandpass control --help", args[0])
 			}
 			return cmd.Help()
 		}}
 	control.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &codedError{exitUsage, err} })
 	flags := control.PersistentFlags()
-	flags.StringVar(&options.replicas, "replicas", os.Getenv("SANDPASS_CONTROL"), "addresses of the replicas, asked in this order")
-	flags.BoolVar(&options.json, "json", false, "print JSON for scripts")
-	flags.BoolVar(&options.stale, "stale", false, "read what one replica knows, also without a quorum; it may be old")
-	flags.DurationVar(&options.timeout, "timeout", 10*time.Second, "how long to try, and to wait with --wait")
+	flags.StringVar(&options.replicas, "replicas", os.Getenv("SANDPASS_CONTROL"), "addresses of the replicas, tried in this order")
+	flags.BoolVar(&options.json, "json", false, "print JSON instead of text")
+	flags.BoolVar(&options.stale, "stale", false, "read one replica's local state without a quorum; it may be out of date")
+	flags.DurationVar(&options.timeout, "timeout", 10*time.Second, "time limit of the command, including --wait")
 	control.AddCommand(controlServeCommand(), applyCommand(options), diffCommand(options), historyCommand(options),
 		showCommand(options), rollbackCommand(options), statusCommand(options))
 	for _, command := range control.Commands() {
@@ -124,7 +129,7 @@
 	return control
 }
 
-// usageArgs gives errors in the number of arguments the exit code for usage.
+// usageArgs wraps an argument check so that its errors have the exit code for usage.
 func usageArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := check(cmd, args); err != nil {
@@ -134,18 +139,19 @@
 	}
 }
 
+// controlServeCommand returns the command that runs a replica.
 func controlServeCommand() *cobra.Command {
 	var path string
 	command := &cobra.Command{Use: "serve", Short: "Run a control replica", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return serveControl(path) }}
-	command.Flags().StringVar(&path, "config", "", "the replica's file, TOML")
+	command.Flags().StringVar(&path, "config", "", "the replica's configuration file, TOML (required)")
 	return command
 }
 
-// serveControl runs a replica until SIGTERM, SIGINT or an error that it can't go on with.
+// serveControl runs a replica until SIGTERM, SIGINT or a fatal error.
 func serveControl(path string) error {
 	if path == "" {
-		return usageError("no configuration: give --config")
+		return usageError("--config is missing")
 	}
 	config, err := controlserver.ReadConfig(path)
 	if err != nil {
@@ -155,11 +161,11 @@
 	if err != nil {
 		return err
 	}
-	ends := make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
-		<-ends
-		signal.Reset(syscall.SIGINT) // a second Ctrl-C ends it at once
+		<-signals
+		signal.Reset(syscall.SIGINT) // a second Ctrl-C kills the process
 		server.Stop()
 	}()
 	return server.Run()
--- a/cmd/sandpass-control/main_test.go
+++ b/cmd/sandpass-control/main_test.go
@@ -19,7 +19,7 @@
 	"sandpass/internal/revision"
 )
 
-// startReplica starts a fleet's only control replica, and gives its address.
+// startReplica starts the only control replica of a fleet and returns its address.
 func startReplica(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -54,6 +54,7 @@
 	return address
 }
 
+// writeFile writes a file into a temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -63,61 +64,63 @@
 	return path
 }
 
-// runCommand runs a control command.
+// runCommand runs a control command and returns its exit code, output and error text.
 func runCommand(t *testing.T, args ...string) (code int, out, problem string) {
 	t.Helper()
 	command := controlCommand()
-	var output, complaint bytes.Buffer
-	command.SetOut(&output)
-	command.SetErr(&complaint)
+	var stdout, stderr bytes.Buffer
+	command.SetOut(&stdout)
+	command.SetErr(&stderr)
 	command.SetArgs(args)
 	command.SilenceErrors, command.SilenceUsage = true, true
 	if err := command.ExecuteContext(context.Background()); err != nil {
-		return exitCode(err), output.String(), complaint.String() + err.Error()
+		return exitCode(err), stdout.String(), stderr.String() + err.Error()
 	}
-	return exitDone, output.String(), complaint.String()
+	return exitOK, stdout.String(), stderr.String()
 }
 
-// mustControl runs a command whose exit code and words are known.
-func mustControl(t *testing.T, code int, words string, args ...string) string {
+// expectCommand runs a command and checks its exit code and a text that it must print.
+func expectCommand(t *testing.T, code int, want string, args ...string) string {
 	t.Helper()
 	got, out, problem := runCommand(t, args...)
-	if got != code || !strings.Contains(out+problem, words) {
-		t.Errorf("%q: %d, %s%s; wanted %d and %q", args, got, out, problem, code, words)
+	if got != code || !strings.Contains(out+problem, want) {
+		t.Errorf("%q: got exit code %d and %s%s; want %d and %q", args, got, out, problem, code, want)
 	}
 	return out
 }
 
-func TestAnOperatorsWay(t *testing.T) {
+// All client commands must work against a running replica, with the documented exit codes.
+func TestCommandsAgainstReplica(t *testing.T) {
 	address := startReplica(t)
 	more := writeFile(t, "more.json", `{"settings":{"overage_utility":0.2}}`)
 	less := writeFile(t, "less.json", `{"settings":{"overage_utility":0.05}}`)
 	wrong := writeFile(t, "wrong.json", `{"settings":{"tick_ms":"soon"}}`)
 	malformed := writeFile(t, "malformed.json", "{\n \"settings\": }")
 	at := "--replicas=" + address
-	mustControl(t, exitDone, "revision 1 accepted for fleet, made from revision 0", "apply", more, at, "--scope=fleet",
+	expectCommand(t, exitOK, "revision 1 accepted for fleet, made from revision 0", "apply", more, at, "--scope=fleet",
 		"--reason=more", "--author=anna")
-	mustControl(t, exitDone, "0.05", "diff", less, at, "--scope=fleet")
-	mustControl(t, exitDone, "would be refused", "diff", wrong, at, "--scope=fleet")
-	mustControl(t, exitConflict, "anna", "apply", less, at, "--scope=fleet", "--reason=less", "--author=bert", "--base=0")
-	mustControl(t, exitRefused, "fleet", "apply", wrong, at, "--scope=fleet", "--reason=wrong", "--author=bert")
-	mustControl(t, exitUsage, "line 2, column", "apply", malformed, at, "--scope=fleet", "--reason=wrong", "--author=bert")
-	mustControl(t, exitDone, "revision 2 accepted for zone:eu-1", "apply", less, at, "--scope=zone:eu-1",
+	expectCommand(t, exitOK, "0.05", "diff", less, at, "--scope=fleet")
+	expectCommand(t, exitOK, "would be refused", "diff", wrong, at, "--scope=fleet")
+	expectCommand(t, exitConflict, "anna", "apply", less, at, "--scope=fleet", "--reason=less", "--author=bert", "--base=0")
+	expectCommand(t, exitRefused, "fleet", "apply", wrong, at, "--scope=fleet", "--reason=wrong", "--author=bert")
+	expectCommand(t, exitUsage, "line 2, column", "apply", malformed, at, "--scope=fleet", "--reason=wrong", "--author=bert")
+	expectCommand(t, exitOK, "revision 2 accepted for zone:eu-1", "apply", less, at, "--scope=zone:eu-1",
 		"--reason=less", "--author=bert", "--wait")
-	mustControl(t, exitDone, "settings.overage_utility", "show", at, "--proxy=p1", "--zone=eu-1", "--origins")
-	mustControl(t, exitDone, "revision 1", "show", at, "--scope=fleet")
-	mustControl(t, exitDone, "revision 3 accepted for zone:eu-1", "rollback", "2", at, "--reason=back", "--author=bert")
-	mustControl(t, exitDone, "rollback to 2", "history", at, "--scope=zone:eu-1")
-	mustControl(t, exitUsage, "not in the history", "rollback", "77", at, "--reason=back", "--author=bert")
-	mustControl(t, exitDone, "newest revision 3", "status", at)
+	expectCommand(t, exitOK, "settings.overage_utility", "show", at, "--proxy=p1", "--zone=eu-1", "--origins")
+	expectCommand(t, exitOK, "revision 1", "show", at, "--scope=fleet")
+	expectCommand(t, exitOK, "revision 3 accepted for zone:eu-1", "rollback", "2", at, "--reason=back", "--author=bert")
+	expectCommand(t, exitOK, "rollback to 2", "history", at, "--scope=zone:eu-1")
+	expectCommand(t, exitUsage, "not in the history", "rollback", "77", at, "--reason=back", "--author=bert")
+	expectCommand(t, exitOK, "newest revision 3", "status", at)
 	var status controlapi.StatusResponse
-	text := mustControl(t, exitDone, "{", "status", at, "--json")
+	text := expectCommand(t, exitOK, "{", "status", at, "--json")
 	if err := json.Unmarshal([]byte(text), &status); err != nil || status.Leader != "c1" {
-		t.Errorf("%+v, %v", status, err)
+		t.Errorf("status --json: got %+v, error %v; want leader c1", status, err)
 	}
 }
 
-func TestUsageMistakesHaveTheirExitCode(t *testing.T) {
+// Usage errors must end with exit code 2 and an error of one line.
+func TestUsageErrorsExitWithUsageCode(t *testing.T) {
 	file := writeFile(t, "some.json", "{}")
 	at := "--replicas=127.0.0.1:1"
 	for _, args := range [][]string{
@@ -128,22 +131,24 @@
 		{"rollback", "first", at, "--reason=r", "--author=a"}, {"status", "--replicas="}, {"serve"}, {"serve", "--config=" + file},
 	} {
 		if code, _, problem := runCommand(t, args...); code != exitUsage || problem == "" || strings.Contains(problem, "\n") {
-			t.Errorf("%q: %d, %q", args, code, problem)
+			t.Errorf("%q: got exit code %d and error %q; want code 2 and an error of one line", args, code, problem)
 		}
 	}
 }
 
-func TestNobodyAnswers(t *testing.T) {
+// If no replica can be reached, reads and changes must end with exit code 5.
+func TestUnreachableReplicasExitWithNoQuorumCode(t *testing.T) {
 	file := writeFile(t, "some.json", "{}")
-	mustControl(t, exitNoQuorum, "no replica answers", "status", "--replicas=127.0.0.1:1", "--timeout=300ms")
-	mustControl(t, exitNoQuorum, "no replica answers", "apply", file, "--replicas=127.0.0.1:1", "--timeout=300ms",
+	expectCommand(t, exitNoQuorum, "no replica answers", "status", "--replicas=127.0.0.1:1", "--timeout=300ms")
+	expectCommand(t, exitNoQuorum, "no replica answers", "apply", file, "--replicas=127.0.0.1:1", "--timeout=300ms",
 		"--scope=fleet", "--reason=r", "--author=a", "--base=0")
 }
 
-func TestWaitingInVainNamesWhoIsMissing(t *testing.T) {
+// If a connected proxy never reports the revision, --wait must give up at its timeout and name the proxy.
+func TestWaitTimeoutNamesMissingProxies(t *testing.T) {
 	address := startReplica(t)
 	at := "--replicas=" + address
-	mustControl(t, exitDone, "newest revision 0", "status", at)
+	expectCommand(t, exitOK, "newest revision 0", "status", at)
 	body, out := io.Pipe()
 	defer out.Close()
 	go json.NewEncoder(out).Encode(revision.Hello{Protocol: 1, Identity: revision.Identity{Fleet: "shop", Proxy: "mute"}})
@@ -153,10 +158,10 @@
 	}
 	defer answer.Body.Close()
 	file := writeFile(t, "some.json", `{"settings":{"overage_utility":0.2}}`)
-	begin := time.Now()
-	mustControl(t, exitWaiting, "mute (at 0)", "apply", file, at, "--scope=fleet", "--reason=r",
+	start := time.Now()
+	expectCommand(t, exitNotInForce, "mute (at 0)", "apply", file, at, "--scope=fleet", "--reason=r",
 		"--author=a", "--wait", "--timeout=2s")
-	if took := time.Since(begin); took > 4*time.Second {
-		t.Errorf("it took %v", took)
+	if took := time.Since(start); took > 4*time.Second {
+		t.Errorf("--wait with a timeout of 2s took %v, want at most 4s", took)
 	}
 }
