--- a/cmd/sandpass-control/client.go
+++ b/cmd/sandpass-control/client.go
@@ -101,7 +101,8 @@
 }
 
 // newApplyRequest builds the request to apply the file at path, without its base revision.
-func newApplyRequest(path string, input io.Reader, scope string, change changeOptions) (request controlapi.ApplyRequest, err error) {
+func newApplyRequest(path string, input io.Reader, scope string, change changeOptions) (
+	request controlapi.ApplyRequest, err error) {
 	if err := change.validate(); err != nil {
 		return request, err
 	}
@@ -322,7 +323,7 @@
 // statusCommand returns the command that shows the state of the fleet.
 func statusCommand(options *controlOptions) *cobra.Command {
 	var proxies bool
-	command := &cobra.Command{Use: "status", Short: "Show the fleet's rollout progress and the state of the replicas", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "status", Short: "Show rollout progress and the state of the replicas", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runRead(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.StatusResponse, error) {
 				return client.Status(ctx, 0, proxies)
--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -29,7 +29,7 @@
 // Kinds of errors.
 const (
 	KindConflict   Kind = "conflict"    // the scope has revisions newer than the base; nothing was changed
-	KindRefused    Kind = "refused"     // the configuration is invalid, or the canary guard holds it; nothing was changed
+	KindRefused    Kind = "refused"     // the configuration is invalid, or the canary controller holds it; nothing was changed
 	KindNoQuorum   Kind = "no_quorum"   // no leader can be reached; nothing was changed
 	KindBadRequest Kind = "bad_request" // the request is malformed; nothing was changed
 	KindNotFound   Kind = "not_found"   // the revision or scope does not exist
--- a/internal/controlserver/apply.go
+++ b/internal/controlserver/apply.go
@@ -17,40 +17,40 @@
 )
 
 const (
-	forwardPath = "/replica/forward"
-	applyTime   = 4 * time.Second // for a command to be committed; then its outcome is not known
-	forwardTime = 5 * time.Second // for the leader to answer a follower, longer than applyTime
-	waitersMost = 256             // commands that wait for their outcome at a time
+	forwardPath        = "/replica/forward"
+	applyTimeout       = 4 * time.Second // for a command to be committed; after that its outcome is unknown
+	forwardTimeout     = 5 * time.Second // for the leader to answer a follower; longer than applyTimeout
+	maxPendingCommands = 256             // commands whose outcome is awaited at the same time
 )
 
 var (
-	errUndecided = errors.New("whether it was accepted is not known: the leader changed meanwhile; repeat it with the same ID")
-	errLate      = errors.New("whether it was accepted is not known: no quorum answered in time; repeat it with the same ID")
+	errUndecided     = errors.New("unknown whether the change was accepted: the leader changed; repeat it with the same ID")
+	errCommitTimeout = errors.New("unknown whether the change was accepted: no quorum answered in time; repeat it with the same ID")
 )
 
-// serveApply takes a change from an operator and passes it to the leader.
+// serveApply handles a change from an operator. A follower forwards it to the leader.
 func (s *Server) serveApply(w http.ResponseWriter, r *http.Request) {
-	serveChange(w, r, s.route)
+	serveChange(w, r, s.applyOrForward)
 }
 
-// serveForward takes a change that a follower passes on. It is not passed on again.
+// serveForward handles a change that a follower forwarded. It is not forwarded again.
 func (s *Server) serveForward(w http.ResponseWriter, r *http.Request) {
-	if s.sender(w, r) != nil {
+	if s.senderLink(w, r) != nil {
 		serveChange(w, r, s.apply)
 	}
 }
 
-// serveChange reads and checks a change and answers with what carryOut makes of it.
+// serveChange reads and validates a change, executes it and writes the response.
 func serveChange(w http.ResponseWriter, r *http.Request,
-	carryOut func(context.Context, controlapi.ApplyRequest) (controlapi.ApplyResponse, error)) {
+	execute func(context.Context, controlapi.ApplyRequest) (controlapi.ApplyResponse, error)) {
 	var request controlapi.ApplyRequest
 	err := readBody(w, r, &request)
 	if err == nil {
-		err = checkRequest(&request)
+		err = validateRequest(&request)
 	}
 	var response controlapi.ApplyResponse
 	if err == nil {
-		response, err = carryOut(r.Context(), request)
+		response, err = execute(r.Context(), request)
 	}
 	if err != nil {
 		writeError(w, err)
@@ -59,40 +59,41 @@
 	writeJSON(w, response)
 }
 
-// route carries out a change here or at the leader.
-func (s *Server) route(ctx context.Context, request controlapi.ApplyRequest) (response controlapi.ApplyResponse, err error) {
+// applyOrForward executes a change if this replica leads, and forwards it to the leader otherwise.
+func (s *Server) applyOrForward(ctx context.Context, request controlapi.ApplyRequest) (
+	response controlapi.ApplyResponse, err error) {
 	leader, self := s.leader()
 	if self {
 		return s.apply(ctx, request)
 	}
 	if leader.Name == "" {
-		return response, noQuorum("no leader is known to %s: it is cut off, or too few replicas run", s.config.Name)
+		return response, noQuorum("%s knows no leader: it is disconnected, or too few replicas are running", s.config.Name)
 	}
-	ctx, cancel := context.WithTimeout(ctx, forwardTime)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	err = s.postPeer(ctx, leader, forwardPath, request, &response)
-	var answered *controlapi.Error
-	var network *net.OpError
+	var apiErr *controlapi.Error
+	var opErr *net.OpError
 	switch {
-	case err == nil || errors.As(err, &answered):
+	case err == nil || errors.As(err, &apiErr):
 		return response, err
-	case errors.As(err, &network) && network.Op == "dial":
-		return response, noQuorum("the leader %s can't be reached from %s", leader.Name, s.config.Name)
+	case errors.As(err, &opErr) && opErr.Op == "dial":
+		return response, noQuorum("the leader %s cannot be reached from %s", leader.Name, s.config.Name)
 	}
-	return response, &controlapi.Error{Kind: controlapi.KindUnknown, ID: request.ID, Message: errLate.Error()}
+	return response, &controlapi.Error{Kind: controlapi.KindUnknown, ID: request.ID, Message: errCommitTimeout.Error()}
 }
 
-// checkRequest finds what is wrong with a change by itself; its document becomes canonical.
-func checkRequest(request *controlapi.ApplyRequest) error {
+// validateRequest checks a change by itself, without the replicated state, and makes its document canonical.
+func validateRequest(request *controlapi.ApplyRequest) error {
 	if request.ID == "" || len(request.ID) > control.MaxCommandIDBytes {
-		return badRequest(fmt.Errorf("id: 1 to %d bytes", control.MaxCommandIDBytes))
+		return badRequest(fmt.Errorf("id: must have 1 to %d bytes", control.MaxCommandIDBytes))
 	}
 	for _, field := range []struct {
 		key, value string
-		most       int
+		maxBytes   int
 	}{{"author", request.Author, control.MaxAuthorBytes}, {"reason", request.Reason, control.MaxReasonBytes}} {
-		if field.value == "" || len(field.value) > field.most || strings.ContainsFunc(field.value, unicode.IsControl) {
-			return badRequest(fmt.Errorf("%s: one line of 1 to %d bytes", field.key, field.most))
+		if field.value == "" || len(field.value) > field.maxBytes || strings.ContainsFunc(field.value, unicode.IsControl) {
+			return badRequest(fmt.Errorf("%s: must be one line of 1 to %d bytes", field.key, field.maxBytes))
 		}
 	}
 	if _, err := revision.ParseScope(request.Scope.String()); err != nil {
@@ -110,13 +111,13 @@
 	return nil
 }
 
-// apply carries out a change on the leader: it is checked, committed and its outcome awaited.
+// apply executes a change on the leader: it checks and proposes the change and waits for its outcome.
 func (s *Server) apply(ctx context.Context, request controlapi.ApplyRequest) (response controlapi.ApplyResponse, err error) {
 	command := control.Command{ID: request.ID, Apply: &control.ApplyCommand{Scope: request.Scope, Base: request.Base,
 		Document: request.Document, Author: request.Author, Reason: request.Reason, Time: time.Now().UTC(),
 		AtOnce: request.AtOnce, RollbackOf: request.RollbackOf}}
-	if before, known := s.outcome(request.ID); known {
-		return answerOf(request, before)
+	if previous, known := s.outcome(request.ID); known {
+		return applyResult(request, previous)
 	}
 	if err := s.checkApply(*command.Apply); err != nil {
 		return response, apiError(err, request.ID)
@@ -125,99 +126,102 @@
 	if err != nil {
 		return response, apiError(err, request.ID)
 	}
-	s.rouse()
-	late := time.NewTimer(applyTime)
-	defer late.Stop()
+	s.wakeDriver()
+	timeout := time.NewTimer(applyTimeout)
+	defer timeout.Stop()
 	var result control.Outcome
 	select {
 	case result = <-outcome:
-	case <-late.C:
-		result.Err = errLate
+	case <-timeout.C:
+		result.Err = errCommitTimeout
 	case <-ctx.Done():
-		result.Err = errLate
+		result.Err = errCommitTimeout
 	}
 	if result.Err != nil {
-		s.forgetOutcome(request.ID, outcome)
+		s.removeOutcomeWaiter(request.ID, outcome)
 	}
-	return answerOf(request, result)
+	return applyResult(request, result)
 }
 
-// outcome looks whether a change was carried out before.
+// outcome returns the outcome of the change with the ID, if the change was executed before.
 func (s *Server) outcome(id string) (control.Outcome, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.node.State().Outcome(id)
 }
 
-func answerOf(request controlapi.ApplyRequest, outcome control.Outcome) (controlapi.ApplyResponse, error) {
+// applyResult converts the outcome of a change to a response or an API error.
+func applyResult(request controlapi.ApplyRequest, outcome control.Outcome) (controlapi.ApplyResponse, error) {
 	if outcome.Err != nil {
 		return controlapi.ApplyResponse{}, apiError(outcome.Err, request.ID)
 	}
 	return controlapi.ApplyResponse{ID: request.ID, Number: outcome.Number, Scope: request.Scope}, nil
 }
 
-// propose puts a change into the log and gives the channel of its outcome.
+// propose proposes a change for the replicated log and returns the channel that its outcome is sent to.
 func (s *Server) propose(command control.Command) (chan control.Outcome, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.outcomes[command.ID] != nil {
-		return nil, errUndecided // the same command is under way: its submitter asks again
+	if s.outcomeWaiters[command.ID] != nil {
+		return nil, errUndecided // the same command is pending; the client repeats the request
 	}
-	if len(s.outcomes) >= waitersMost {
+	if len(s.outcomeWaiters) >= maxPendingCommands {
 		return nil, control.ErrDropped
 	}
 	if !command.Apply.AtOnce {
-		command.Apply.Canaries = s.guard.SelectCanaries(s.view.ConnectedIdentities(), command.Apply.Scope)
+		command.Apply.Canaries = s.canaryController.SelectCanaries(s.view.ConnectedIdentities(), command.Apply.Scope)
 	}
 	if err := s.node.Propose(command); err != nil {
 		return nil, err
 	}
 	outcome := make(chan control.Outcome, 1)
-	s.outcomes[command.ID] = outcome
+	s.outcomeWaiters[command.ID] = outcome
 	return outcome, nil
 }
 
-// forgetOutcome gives up waiting.
-func (s *Server) forgetOutcome(id string, outcome chan control.Outcome) {
+// removeOutcomeWaiter stops waiting for the outcome of a command.
+func (s *Server) removeOutcomeWaiter(id string, outcome chan control.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.outcomes[id] == outcome {
-		delete(s.outcomes, id)
+	if s.outcomeWaiters[id] == outcome {
+		delete(s.outcomeWaiters, id)
 	}
 }
 
+// noQuorum formats an error for a request that needs a quorum or a leader.
 func noQuorum(format string, args ...any) *controlapi.Error {
 	return &controlapi.Error{Kind: controlapi.KindNoQuorum, Message: fmt.Sprintf(format, args...)}
 }
 
+// badRequest converts an error to one for a malformed request, in one line.
 func badRequest(err error) *controlapi.Error {
 	return &controlapi.Error{Kind: controlapi.KindBadRequest, Message: strings.Join(strings.Fields(err.Error()), " ")}
 }
 
-// apiError says to an operator what became of the command with the ID.
+// apiError converts the error of the command with the ID to the error that the operator gets.
 func apiError(err error, id string) *controlapi.Error {
-	answer := &controlapi.Error{Kind: controlapi.KindRefused, Message: strings.Join(strings.Fields(err.Error()), " ")}
+	apiErr := &controlapi.Error{Kind: controlapi.KindRefused, Message: strings.Join(strings.Fields(err.Error()), " ")}
 	var conflict *control.ConflictError
 	var unknown *control.UnknownRevisionError
-	var bad *control.InvalidCommandError
+	var invalid *control.InvalidCommandError
 	switch {
-	case errors.As(err, &answer):
+	case errors.As(err, &apiErr):
 	case errors.As(err, &conflict):
-		answer.Kind, answer.Changed = controlapi.KindConflict, conflict.Changes
+		apiErr.Kind, apiErr.Changed = controlapi.KindConflict, conflict.Changes
 	case errors.As(err, &unknown):
-		answer.Kind = controlapi.KindNotFound
-	case errors.As(err, &bad):
-		answer.Kind = controlapi.KindBadRequest
-	case errors.Is(err, errUndecided), errors.Is(err, errLate):
-		answer.Kind, answer.ID = controlapi.KindUnknown, id
+		apiErr.Kind = controlapi.KindNotFound
+	case errors.As(err, &invalid):
+		apiErr.Kind = controlapi.KindBadRequest
+	case errors.Is(err, errUndecided), errors.Is(err, errCommitTimeout):
+		apiErr.Kind, apiErr.ID = controlapi.KindUnknown, id
 	case errors.Is(err, control.ErrNotLeader), errors.Is(err, control.ErrDropped):
-		answer.Kind = controlapi.KindNoQuorum
+		apiErr.Kind = controlapi.KindNoQuorum
 	}
-	return answer
+	return apiErr
 }
 
-// statusOf gives the HTTP status of each kind of error.
-var statusOf = map[controlapi.Kind]int{
+// httpStatusByKind maps each kind of error to its HTTP status.
+var httpStatusByKind = map[controlapi.Kind]int{
 	controlapi.KindConflict:   http.StatusConflict,
 	controlapi.KindRefused:    http.StatusUnprocessableEntity,
 	controlapi.KindNoQuorum:   http.StatusServiceUnavailable,
@@ -226,26 +230,27 @@
 	controlapi.KindUnknown:    http.StatusGatewayTimeout,
 }
 
-// readBody decodes a request's body, whose size is bounded.
-func readBody(w http.ResponseWriter, r *http.Request, into any) error {
+// readBody decodes a request's body, which may have at most controlapi.MaxBodyBytes.
+func readBody(w http.ResponseWriter, r *http.Request, target any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, controlapi.MaxBodyBytes))
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return badRequest(fmt.Errorf("body: %w", err))
 	}
 	return nil
 }
 
-// writeError answers with an error's kind and message.
+// writeError writes an error response with the error's kind and message.
 func writeError(w http.ResponseWriter, err error) {
-	var answer *controlapi.Error
-	if !errors.As(err, &answer) {
-		answer = apiError(err, "")
+	var apiErr *controlapi.Error
+	if !errors.As(err, &apiErr) {
+		apiErr = apiError(err, "")
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(statusOf[answer.Kind])
-	json.NewEncoder(w).Encode(answer)
+	w.WriteHeader(httpStatusByKind[apiErr.Kind])
+	json.NewEncoder(w).Encode(apiErr)
 }
 
+// writeJSON writes a value as the response.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(value)
--- a/internal/controlserver/boltstorage.go
+++ b/internal/controlserver/boltstorage.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	storageFile     = "replica.db"
-	storageLockWait = time.Second // for another process to let go of the file
-	folderMode      = 0o755
-	fileMode        = 0o600
-	indexBytes      = 8 // of an entry's key
+	storageFileName    = "replica.db"
+	storageLockTimeout = time.Second // for another process to release the file lock
+	folderMode         = 0o755
+	fileMode           = 0o600
+	entryKeyBytes      = 8 // size of an entry's key
 )
 
 var (
@@ -33,13 +33,13 @@
 	snapshotKey   = []byte("snapshot")
 )
 
-// BoltStorage is a Storage in one bbolt file, whose transactions are synced when they end.
+// BoltStorage is a Storage in one bbolt file. Each transaction is synced to disk when it is committed.
 type BoltStorage struct {
 	db *bbolt.DB
 }
 
-// OpenStorage opens the file in a folder, or makes it. One that belongs to another fleet or replica is refused, and so is
-// a damaged one; the file is left as it is then.
+// OpenStorage opens the storage file in a folder, or creates it. A file that is damaged, or belongs to another fleet or
+// replica, is an error and stays unchanged.
 func OpenStorage(folder, fleet, name string) (storage *BoltStorage, err error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, err
@@ -47,23 +47,24 @@
 	if err := markJoining(folder); err != nil {
 		return nil, err
 	}
-	path := filepath.Join(folder, storageFile)
-	defer nameDamage(path, &err)
-	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: storageLockWait})
+	path := filepath.Join(folder, storageFileName)
+	defer wrapStorageError(path, &err)
+	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: storageLockTimeout})
 	if err != nil {
 		return nil, err
 	}
-	if err := prepareStorage(db, path, fmt.Sprintf("fleet %s, replica %s", fleet, name)); err != nil {
+	if err := initStorage(db, path, fmt.Sprintf("fleet %s, replica %s", fleet, name)); err != nil {
 		db.Close()
 		return nil, err
 	}
 	return &BoltStorage{db}, nil
 }
 
-// nameDamage turns an error, or the fault of reading past a torn file's end, into an error that names the file.
-func nameDamage(path string, err *error) {
-	if fault := recover(); fault != nil {
-		*err = fmt.Errorf("it is damaged: %v", fault)
+// wrapStorageError adds the file name to an error. It also recovers from the memory fault of reading past the end of a
+// truncated file and returns it as an error.
+func wrapStorageError(path string, err *error) {
+	if recovered := recover(); recovered != nil {
+		*err = fmt.Errorf("the file is damaged: %v", recovered)
 	}
 	if *err != nil {
 		*err = fmt.Errorf("%s: %w", path, *err)
@@ -71,8 +72,8 @@
 	debug.SetPanicOnFault(false)
 }
 
-// prepareStorage checks a file's structure and owner; a new one gets them.
-func prepareStorage(db *bbolt.DB, path, owner string) error {
+// initStorage checks the structure and the owner of a file. A new file gets its buckets and its owner record.
+func initStorage(db *bbolt.DB, path, owner string) error {
 	debug.SetPanicOnFault(true)
 	if err := checkStructure(db, path); err != nil {
 		return err
@@ -87,20 +88,20 @@
 		}
 		record := meta.Get(ownerKey)
 		if record == nil {
-			return meta.Put(ownerKey, sealRecord(ownerKey, []byte(owner)))
+			return meta.Put(ownerKey, encodeRecord(ownerKey, []byte(owner)))
 		}
-		found, err := openRecord(ownerKey, record)
+		found, err := decodeRecord(ownerKey, record)
 		if err != nil {
 			return fmt.Errorf("record %q: %w", ownerKey, err)
 		}
 		if string(found) != owner {
-			return fmt.Errorf("it belongs to %q, not to %s", found, owner)
+			return fmt.Errorf("the file belongs to %q, not to %s", found, owner)
 		}
 		return nil
 	})
 }
 
-// checkStructure finds a file that was cut off or whose pages do not fit each other.
+// checkStructure detects a truncated file and pages that are inconsistent with each other.
 func checkStructure(db *bbolt.DB, path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -108,39 +109,39 @@
 	}
 	return db.View(func(tx *bbolt.Tx) error {
 		if info.Size() < tx.Size() {
-			return fmt.Errorf("it is damaged: %d bytes, %d are expected", info.Size(), tx.Size())
+			return fmt.Errorf("the file is damaged: it has %d bytes, expected %d", info.Size(), tx.Size())
 		}
 		var first error
 		for err := range tx.Check() {
 			if first == nil {
-				first = fmt.Errorf("it is damaged: %w", err)
+				first = fmt.Errorf("the file is damaged: %w", err)
 			}
 		}
 		return first
 	})
 }
 
-// Load reads all records and checks each.
+// Load reads all records and verifies the checksum of each.
 func (s *BoltStorage) Load() (saved control.PersistedState, err error) {
 	debug.SetPanicOnFault(true)
-	defer nameDamage(s.db.Path(), &err)
+	defer wrapStorageError(s.db.Path(), &err)
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		if record := meta.Get(hardStateKey); record != nil {
 			saved.HardState = &raftpb.HardState{}
-			if err := openMessage(hardStateKey, record, saved.HardState); err != nil {
+			if err := decodeMessage(hardStateKey, record, saved.HardState); err != nil {
 				return err
 			}
 		}
 		if record := meta.Get(snapshotKey); record != nil {
 			saved.Snapshot = &raftpb.Snapshot{}
-			if err := openMessage(snapshotKey, record, saved.Snapshot); err != nil {
+			if err := decodeMessage(snapshotKey, record, saved.Snapshot); err != nil {
 				return err
 			}
 		}
 		return tx.Bucket(entriesBucket).ForEach(func(key, record []byte) error {
 			entry := &raftpb.Entry{}
-			if err := openMessage(key, record, entry); err != nil {
+			if err := decodeMessage(key, record, entry); err != nil {
 				return err
 			}
 			saved.Entries = append(saved.Entries, entry)
@@ -148,27 +149,27 @@
 		})
 	})
 	if err == nil {
-		err = checkPersisted(saved)
+		err = checkEntryIndexes(saved)
 	}
 	return saved, err
 }
 
-// checkPersisted finds a gap between records that are whole. The core checks how they follow from the snapshot.
-func checkPersisted(saved control.PersistedState) error {
+// checkEntryIndexes detects gaps between intact entries. The consensus core checks that they follow the snapshot.
+func checkEntryIndexes(saved control.PersistedState) error {
 	for i := 1; i < len(saved.Entries); i++ {
-		if before, index := saved.Entries[i-1].GetIndex(), saved.Entries[i].GetIndex(); index != before+1 {
-			return fmt.Errorf("it is damaged: entry %d follows entry %d", index, before)
+		if previous, index := saved.Entries[i-1].GetIndex(), saved.Entries[i].GetIndex(); index != previous+1 {
+			return fmt.Errorf("the file is damaged: entry %d follows entry %d", index, previous)
 		}
 	}
 	return nil
 }
 
-// Save writes a work's records in one synced transaction.
+// Save writes the records of work in one synced transaction.
 func (s *BoltStorage) Save(work control.Work) (err error) {
 	if work.Snapshot == nil && work.Compaction == nil && work.HardState == nil && len(work.Entries) == 0 {
 		return nil
 	}
-	defer nameDamage(s.db.Path(), &err)
+	defer wrapStorageError(s.db.Path(), &err)
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
 		if work.Snapshot != nil {
@@ -190,29 +191,29 @@
 	})
 }
 
-// putMessage writes one record.
+// putMessage writes one message as a record.
 func putMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
-	record, err := sealMessage(key, message)
+	record, err := encodeMessage(key, message)
 	if err != nil {
 		return err
 	}
 	return bucket.Put(key, record)
 }
 
-// saveSnapshot writes a snapshot and deletes the entries below an index.
-func saveSnapshot(meta, entries *bbolt.Bucket, snapshot *raftpb.Snapshot, firstKept uint64) error {
+// saveSnapshot writes a snapshot and deletes the entries below firstRetained.
+func saveSnapshot(meta, entries *bbolt.Bucket, snapshot *raftpb.Snapshot, firstRetained uint64) error {
 	if err := putMessage(meta, snapshotKey, snapshot); err != nil {
 		return err
 	}
-	return dropBelow(entries, firstKept)
+	return deleteEntriesBelow(entries, firstRetained)
 }
 
-// saveEntries writes entries in the place of all from the first one's index on.
+// saveEntries writes entries. They replace all stored entries from the index of the first one on.
 func saveEntries(bucket *bbolt.Bucket, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
-	if err := dropFrom(bucket, entries[0].GetIndex()); err != nil {
+	if err := deleteEntriesFrom(bucket, entries[0].GetIndex()); err != nil {
 		return err
 	}
 	for _, entry := range entries {
@@ -223,14 +224,15 @@
 	return nil
 }
 
+// entryKey returns the key of an entry: its index in big endian, so that keys sort by index.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// dropBelow deletes the entries below an index.
-func dropBelow(entries *bbolt.Bucket, index uint64) error {
+// deleteEntriesBelow deletes the entries below an index.
+func deleteEntriesBelow(entries *bbolt.Bucket, index uint64) error {
 	cursor := entries.Cursor()
 	for key, _ := cursor.First(); key != nil; key, _ = cursor.First() {
-		if len(key) != indexBytes {
-			return errors.New("an entry's key is damaged")
+		if len(key) != entryKeyBytes {
+			return errors.New("the key of an entry is damaged")
 		}
 		if binary.BigEndian.Uint64(key) >= index {
 			return nil
@@ -242,8 +244,8 @@
 	return nil
 }
 
-// dropFrom deletes entries from an index on.
-func dropFrom(entries *bbolt.Bucket, index uint64) error {
+// deleteEntriesFrom deletes the entries from an index on.
+func deleteEntriesFrom(entries *bbolt.Bucket, index uint64) error {
 	cursor := entries.Cursor()
 	for key, _ := cursor.Seek(entryKey(index)); key != nil; key, _ = cursor.Seek(entryKey(index)) {
 		if err := cursor.Delete(); err != nil {
@@ -253,5 +255,5 @@
 	return nil
 }
 
-// Close lets go of the file.
+// Close closes the file.
 func (s *BoltStorage) Close() error { return s.db.Close() }
--- a/internal/controlserver/check.go
+++ b/internal/controlserver/check.go
@@ -11,13 +11,15 @@
 	"sandpass/internal/revision"
 )
 
-// placeholder is laid under the documents where no check_base is named: what each proxy's own file says.
-const placeholder = `{"name":"check","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
+// defaultCheckBase is the base configuration for checks if check_base is not set. It has the values that each proxy's own
+// file must set.
+const defaultCheckBase = `{"name":"check","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 	"limits":{"memory_mb":192,"sockets":1024},"settings":{"me":0,"siblings":1,"tier":0,"zone":0}}`
 
-// newChecker makes `sandpass check` over a base configuration; path may be empty.
+// newChecker returns a checker that does what `sandpass check` does, with documents merged into the base configuration at
+// path. An empty path stands for defaultCheckBase.
 func newChecker(path string) (control.ConfigChecker, error) {
-	text := []byte(placeholder)
+	text := []byte(defaultCheckBase)
 	if path != "" {
 		var err error
 		if text, err = os.ReadFile(path); err != nil {
@@ -28,7 +30,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("check_base: %s: %w", path, err)
 	}
-	check := func(effective revision.Document) error { return checkOver(base, effective) }
+	check := func(effective revision.Document) error { return checkMerged(base, effective) }
 	if path != "" {
 		if err := check(revision.EmptyDocument); err != nil {
 			return nil, fmt.Errorf("check_base: %s: %w", path, err)
@@ -37,8 +39,8 @@
 	return check, nil
 }
 
-// checkOver says whether a proxy whose own file is base would take the configuration.
-func checkOver(base, effective revision.Document) error {
+// checkMerged returns an error if a proxy whose own file is base would refuse the configuration.
+func checkMerged(base, effective revision.Document) error {
 	if err := checkKeys(effective); err != nil {
 		return err
 	}
@@ -53,7 +55,7 @@
 	return proxy.Check(launch)
 }
 
-// checkKeys refuses keys that a proxy takes over at its start only.
+// checkKeys refuses keys that a proxy reads only when it starts.
 func checkKeys(effective revision.Document) error {
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(effective, &keys); err != nil {
@@ -63,68 +65,69 @@
 		switch key {
 		case "settings", "peers", "discovery":
 		default:
-			return fmt.Errorf("%s: needs a start of the proxy; settings, peers and discovery can be set", key)
+			return fmt.Errorf("%s: can only be changed by restarting the proxy; settings, peers and discovery can be set", key)
 		}
 	}
 	return nil
 }
 
-// checkApply checks a change for all connected proxies. The lock is held only while documents are merged, not while they
-// are checked.
+// checkApply checks a change against the configurations of all connected proxies. The server's lock is held only while
+// documents are merged, not while they are checked.
 func (s *Server) checkApply(apply control.ApplyCommand) error {
-	found := &foundDocuments{results: map[string]error{}}
-	if err := s.mergeAll(apply, found.collect); err != nil {
+	documents := &distinctDocuments{results: map[string]error{}}
+	if err := s.forEachMergedDocument(apply, documents.collect); err != nil {
 		return err
 	}
-	found.check(s.check)
-	return s.mergeAll(apply, func(effective revision.Document) error {
-		result, checked := found.results[revision.Checksum(effective)]
-		if !checked { // somebody else's change came between
+	documents.check(s.check)
+	return s.forEachMergedDocument(apply, func(effective revision.Document) error {
+		result, checked := documents.results[revision.Checksum(effective)]
+		if !checked { // another change was made between the two merges
 			return s.check(effective)
 		}
 		return result
 	})
 }
 
-// mergeAll passes each merged document that the change gives to the checker.
-func (s *Server) mergeAll(apply control.ApplyCommand, check control.ConfigChecker) error {
+// forEachMergedDocument calls check with each merged document that results from the change.
+func (s *Server) forEachMergedDocument(apply control.ApplyCommand, check control.ConfigChecker) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.node.State().CheckApply(apply, s.view.ConnectedIdentities(), check)
 }
 
-// foundDocuments are the distinct documents that a change gives.
-type foundDocuments struct {
+// distinctDocuments collects the distinct merged documents that result from a change, and the result of checking each.
+type distinctDocuments struct {
 	documents []revision.Document
 	results   map[string]error // by checksum
 }
 
-func (f *foundDocuments) collect(effective revision.Document) error {
+// collect adds a document unless it is known.
+func (d *distinctDocuments) collect(effective revision.Document) error {
 	sum := revision.Checksum(effective)
-	if _, known := f.results[sum]; !known {
-		f.results[sum] = nil
-		f.documents = append(f.documents, effective)
+	if _, known := d.results[sum]; !known {
+		d.results[sum] = nil
+		d.documents = append(d.documents, effective)
 	}
 	return nil
 }
 
-// checkersMost is how many documents are checked at the same time.
-const checkersMost = 4
+// maxParallelChecks is the number of documents that are checked at the same time.
+const maxParallelChecks = 4
 
-// check fills in the results.
-func (f *foundDocuments) check(check control.ConfigChecker) {
-	var done sync.WaitGroup
+// check checks all documents and stores the results.
+func (d *distinctDocuments) check(check control.ConfigChecker) {
+	var checks sync.WaitGroup
 	var mu sync.Mutex
-	places := make(chan struct{}, checkersMost)
-	for _, document := range f.documents {
-		places <- struct{}{}
-		done.Go(func() {
+	slots := make(chan struct{}, maxParallelChecks)
+	for _, document := range d.documents {
+		slots <- struct{}{}
+		checks.Go(func() {
 			err := check(document)
-			<-places
+			<-slots
 			mu.Lock()
 			defer mu.Unlock()
-			f.results[revision.Checksum(document)] = err
+			d.results[revision.Checksum(document)] = err
 		})
 	}
-	done.Wait()
+	checks.Wait()
 }
--- a/internal/controlserver/cluster_test.go
+++ b/internal/controlserver/cluster_test.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	electTime  = 10 * time.Second // for a cluster to start
-	spreadTime = 3 * time.Second  // for a change, or for a healed cut, to reach all proxies
-	lookPause  = 20 * time.Millisecond
+	electionTimeout    = 10 * time.Second // for a cluster to start
+	propagationTimeout = 3 * time.Second  // for a change, or for a healed cut, to reach all proxies
+	pollInterval       = 20 * time.Millisecond
 )
 
 // await looks until a condition holds; it is told why it does not yet.
-func await(t *testing.T, within time.Duration, what string, holds func() (string, bool)) time.Duration {
+func await(t *testing.T, timeout time.Duration, what string, condition func() (string, bool)) time.Duration {
 	t.Helper()
-	begin := time.Now()
+	start := time.Now()
 	for {
-		why, ok := holds()
-		took := time.Since(begin)
+		why, ok := condition()
+		took := time.Since(start)
 		if ok {
 			return took
 		}
-		if took > within {
-			t.Fatalf("%s: not within %v: %s", what, within, why)
+		if took > timeout {
+			t.Fatalf("%s: not within %v: %s", what, timeout, why)
 		}
-		time.Sleep(lookPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-func operatorOf(t *testing.T, replicas ...string) *controlclient.Client {
+func newClient(t *testing.T, replicas ...string) *controlclient.Client {
 	t.Helper()
 	client, err := controlclient.New(replicas)
 	if err != nil {
@@ -48,7 +48,7 @@
 func (c *cluster) awaitLeader(client *controlclient.Client) int {
 	c.t.Helper()
 	leader := -1
-	await(c.t, electTime, "a leader", func() (string, bool) {
+	await(c.t, electionTimeout, "a leader", func() (string, bool) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		status, err := client.Status(ctx, 0, false)
@@ -66,7 +66,7 @@
 }
 
 // utility is a configuration that a test can tell from others.
-func utility(n int) revision.Document {
+func testDocument(n int) revision.Document {
 	return revision.Document(fmt.Sprintf(`{"settings":{"overage_utility":0.%06d}}`, n+1))
 }
 
@@ -80,32 +80,32 @@
 	return number
 }
 
-func tryApply(client *controlclient.Client, scope revision.Scope, document revision.Document, within time.Duration) (
+func tryApply(client *controlclient.Client, scope revision.Scope, document revision.Document, timeout time.Duration) (
 	revision.Number, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	newest, err := client.ShowScope(ctx, scope)
+	current, err := client.ShowScope(ctx, scope)
 	if err != nil {
 		return 0, err
 	}
-	accepted, err := client.Apply(ctx, controlapi.ApplyRequest{Scope: scope, Base: newest.Number, Document: document,
+	response, err := client.Apply(ctx, controlapi.ApplyRequest{Scope: scope, Base: current.Number, Document: document,
 		Author: "tester", Reason: "a test"})
-	return accepted.Number, err
+	return response.Number, err
 }
 
 // allAt says whether all proxies have in force what the released revisions give them.
-func allAt(client *controlclient.Client, proxies []*simProxy) func() (string, bool) {
+func allInForce(client *controlclient.Client, proxies []*simProxy) func() (string, bool) {
 	return func() (string, bool) {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		late := make(chan string, len(proxies))
+		reasons := make(chan string, len(proxies))
 		for _, proxy := range proxies {
-			go func() { late <- lateness(ctx, client, proxy) }()
+			go func() { reasons <- whyBehind(ctx, client, proxy) }()
 		}
 		why := ""
 		for range proxies {
-			if one := <-late; one != "" {
-				why = one
+			if reason := <-reasons; reason != "" {
+				why = reason
 			}
 		}
 		return why, why == ""
@@ -113,7 +113,7 @@
 }
 
 // lateness says in which way a proxy is not up to date, empty where it is.
-func lateness(ctx context.Context, client *controlclient.Client, proxy *simProxy) string {
+func whyBehind(ctx context.Context, client *controlclient.Client, proxy *simProxy) string {
 	want, err := client.ShowProxy(ctx, proxy.identity)
 	if err != nil {
 		return err.Error()
@@ -124,30 +124,30 @@
 	return ""
 }
 
-func kindOf(err error) controlapi.Kind {
-	var answered *controlapi.Error
-	if errors.As(err, &answered) {
-		return answered.Kind
+func errorKind(err error) controlapi.Kind {
+	var apiErr *controlapi.Error
+	if errors.As(err, &apiErr) {
+		return apiErr.Kind
 	}
 	return ""
 }
 
-func TestAChangeIsInForceEverywhere(t *testing.T) {
+func TestAppliedChangesReachAllProxies(t *testing.T) {
 	c := startCluster(t, 1, "")
 	c.delayRegions(0.035)
-	client := operatorOf(t, c.addresses()...)
+	client := newClient(t, c.addresses()...)
 	c.awaitLeader(client)
 	fleet := c.startProxies(24)
 	defer fleet.stop()
-	await(t, electTime, "all proxies watch", func() (string, bool) {
+	await(t, electionTimeout, "all proxies watch", func() (string, bool) {
 		status, err := client.Status(context.Background(), 0, false)
 		return fmt.Sprint(status.Summary.Targeted, err), status.Summary.Targeted == len(fleet.proxies)
 	})
 	for n := range 5 {
-		begin := time.Now()
-		number := apply(t, client, revision.FleetScope, utility(n))
-		accepted := time.Since(begin)
-		await(t, spreadTime, "in force", func() (string, bool) {
+		start := time.Now()
+		number := apply(t, client, revision.FleetScope, testDocument(n))
+		acceptedAfter := time.Since(start)
+		await(t, propagationTimeout, "in force", func() (string, bool) {
 			for _, proxy := range fleet.proxies {
 				if at, _ := proxy.state(); at < number {
 					return fmt.Sprintf("%s is at %d", proxy.identity.Proxy, at), false
@@ -155,17 +155,17 @@
 			}
 			return "", true
 		})
-		t.Logf("revision %d accepted after %v, in force after %v", number, accepted.Round(time.Millisecond),
-			time.Since(begin).Round(time.Millisecond))
+		t.Logf("revision %d accepted after %v, in force after %v", number, acceptedAfter.Round(time.Millisecond),
+			time.Since(start).Round(time.Millisecond))
 	}
 	zone := apply(t, client, revision.Scope{Kind: revision.ZoneKind, Name: "us-1"}, revision.Document(`{"settings":{"tick_ms":7}}`))
-	await(t, spreadTime, "the zone's configuration", allAt(client, fleet.proxies))
+	await(t, propagationTimeout, "the zone's configuration", allInForce(client, fleet.proxies))
 	for _, proxy := range fleet.proxies {
 		if number, _ := proxy.state(); (proxy.identity.Zone == "us-1") != (number == zone) {
 			t.Errorf("%s in %s is at %d", proxy.identity.Proxy, proxy.identity.Zone, number)
 		}
 	}
-	if faults := fleet.faults(); faults != "" {
+	if faults := fleet.violations(); faults != "" {
 		t.Error(faults)
 	}
 }
--- a/internal/controlserver/defects_test.go
+++ b/internal/controlserver/defects_test.go
@@ -14,20 +14,20 @@
 )
 
 // lostAfterPowerCut makes changes, ends all five replicas at once, starts them again and gives what the journal finds.
-func lostAfterPowerCut(t *testing.T, defect string) []string {
+func violationsAfterPowerCut(t *testing.T, defect string) []string {
 	c := startCluster(t, 5, defect)
-	client := operatorOf(t, c.addresses()...)
+	client := newClient(t, c.addresses()...)
 	c.awaitLeader(client)
-	journal := newJournal()
+	operations := newOperationLog()
 	for n := range 3 {
-		document := utility(n)
-		sum := revision.Checksum(document)
-		journal.asked(sum)
-		number, err := tryApply(client, revision.FleetScope, document, electTime)
+		document := testDocument(n)
+		checksum := revision.Checksum(document)
+		operations.recordRequest(checksum)
+		number, err := tryApply(client, revision.FleetScope, document, electionTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
-		journal.answered(number, sum, nil)
+		operations.recordResult(number, checksum, nil)
 	}
 	for i := range c.replicas {
 		c.kill(i)
@@ -40,20 +40,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	journal.compare(history)
-	return journal.faults
+	operations.compare(history)
+	return operations.violations
 }
 
-func TestAPowerCutLosesNothing(t *testing.T) {
+func TestNoRevisionLostAfterPowerCut(t *testing.T) {
 	t.Parallel()
-	if faults := lostAfterPowerCut(t, ""); len(faults) > 0 {
+	if faults := violationsAfterPowerCut(t, ""); len(faults) > 0 {
 		t.Error(faults)
 	}
 }
 
-func TestAnAcknowledgementBeforeTheSyncIsCaught(t *testing.T) {
+func TestDetectsAcknowledgementBeforeSync(t *testing.T) {
 	t.Parallel()
-	if faults := lostAfterPowerCut(t, ackBeforeSync); len(faults) == 0 {
+	if faults := violationsAfterPowerCut(t, ackBeforeSync); len(faults) == 0 {
 		t.Error("nothing was lost")
 	}
 }
@@ -61,9 +61,9 @@
 // refusedBy counts the simulated proxies that were sent a revision which all of them refuse.
 func refusedBy(t *testing.T, atOnce bool) (count int, entry control.Entry) {
 	c := startCluster(t, 6, "")
-	client := operatorOf(t, c.addresses()...)
+	client := newClient(t, c.addresses()...)
 	c.awaitLeader(client)
-	bad := utility(665999)
+	bad := testDocument(665999)
 	fleet := c.startProxies(24)
 	defer fleet.stop()
 	for _, proxy := range fleet.proxies {
@@ -74,15 +74,15 @@
 			return ""
 		})
 	}
-	await(t, electTime, "all proxies watch", allWatch(client, len(fleet.proxies)))
-	good := apply(t, client, revision.FleetScope, utility(1))
-	await(t, spreadTime, "in force", allAt(client, fleet.proxies))
-	accepted, err := client.Apply(context.Background(), controlapi.ApplyRequest{Scope: revision.FleetScope, Base: good, Document: bad,
-		Author: "tester", Reason: "a bad one", AtOnce: atOnce})
+	await(t, electionTimeout, "all proxies watch", allConnected(client, len(fleet.proxies)))
+	good := apply(t, client, revision.FleetScope, testDocument(1))
+	await(t, propagationTimeout, "in force", allInForce(client, fleet.proxies))
+	accepted, err := client.Apply(context.Background(), controlapi.ApplyRequest{Scope: revision.FleetScope, Base: good,
+		Document: bad, Author: "tester", Reason: "a bad one", AtOnce: atOnce})
 	if err != nil {
 		t.Fatal(err)
 	}
-	await(t, spreadTime, "it stops", func() (string, bool) {
+	await(t, propagationTimeout, "it stops", func() (string, bool) {
 		history, err := client.History(context.Background(), nil, 1)
 		if err != nil || len(history.Revisions) == 0 {
 			return fmt.Sprint(err), false
@@ -100,7 +100,7 @@
 }
 
 // allWatch says whether so many proxies are connected as the leader knows it.
-func allWatch(client *controlclient.Client, count int) func() (string, bool) {
+func allConnected(client *controlclient.Client, count int) func() (string, bool) {
 	return func() (string, bool) {
 		status, err := client.Status(context.Background(), 0, false)
 		return fmt.Sprint(status.Summary.Targeted, " ", err), status.Summary.Targeted == count
@@ -127,31 +127,31 @@
 }
 
 // canariesMost is the share of the 24 proxies that may be sent a revision before the first refusal holds it.
-const canariesMost = 2
+const maxCanaries = 2
 
-func TestARefusedRevisionStopsAtItsCanaries(t *testing.T) {
+func TestRefusedRevisionStopsAtCanaries(t *testing.T) {
 	t.Parallel()
 	count, entry := refusedBy(t, false)
-	if count == 0 || count > canariesMost || entry.Stage != control.StageHeld || entry.HeldReason == "" {
+	if count == 0 || count > maxCanaries || entry.Stage != control.StageHeld || entry.HeldReason == "" {
 		t.Errorf("refused by %d, %+v", count, entry)
 	}
 }
 
-func TestAGuardThatIsOffIsCaught(t *testing.T) {
+func TestDetectsDisabledCanaryGuard(t *testing.T) {
 	t.Parallel()
-	if count, _ := refusedBy(t, true); count <= canariesMost {
+	if count, _ := refusedBy(t, true); count <= maxCanaries {
 		t.Errorf("refused by %d only", count)
 	}
 }
 
-func TestACheckThatIsLeftOutIsCaught(t *testing.T) {
+func TestDetectsMissingConfigCheck(t *testing.T) {
 	t.Parallel()
 	for _, defect := range []string{"", noCheck} {
 		c := startCluster(t, 7, defect)
-		client := operatorOf(t, c.addresses()...)
+		client := newClient(t, c.addresses()...)
 		c.awaitLeader(client)
-		_, err := tryApply(client, revision.FleetScope, revision.Document(`{"settings":{"tick_ms":"soon"}}`), electTime)
-		if caught := kindOf(err) != controlapi.KindRefused; caught != (defect == noCheck) {
+		_, err := tryApply(client, revision.FleetScope, revision.Document(`{"settings":{"tick_ms":"soon"}}`), electionTimeout)
+		if accepted := errorKind(err) != controlapi.KindRefused; accepted != (defect == noCheck) {
 			t.Errorf("defect %q: %v", defect, err)
 		}
 	}
--- a/internal/controlserver/driver.go
+++ b/internal/controlserver/driver.go
@@ -8,8 +8,8 @@
 	"sandpass/internal/control"
 )
 
-// drive passes time and work to the consensus core until the end.
-func (s *Server) drive(ended <-chan struct{}) error {
+// runNode drives the consensus core with ticks and processes its output, until ended is closed.
+func (s *Server) runNode(ended <-chan struct{}) error {
 	ticker := time.NewTicker(control.TickInterval)
 	defer ticker.Stop()
 	for {
@@ -21,89 +21,92 @@
 		case <-s.wake:
 		}
 		s.proposeDue()
-		if err := s.work(); err != nil {
+		if err := s.processReady(); err != nil {
 			return err
 		}
 	}
 }
 
-// tick passes time to the core and looks whether the leader has changed.
+// tick advances the core's clock and detects whether this replica became or ceased to be the leader. On the leader it
+// records the watches of lost replicas as closed.
 func (s *Server) tick() {
-	silent := s.transport.silentReplicas()
+	goneReplicas := s.transport.goneReplicas()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.joining && !s.silent() {
+	if !s.joining && !s.yielding() {
 		s.node.Tick()
 	}
 	now := time.Now()
 	if s.node.Leader() != 0 {
-		s.led = now
+		s.leaderLastKnown = now
 	}
-	if leading := s.node.IsLeader(); leading != s.leading {
-		s.leading = leading
+	if leading := s.node.IsLeader(); leading != s.wasLeader {
+		s.wasLeader = leading
 		log.Printf("msg=control_leading leads=%t term=%d", leading, s.node.Term())
 		if leading {
-			s.guard.ResetFromFleet(s.now(), s.view)
+			s.canaryController.ResetFromFleet(s.monotonicSeconds(), s.view)
 		}
 	}
-	if s.leading {
-		for _, name := range silent {
+	if s.wasLeader {
+		for _, name := range goneReplicas {
 			s.view.RecordReplicaLost(now, name)
 		}
 	}
 	s.view.RemoveExpired(now)
 }
 
-// proposeDue proposes what follows from the proxies' reports, on the leader.
+// proposeDue proposes, on the leader, the commands that the canary controller derives from the proxies' reports.
 func (s *Server) proposeDue() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.node.IsLeader() {
 		return
 	}
-	for _, command := range s.guard.PendingCommands(s.now(), s.node.State()) {
+	for _, command := range s.canaryController.PendingCommands(s.monotonicSeconds(), s.node.State()) {
 		if err := s.node.Propose(command); err != nil {
 			log.Printf("msg=control_guard_not_proposed error=%q", err)
 		}
 	}
 }
 
-// work saves, sends and carries out what the core has ready. Nothing is sent before it is saved.
-func (s *Server) work() (err error) {
-	defer catchPanic(&err)
+// processReady saves, sends and applies what the core has ready. Nothing is sent before it is saved.
+func (s *Server) processReady() (err error) {
+	defer recoverPanic(&err)
 	for {
-		work, any := s.ready()
-		if !any {
+		work, hasWork := s.ready()
+		if !hasWork {
 			return nil
 		}
 		if err := s.storage.Save(work); err != nil {
-			return fmt.Errorf("nothing can be saved, the replica takes part no more: %w", err)
+			return fmt.Errorf("saving to storage failed, the replica stops: %w", err)
 		}
-		s.sendUnlessSilent(work)
+		s.sendUnlessYielding(work)
 		if err := s.advance(work); err != nil {
 			return err
 		}
 	}
 }
 
-// sendUnlessSilent sends a work's messages, which are saved.
-func (s *Server) sendUnlessSilent(work control.Work) {
+// sendUnlessYielding sends the messages of work, whose records are already saved. A yielding replica drops them. It also
+// updates everLogged.
+func (s *Server) sendUnlessYielding(work control.Work) {
 	s.mu.Lock()
-	silent := s.silent()
-	s.logged = s.logged || len(work.Entries) > 0 || work.Snapshot != nil
+	yielding := s.yielding()
+	s.everLogged = s.everLogged || len(work.Entries) > 0 || work.Snapshot != nil
 	s.mu.Unlock()
-	if !silent {
+	if !yielding {
 		s.transport.send(work.Messages)
 	}
 }
 
+// ready returns the work that the core has ready, if any.
 func (s *Server) ready() (control.Work, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.node.Ready()
 }
 
-// advance carries out a work's commands and tells who waits for them.
+// advance applies the committed commands of work, and notifies the requests and watches that wait for them.
 func (s *Server) advance(work control.Work) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,28 +115,28 @@
 		return err
 	}
 	for _, applied := range progress.Applied {
-		s.resolve(applied.Command.ID, applied.Outcome)
+		s.deliverOutcome(applied.Command.ID, applied.Outcome)
 	}
 	for _, id := range progress.Undecided {
-		s.resolve(id, control.Outcome{Err: errUndecided})
+		s.deliverOutcome(id, control.Outcome{Err: errUndecided})
 	}
-	for _, context := range progress.ReadContexts {
-		if read := s.reads[string(context)]; read != nil {
+	for _, readContext := range progress.ReadContexts {
+		if read := s.pendingReads[string(readContext)]; read != nil {
 			close(read)
-			delete(s.reads, string(context))
+			delete(s.pendingReads, string(readContext))
 		}
 	}
 	if len(progress.Applied) > 0 || progress.StateReplaced {
-		close(s.changed)
-		s.changed = make(chan struct{})
+		close(s.stateChanged)
+		s.stateChanged = make(chan struct{})
 	}
 	return nil
 }
 
-// resolve tells the outcome of a command to who waits for it.
-func (s *Server) resolve(id string, outcome control.Outcome) {
-	if waiting := s.outcomes[id]; waiting != nil {
-		waiting <- outcome // it has room for one
-		delete(s.outcomes, id)
+// deliverOutcome sends the outcome of a command to the request that waits for it, if any.
+func (s *Server) deliverOutcome(id string, outcome control.Outcome) {
+	if waiter := s.outcomeWaiters[id]; waiter != nil {
+		waiter <- outcome // never blocks: the channel has a buffer of one
+		delete(s.outcomeWaiters, id)
 	}
 }
--- a/internal/controlserver/join.go
+++ b/internal/controlserver/join.go
@@ -11,74 +11,76 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// A replica whose folder is empty may have lost what it once acknowledged. Were it to vote, a leader could be elected that
-// lacks an accepted revision. So it joins first: it takes the log from the leader, and neither votes nor stands for election
-// until it has all that was accepted, or until it knows that a majority of the replicas never had a log: a new fleet.
+// A replica with an empty folder may have lost entries that it once acknowledged. If it voted, a leader could be elected
+// that lacks an accepted revision. It therefore joins first: it receives the log from the leader, and neither votes nor
+// stands for election until it has all accepted revisions, or until it knows that a majority of the replicas, itself
+// included, never had a log, which means that the fleet is new.
 //
-// A leader that takes an entry for saved at the joining replica does not send it again. It is asked to yield then: it is
-// silent until another replica leads, which finds out anew what the joining one has.
+// A leader that believes an entry to be saved at the joining replica does not send it again. The joining replica then asks
+// it to yield: the leader exchanges no messages for yieldDuration, so that another replica is elected, which determines
+// anew which entries the joining replica has.
 const (
-	joinPath       = "/replica/join"
-	joinMark       = "joining" // a file in the folder, there until the replica has joined
-	joinInterval   = 200 * time.Millisecond
-	joinPatience   = 3 * time.Second // until a leader is asked to yield
-	yieldTime      = 3 * time.Second // that a leader is silent, longer than an election
-	yieldPauseTime = time.Minute     // between two times that a leader yields
+	joinPath          = "/replica/join"
+	joiningFileName   = "joining" // file in the folder that exists until the replica has joined
+	joinCheckInterval = 200 * time.Millisecond
+	yieldRequestDelay = 3 * time.Second // before a leader is asked to yield
+	yieldDuration     = 3 * time.Second // during which a leader exchanges no messages; longer than an election
+	minYieldInterval  = time.Minute     // between two yields of a leader
 )
 
-// joinRequest is what a joining replica asks another one.
+// joinRequest is the request of a joining replica to another replica.
 type joinRequest struct {
-	Yield bool `json:"yield,omitempty"` // leave the lead to another
+	Yield bool `json:"yield,omitempty"` // asks the leader to yield
 }
 
-// joinAnswer tells whether a replica has ever had a log.
-type joinAnswer struct {
-	Logged bool `json:"logged"`
+// joinResponse reports whether a replica has ever had a log.
+type joinResponse struct {
+	EverLogged bool `json:"logged"`
 }
 
-// markJoining notes in a folder without a storage file, or with an empty one, that its replica has to join.
+// markJoining creates the joining file in a folder whose storage file is missing or empty.
 func markJoining(folder string) error {
-	if info, err := os.Stat(filepath.Join(folder, storageFile)); err == nil && info.Size() > 0 {
+	if info, err := os.Stat(filepath.Join(folder, storageFileName)); err == nil && info.Size() > 0 {
 		return nil
 	}
-	mark, err := os.Create(filepath.Join(folder, joinMark))
+	file, err := os.Create(filepath.Join(folder, joiningFileName))
 	if err != nil {
 		return err
 	}
-	if err := mark.Sync(); err != nil {
-		mark.Close()
+	if err := file.Sync(); err != nil {
+		file.Close()
 		return err
 	}
-	return mark.Close()
+	return file.Close()
 }
 
-// mustJoin tells whether a folder's replica has yet to join.
+// mustJoin reports whether the replica of a folder has yet to join.
 func mustJoin(folder string) bool {
-	_, err := os.Stat(filepath.Join(folder, joinMark))
+	_, err := os.Stat(filepath.Join(folder, joiningFileName))
 	return err == nil
 }
 
-// join tries until the replica has joined or ends.
+// join waits until the replica may vote, and then removes the joining file. It returns early when ended is closed.
 func (s *Server) join(ended <-chan struct{}) {
-	ticker := time.NewTicker(joinInterval)
+	ticker := time.NewTicker(joinCheckInterval)
 	defer ticker.Stop()
-	asked := time.Now()
+	lastYieldRequest := time.Now()
 	for {
 		select {
 		case <-ended:
 			return
 		case <-ticker.C:
 		}
-		if s.newFleet() || s.caughtUp() {
+		if s.isNewFleet() || s.caughtUp() {
 			break
 		}
-		if time.Since(asked) > joinPatience && !s.hasLog() {
-			asked = time.Now()
+		if time.Since(lastYieldRequest) > yieldRequestDelay && !s.hasEverLogged() {
+			lastYieldRequest = time.Now()
 			log.Printf("msg=control_asks_leader_to_yield replica=%s", s.config.Name)
-			s.askAll(joinRequest{Yield: true}) // the leader does; which one it is, is not known here
+			s.askPeers(joinRequest{Yield: true}) // sent to all, because the leader may be unknown here; only the leader yields
 		}
 	}
-	if err := os.Remove(filepath.Join(s.config.Folder, joinMark)); err != nil {
+	if err := os.Remove(filepath.Join(s.config.Folder, joiningFileName)); err != nil {
 		s.fail(err)
 		return
 	}
@@ -88,57 +90,58 @@
 	s.joining = false
 }
 
-// hasLog tells whether there was ever an entry in the log here.
-func (s *Server) hasLog() bool {
+// hasEverLogged reports whether this replica's log ever had an entry.
+func (s *Server) hasEverLogged() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.logged
+	return s.everLogged
 }
 
-// newFleet tells whether a majority of the replicas, this one among them, never had a log.
-func (s *Server) newFleet() bool {
-	return !s.hasLog() && 1+s.askAll(joinRequest{}) > len(s.peers)/2
+// isNewFleet reports whether a majority of the replicas, including this one, never had a log.
+func (s *Server) isNewFleet() bool {
+	return !s.hasEverLogged() && 1+s.askPeers(joinRequest{}) > len(s.peers)/2
 }
 
-// askAll asks all other replicas, and counts those that say that they never had a log.
-func (s *Server) askAll(request joinRequest) (without int) {
-	answers := make(chan bool, len(s.peers))
+// askPeers sends a join request to all other replicas and counts those that answer that they never had a log.
+func (s *Server) askPeers(request joinRequest) (withoutLog int) {
+	noLog := make(chan bool, len(s.peers))
 	for id, peer := range s.peers {
 		if id != s.id {
 			go func() {
-				answer, err := s.askJoin(peer, request)
-				answers <- err == nil && !answer.Logged
+				response, err := s.sendJoinRequest(peer, request)
+				noLog <- err == nil && !response.EverLogged
 			}()
 		}
 	}
 	for range len(s.peers) - 1 {
-		if <-answers {
-			without++
+		if <-noLog {
+			withoutLog++
 		}
 	}
-	return without
+	return withoutLog
 }
 
-func (s *Server) askJoin(peer Peer, request joinRequest) (answer joinAnswer, err error) {
-	ctx, cancel := context.WithTimeout(s.transport.ctx, dialTime)
+// sendJoinRequest sends a join request to one replica.
+func (s *Server) sendJoinRequest(peer Peer, request joinRequest) (response joinResponse, err error) {
+	ctx, cancel := context.WithTimeout(s.transport.ctx, dialTimeout)
 	defer cancel()
-	err = s.postPeer(ctx, peer, joinPath, request, &answer)
-	return answer, err
+	err = s.postPeer(ctx, peer, joinPath, request, &response)
+	return response, err
 }
 
-// caughtUp tells whether the replica has all that was accepted so far.
+// caughtUp reports whether the replica has all revisions accepted so far.
 func (s *Server) caughtUp() bool {
 	if leader, _ := s.leader(); leader.Name == "" {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(s.transport.ctx, dialTime)
+	ctx, cancel := context.WithTimeout(s.transport.ctx, dialTimeout)
 	defer cancel()
-	return s.confirm(ctx) == nil
+	return s.confirmRead(ctx) == nil
 }
 
-// serveJoin answers a joining replica.
+// serveJoin handles the request of a joining replica.
 func (s *Server) serveJoin(w http.ResponseWriter, r *http.Request) {
-	if s.sender(w, r) == nil {
+	if s.senderLink(w, r) == nil {
 		return
 	}
 	var request joinRequest
@@ -148,18 +151,19 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if request.Yield && s.node.IsLeader() && time.Since(s.yielded) > yieldPauseTime {
-		s.yielded = time.Now()
+	if request.Yield && s.node.IsLeader() && time.Since(s.lastYield) > minYieldInterval {
+		s.lastYield = time.Now()
 		log.Printf("msg=control_yields replica=%s", s.config.Name)
 	}
-	writeJSON(w, joinAnswer{Logged: s.logged})
+	writeJSON(w, joinResponse{EverLogged: s.everLogged})
 }
 
-// silent tells whether the core is to neither hear nor say anything: it yields. The server's lock is held.
-func (s *Server) silent() bool { return time.Since(s.yielded) < yieldTime }
+// yielding reports whether the replica is yielding: the core then neither receives nor sends messages. The server's lock
+// must be held.
+func (s *Server) yielding() bool { return time.Since(s.lastYield) < yieldDuration }
 
-// passes tells whether a message may go to the core. The server's lock is held.
-func (s *Server) passes(message *raftpb.Message) bool {
+// acceptsMessage reports whether a message may be passed to the core. The server's lock must be held.
+func (s *Server) acceptsMessage(message *raftpb.Message) bool {
 	vote := message.GetType() == raftpb.MsgVote || message.GetType() == raftpb.MsgPreVote
-	return !s.silent() && !(s.joining && vote)
+	return !s.yielding() && !(s.joining && vote)
 }
--- a/internal/controlserver/join_test.go
+++ b/internal/controlserver/join_test.go
@@ -15,18 +15,18 @@
 // awaitJoined waits until a replica says that it has joined.
 func (c *cluster) awaitJoined(i int) {
 	c.t.Helper()
-	await(c.t, 2*electTime, c.replicas[i].name+" joins", func() (string, bool) {
+	await(c.t, 2*electionTimeout, c.replicas[i].name+" joins", func() (string, bool) {
 		return "it has not", !mustJoin(c.replicas[i].folder)
 	})
 }
 
-func TestAReplicaThatLostItsFolderComesBackAndLosesNothing(t *testing.T) {
+func TestReplicaWithLostFolderRejoins(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 8, "")
-	client := operatorOf(t, c.addresses()...)
+	client := newClient(t, c.addresses()...)
 	leader := c.awaitLeader(client)
 	for n := range 3 {
-		apply(t, client, revision.FleetScope, utility(n))
+		apply(t, client, revision.FleetScope, testDocument(n))
 	}
 	lost := (leader + 1) % len(c.replicas)
 	c.kill(lost)
@@ -35,32 +35,32 @@
 	}
 	c.start(lost)
 	for n := range 2 {
-		apply(t, client, revision.FleetScope, utility(10+n))
+		apply(t, client, revision.FleetScope, testDocument(10+n))
 	}
 	c.awaitJoined(lost)
-	own := operatorOf(t, c.replicas[lost].address)
-	own.AllowStale = true
-	await(t, electTime, "it knows all", func() (string, bool) {
-		mine, err := historyOf(own)
-		return fmt.Sprint(len(mine), err), len(mine) == 5
+	localClient := newClient(t, c.replicas[lost].address)
+	localClient.AllowStale = true
+	await(t, electionTimeout, "it knows all", func() (string, bool) {
+		local, err := historyOf(localClient)
+		return fmt.Sprint(len(local), err), len(local) == 5
 	})
 }
 
 // One disk is lost where only two others have the newest revision: the replica must not elect those that lack it.
-func TestAReplicaWithoutItsLogElectsNobody(t *testing.T) {
+func TestReplicaWithLostLogDoesNotVote(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 9, "")
-	client := operatorOf(t, c.addresses()...)
+	client := newClient(t, c.addresses()...)
 	leader := c.awaitLeader(client)
 	for i := range c.replicas {
 		c.awaitJoined(i)
 	}
-	apply(t, client, revision.FleetScope, utility(0))
+	apply(t, client, revision.FleetScope, testDocument(0))
 	behind := []int{(leader + 1) % len(c.replicas), (leader + 2) % len(c.replicas)}
 	for _, i := range behind {
 		c.kill(i)
 	}
-	newest := apply(t, client, revision.FleetScope, utility(1))
+	newest := apply(t, client, revision.FleetScope, testDocument(1))
 	lost, other := (leader+3)%len(c.replicas), (leader+4)%len(c.replicas)
 	for _, i := range []int{leader, lost, other} {
 		c.kill(i)
@@ -71,7 +71,7 @@
 	for _, i := range append(behind, lost) {
 		c.start(i)
 	}
-	time.Sleep(electTime / 2) // several elections would fit
+	time.Sleep(electionTimeout / 2) // several elections would fit
 	for _, i := range append(behind, lost) {
 		if strings.Contains(c.replicas[i].output.String(), "msg=control_leading leads=true") && i != leader {
 			t.Errorf("%s leads, without revision %d", c.replicas[i].name, newest)
@@ -85,18 +85,18 @@
 	c.awaitJoined(lost)
 }
 
-func TestAnEmptyStorageFileMeansJoining(t *testing.T) {
+func TestEmptyStorageFileRequiresJoin(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	openStorage(t, folder).Close()
-	if err := os.Remove(filepath.Join(folder, joinMark)); err != nil {
+	if err := os.Remove(filepath.Join(folder, joiningFileName)); err != nil {
 		t.Fatal(err)
 	}
 	openStorage(t, folder).Close()
 	if mustJoin(folder) {
 		t.Error("a replica with a log joins again")
 	}
-	if err := syscall.Truncate(filepath.Join(folder, storageFile), 0); err != nil {
+	if err := syscall.Truncate(filepath.Join(folder, storageFileName), 0); err != nil {
 		t.Fatal(err)
 	}
 	openStorage(t, folder).Close()
--- a/internal/controlserver/listener.go
+++ b/internal/controlserver/listener.go
@@ -5,35 +5,38 @@
 	"sync"
 )
 
-// boundedListener accepts a connection only while there are fewer than a number of them open.
-type boundedListener struct {
+// limitListener is a listener that limits the number of open connections. Accept waits while the limit is reached.
+type limitListener struct {
 	net.Listener
-	places chan struct{}
+	slots chan struct{}
 }
 
-func boundListener(listener net.Listener, most int) net.Listener {
-	return &boundedListener{listener, make(chan struct{}, most)}
+// newLimitListener wraps a listener to allow at most the given number of open connections.
+func newLimitListener(listener net.Listener, limit int) net.Listener {
+	return &limitListener{listener, make(chan struct{}, limit)}
 }
 
-// Accept waits for a place. After the listener was closed a connection that ends makes it return.
-func (l *boundedListener) Accept() (net.Conn, error) {
-	l.places <- struct{}{}
+// Accept waits until the number of open connections is below the limit, then accepts a connection. If the listener is
+// closed while Accept waits at the limit, Accept returns only after a connection is closed.
+func (l *limitListener) Accept() (net.Conn, error) {
+	l.slots <- struct{}{}
 	connection, err := l.Listener.Accept()
 	if err != nil {
-		<-l.places
+		<-l.slots
 		return nil, err
 	}
-	return &placedConn{Conn: connection, places: l.places}, nil
+	return &limitConn{Conn: connection, slots: l.slots}, nil
 }
 
-// placedConn gives its place back when it is closed.
-type placedConn struct {
+// limitConn is a connection that releases its slot once when it is closed.
+type limitConn struct {
 	net.Conn
-	places chan struct{}
-	once   sync.Once
+	slots chan struct{}
+	once  sync.Once
 }
 
-func (c *placedConn) Close() error {
-	c.once.Do(func() { <-c.places })
+// Close closes the connection. Further calls release no other slot.
+func (c *limitConn) Close() error {
+	c.once.Do(func() { <-c.slots })
 	return c.Conn.Close()
 }
--- a/internal/controlserver/process_test.go
+++ b/internal/controlserver/process_test.go
@@ -23,9 +23,9 @@
 
 // The test binary is a control replica too, when it is started with the file of one.
 const (
-	configVariable = "SANDPASS_TEST_CONTROL" // path of a replica's file
-	defectVariable = "SANDPASS_TEST_DEFECT"  // a seeded defect
-	fullMark       = "full"                  // a file in the replica's folder: the disk is full from then on
+	configVariable   = "SANDPASS_TEST_CONTROL" // path of a replica's file
+	defectVariable   = "SANDPASS_TEST_DEFECT"  // a seeded defect
+	diskFullFileName = "full"                  // a file in the replica's folder: the disk is full from then on
 )
 
 // The seeded defects.
@@ -59,61 +59,61 @@
 	if defect == noCheck {
 		check = func(revision.Document) error { return nil }
 	}
-	opened, err := OpenStorage(config.Folder, config.Fleet, config.Name)
+	boltStorage, err := OpenStorage(config.Folder, config.Fleet, config.Name)
 	if err != nil {
 		return err
 	}
-	var storage Storage = &fullableStorage{opened, filepath.Join(config.Folder, fullMark)}
+	var storage Storage = &diskFullStorage{boltStorage, filepath.Join(config.Folder, diskFullFileName)}
 	if defect == ackBeforeSync {
-		storage = &lazyStorage{Storage: storage}
+		storage = &delayedStorage{Storage: storage}
 	}
 	server, err := newServer(config, storage, check)
 	if err != nil {
 		return err
 	}
-	ends := make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM)
 	go func() {
-		<-ends
+		<-signals
 		server.Stop()
 	}()
 	return server.Run()
 }
 
 // fullableStorage fails as a full disk does once the mark is there.
-type fullableStorage struct {
+type diskFullStorage struct {
 	Storage
-	mark string
+	fullFile string
 }
 
-func (f *fullableStorage) Save(work control.Work) error {
-	if _, err := os.Stat(f.mark); err == nil {
+func (f *diskFullStorage) Save(work control.Work) error {
+	if _, err := os.Stat(f.fullFile); err == nil {
 		return syscall.ENOSPC
 	}
 	return f.Storage.Save(work)
 }
 
 // lazyStorage is the defect of an acknowledgement before the sync.
-type lazyStorage struct {
+type delayedStorage struct {
 	Storage
 	mu      sync.Mutex
-	waiting []control.Work
+	pending []control.Work
 }
 
-func (l *lazyStorage) Save(work control.Work) error {
-	const later = 5 * time.Second
+func (l *delayedStorage) Save(work control.Work) error {
+	const saveDelay = 5 * time.Second
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = append(l.waiting, work)
-	time.AfterFunc(later, l.saveOldest)
+	l.pending = append(l.pending, work)
+	time.AfterFunc(saveDelay, l.saveOldest)
 	return nil
 }
 
-func (l *lazyStorage) saveOldest() {
+func (l *delayedStorage) saveOldest() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Storage.Save(l.waiting[0])
-	l.waiting = l.waiting[1:]
+	l.Storage.Save(l.pending[0])
+	l.pending = l.pending[1:]
 }
 
 // replicaProcess is one replica as a process of its own.
@@ -146,10 +146,10 @@
 
 // cluster is five replicas over three regions, with a way between each two and one from the proxies to each.
 type cluster struct {
-	t        *testing.T
-	replicas []*replicaProcess
-	ways     map[[2]int]*faultnet.StreamForwarder   // from a replica to another
-	doors    map[string][]*faultnet.StreamForwarder // from a region's proxies to the replicas
+	t            *testing.T
+	replicas     []*replicaProcess
+	replicaLinks map[[2]int]*faultnet.StreamForwarder   // from a replica to another
+	proxyLinks   map[string][]*faultnet.StreamForwarder // from a region's proxies to the replicas
 }
 
 var replicaRegions = []string{"eu", "eu", "us", "us", "ap"}
@@ -173,7 +173,7 @@
 // startCluster starts five replicas and ends them with the test.
 func startCluster(t *testing.T, seed uint64, defect string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, ways: map[[2]int]*faultnet.StreamForwarder{}, doors: map[string][]*faultnet.StreamForwarder{}}
+	c := &cluster{t: t, replicaLinks: map[[2]int]*faultnet.StreamForwarder{}, proxyLinks: map[string][]*faultnet.StreamForwarder{}}
 	folder := t.TempDir()
 	for i, region := range replicaRegions {
 		name := fmt.Sprintf("c%d", i+1)
@@ -182,11 +182,11 @@
 	}
 	for i, replica := range c.replicas {
 		for _, region := range []string{"eu", "us", "ap"} {
-			c.doors[region] = append(c.doors[region], c.stream(replica.address, seed+uint64(i)))
+			c.proxyLinks[region] = append(c.proxyLinks[region], c.stream(replica.address, seed+uint64(i)))
 		}
 		for j, other := range c.replicas {
 			if i != j {
-				c.ways[[2]int{i, j}] = c.stream(other.address, seed+uint64(10*i+j))
+				c.replicaLinks[[2]int{i, j}] = c.stream(other.address, seed+uint64(10*i+j))
 			}
 		}
 		c.writeConfig(i)
@@ -197,11 +197,11 @@
 }
 
 func (c *cluster) stream(target string, seed uint64) *faultnet.StreamForwarder {
-	stream, err := faultnet.NewStreamForwarder(target, seed)
+	forwarder, err := faultnet.NewStreamForwarder(target, seed)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return stream
+	return forwarder
 }
 
 // writeConfig writes a replica's file; it reaches the others by the ways.
@@ -215,8 +215,8 @@
 		replica.name, replica.folder, replica.address, base)
 	for j, other := range c.replicas {
 		address := other.address
-		if way := c.ways[[2]int{i, j}]; way != nil {
-			address = way.Addr()
+		if link := c.replicaLinks[[2]int{i, j}]; link != nil {
+			address = link.Addr()
 		}
 		text += fmt.Sprintf("[[replica]]\nname = %q\naddress = %q\nregion = %q\n", other.name, address, other.region)
 	}
@@ -268,12 +268,12 @@
 	for i := range c.replicas {
 		c.kill(i)
 	}
-	for _, way := range c.ways {
-		way.Close()
+	for _, link := range c.replicaLinks {
+		link.Close()
 	}
-	for _, doors := range c.doors {
-		for _, door := range doors {
-			door.Close()
+	for _, links := range c.proxyLinks {
+		for _, link := range links {
+			link.Close()
 		}
 	}
 	if c.t.Failed() {
@@ -284,9 +284,9 @@
 }
 
 // setWays changes the weather between two replicas, in both directions.
-func (c *cluster) setWays(i, j int, weather faultnet.Conditions) {
-	c.ways[[2]int{i, j}].SetConditions(weather, weather)
-	c.ways[[2]int{j, i}].SetConditions(weather, weather)
+func (c *cluster) setReplicaLinks(i, j int, conditions faultnet.Conditions) {
+	c.replicaLinks[[2]int{i, j}].SetConditions(conditions, conditions)
+	c.replicaLinks[[2]int{j, i}].SetConditions(conditions, conditions)
 }
 
 // delayRegions puts a delay between the regions, in seconds one way.
@@ -297,16 +297,16 @@
 }
 
 // cutRegion changes the weather between a region and the others, for replicas and proxies.
-func (c *cluster) cutRegion(region string, weather faultnet.Conditions) {
+func (c *cluster) cutRegion(region string, conditions faultnet.Conditions) {
 	for i := range c.replicas {
 		for j := range i {
 			if (c.replicas[i].region == region) != (c.replicas[j].region == region) {
-				c.setWays(i, j, weather)
+				c.setReplicaLinks(i, j, conditions)
 			}
 		}
-		for from, doors := range c.doors {
+		for from, links := range c.proxyLinks {
 			if (c.replicas[i].region == region) != (from == region) {
-				doors[i].SetConditions(weather, weather)
+				links[i].SetConditions(conditions, conditions)
 			}
 		}
 	}
@@ -325,7 +325,7 @@
 	for _, near := range []bool{true, false} {
 		for i, replica := range c.replicas {
 			if (replica.region == region) == near {
-				addresses = append(addresses, c.doors[region][i].Addr())
+				addresses = append(addresses, c.proxyLinks[region][i].Addr())
 			}
 		}
 	}
--- a/internal/controlserver/reads.go
+++ b/internal/controlserver/reads.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	readTime      = 3 * time.Second        // for a quorum to confirm a read
-	readRetry     = 300 * time.Millisecond // until the core is asked again
-	readsMost     = 1024                   // that wait for a quorum at a time
-	contextBytes  = 16                     // of a linearizable read, drawn by chance
-	historyMost   = 10000
-	relayedHeader = "Sandpass-Relayed" // on a status request that a follower passes on
+	readTimeout       = 3 * time.Second        // for a quorum to confirm a read
+	readRetryInterval = 300 * time.Millisecond // before the core is asked again
+	maxPendingReads   = 1024                   // reads that wait for a quorum at the same time
+	readContextBytes  = 16                     // size of the random context that identifies a linearizable read
+	maxHistoryEntries = 10000
+	forwardedHeader   = "Sandpass-Relayed" // set on a status request that a follower forwards
 )
 
-// confirm waits until the state here has all that was accepted before the call.
-func (s *Server) confirm(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+// confirmRead waits until the local state has all revisions that were accepted before the call.
+func (s *Server) confirmRead(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	for {
 		done, forget, err := s.beginRead()
@@ -36,63 +36,65 @@
 		select {
 		case <-done:
 			return nil
-		case <-time.After(readRetry):
-			forget() // the core may have dropped it
+		case <-time.After(readRetryInterval):
+			forget() // the core may have dropped the read
 			if leader, _ := s.leader(); leader.Name == "" {
-				return s.noLeader()
+				return s.noLeaderError()
 			}
 		case <-ctx.Done():
 			forget()
-			return noQuorum("%s can't confirm with a quorum that what it knows is the newest; --stale shows it all the same",
+			return noQuorum("%s cannot confirm with a quorum that its state is the newest; --stale shows it unconfirmed",
 				s.config.Name)
 		}
 	}
 }
 
-func (s *Server) noLeader() error {
-	return noQuorum("no leader is known to %s: it is cut off, or too few replicas run; --stale shows what it knows", s.config.Name)
+// noLeaderError returns the error of a read for which no leader is known.
+func (s *Server) noLeaderError() error {
+	return noQuorum("%s knows no leader: it is disconnected, or too few replicas are running; --stale shows its state",
+		s.config.Name)
 }
 
-// beginRead asks the core for a linearizable read.
+// beginRead asks the core for a linearizable read. The channel is closed once the read is confirmed; forget cancels it.
 func (s *Server) beginRead() (done chan struct{}, forget func(), err error) {
-	context := make([]byte, contextBytes)
-	rand.Read(context) // never fails, by its documentation
-	key := string(context)
+	readContext := make([]byte, readContextBytes)
+	rand.Read(readContext) // documented never to fail
+	key := string(readContext)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.reads) >= readsMost {
-		return nil, nil, noQuorum("%s has too many reads waiting", s.config.Name)
+	if len(s.pendingReads) >= maxPendingReads {
+		return nil, nil, noQuorum("%s has too many pending reads", s.config.Name)
 	}
 	done = make(chan struct{})
-	s.reads[key] = done
-	s.node.ReadIndex(context)
-	s.rouse()
+	s.pendingReads[key] = done
+	s.node.ReadIndex(readContext)
+	s.wakeDriver()
 	return done, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.reads, key)
+		delete(s.pendingReads, key)
 	}, nil
 }
 
-// freshen confirms a read unless the operator is content with what the replica knows.
-func (s *Server) freshen(r *http.Request) (controlapi.Freshness, error) {
+// readFreshness confirms a read with a quorum, unless the operator accepts stale state.
+func (s *Server) readFreshness(r *http.Request) (controlapi.Freshness, error) {
 	if r.URL.Query().Get(controlapi.StaleParameter) == "" {
-		return controlapi.Freshness{}, s.confirm(r.Context())
+		return controlapi.Freshness{}, s.confirmRead(r.Context())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return controlapi.Freshness{Stale: true, AgeSeconds: time.Since(s.led).Seconds()}, nil
+	return controlapi.Freshness{Stale: true, AgeSeconds: time.Since(s.leaderLastKnown).Seconds()}, nil
 }
 
-// answerRead confirms a read, then has answer look at the state under the lock.
-func answerRead[T any](s *Server, w http.ResponseWriter, r *http.Request, answer func(controlapi.Freshness) (T, error)) {
-	freshness, err := s.freshen(r)
+// serveRead confirms a read, computes the response under the server's lock and writes it.
+func serveRead[T any](s *Server, w http.ResponseWriter, r *http.Request, respond func(controlapi.Freshness) (T, error)) {
+	freshness, err := s.readFreshness(r)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	s.mu.Lock()
-	response, err := answer(freshness)
+	response, err := respond(freshness)
 	s.mu.Unlock()
 	if err != nil {
 		writeError(w, err)
@@ -101,28 +103,28 @@
 	writeJSON(w, response)
 }
 
-// serveHistory lists revisions.
+// serveHistory handles a request for the list of revisions.
 func (s *Server) serveHistory(w http.ResponseWriter, r *http.Request) {
-	scope, err := scopeOf(r.URL.Query())
+	scope, err := scopeParameter(r.URL.Query())
 	var limit int
 	if err == nil {
-		limit, err = limitOf(r.URL.Query())
+		limit, err = limitParameter(r.URL.Query())
 	}
 	if err != nil {
 		writeError(w, badRequest(err))
 		return
 	}
-	answerRead(s, w, r, func(freshness controlapi.Freshness) (controlapi.HistoryResponse, error) {
+	serveRead(s, w, r, func(freshness controlapi.Freshness) (controlapi.HistoryResponse, error) {
 		revisions := s.node.State().History(scope, limit)
 		for i := range revisions {
-			revisions[i].Document = nil // show has it
+			revisions[i].Document = nil // show returns documents
 		}
 		return controlapi.HistoryResponse{Revisions: revisions, Freshness: freshness}, nil
 	})
 }
 
-// scopeOf reads the scope parameter, nil where there is none.
-func scopeOf(query url.Values) (*revision.Scope, error) {
+// scopeParameter parses the scope parameter. It returns nil if there is none.
+func scopeParameter(query url.Values) (*revision.Scope, error) {
 	text := query.Get("scope")
 	if text == "" {
 		return nil, nil
@@ -131,22 +133,23 @@
 	return &scope, err
 }
 
-func limitOf(query url.Values) (int, error) {
+// limitParameter parses the limit parameter. A missing parameter or 0 stands for maxHistoryEntries.
+func limitParameter(query url.Values) (int, error) {
 	text := query.Get("limit")
 	if text == "" || text == "0" {
-		return historyMost, nil
+		return maxHistoryEntries, nil
 	}
 	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 0 {
-		return 0, fmt.Errorf("limit %.40q is not a number", text)
+		return 0, fmt.Errorf("limit: %.40q is not a number of revisions", text)
 	}
-	return min(limit, historyMost), nil
+	return min(limit, maxHistoryEntries), nil
 }
 
-// serveShow gives a scope's newest document or a proxy's merged one.
+// serveShow handles a request for a scope's newest document or the document merged for a proxy.
 func (s *Server) serveShow(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	scope, err := scopeOf(query)
+	scope, err := scopeParameter(query)
 	identity := revision.Identity{Fleet: s.config.Fleet, Proxy: query.Get("proxy"), Region: query.Get("region"),
 		Zone: query.Get("zone"), Service: query.Get("service")}
 	if err == nil && scope == nil {
@@ -156,7 +159,7 @@
 		writeError(w, badRequest(err))
 		return
 	}
-	answerRead(s, w, r, func(freshness controlapi.Freshness) (controlapi.ShowResponse, error) {
+	serveRead(s, w, r, func(freshness controlapi.Freshness) (controlapi.ShowResponse, error) {
 		if scope != nil {
 			return showScope(s.node.State(), *scope, freshness), nil
 		}
@@ -164,7 +167,7 @@
 	})
 }
 
-// showScope gives a scope's newest document, the empty one for a scope without revisions.
+// showScope returns a scope's newest document, or the empty document for a scope without revisions.
 func showScope(state *control.State, scope revision.Scope, freshness controlapi.Freshness) controlapi.ShowResponse {
 	response := controlapi.ShowResponse{Scope: &scope, Document: revision.EmptyDocument, Freshness: freshness}
 	if entry, known := state.Latest(scope); known {
@@ -176,30 +179,31 @@
 	return response
 }
 
-// showProxy merges what a proxy has. Where it is connected it said itself where it stands.
+// showProxy returns the document merged for a proxy. If the request gives no region, zone or service, those that the proxy
+// itself reported are used.
 func (s *Server) showProxy(identity revision.Identity, freshness controlapi.Freshness) (response controlapi.ShowResponse,
 	err error) {
 	if status, known := s.view.Status(identity.Proxy); known && identity.Region+identity.Zone+identity.Service == "" {
 		identity = status.Identity
 	}
 	state := s.node.State()
-	held, err := state.ReleasedDocuments(identity)
+	documents, err := state.ReleasedDocuments(identity)
 	if err != nil {
 		return response, err
 	}
 	response.Freshness = freshness
-	if response.Document, err = revision.EffectiveDocument(identity, held); err != nil {
+	if response.Document, err = revision.EffectiveDocument(identity, documents); err != nil {
 		return response, err
 	}
-	for _, one := range held {
-		response.Number = max(response.Number, one.Number)
+	for _, document := range documents {
+		response.Number = max(response.Number, document.Number)
 	}
 	response.Checksum = revision.Checksum(response.Document)
 	response.Origins, err = state.ValueOrigins(identity)
 	return response, err
 }
 
-// serveDiff compares a document with its scope's newest one, and checks it.
+// serveDiff handles a request to compare a document with its scope's newest one and to check it.
 func (s *Server) serveDiff(w http.ResponseWriter, r *http.Request) {
 	var request controlapi.DiffRequest
 	if err := readBody(w, r, &request); err != nil {
@@ -214,7 +218,7 @@
 		writeError(w, badRequest(err))
 		return
 	}
-	freshness, err := s.freshen(r)
+	freshness, err := s.readFreshness(r)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -228,6 +232,7 @@
 	writeJSON(w, response)
 }
 
+// diff returns the patch from the scope's newest document to the requested one, and the result of the check.
 func (s *Server) diff(request controlapi.DiffRequest) (response controlapi.DiffResponse, err error) {
 	s.mu.Lock()
 	newest := showScope(s.node.State(), request.Scope, controlapi.Freshness{})
@@ -243,7 +248,8 @@
 	return response, nil
 }
 
-// serveStatus tells how the fleet stands. A follower asks the leader, which alone hears of all proxies.
+// serveStatus handles a request for the state of the fleet. A follower forwards it to the leader, the only replica that
+// receives the reports of all proxies.
 func (s *Server) serveStatus(w http.ResponseWriter, r *http.Request) {
 	number, err := strconv.ParseUint("0"+r.URL.Query().Get("number"), 10, 63)
 	if err != nil {
@@ -251,44 +257,44 @@
 		return
 	}
 	if leader, self := s.leader(); !self && r.URL.Query().Get(controlapi.StaleParameter) == "" {
-		s.relayStatus(w, r, leader)
+		s.forwardStatus(w, r, leader)
 		return
 	}
 	replicas := s.replicaStatuses()
-	answerRead(s, w, r, func(freshness controlapi.Freshness) (controlapi.StatusResponse, error) {
-		return s.status(revision.Number(number), r.URL.Query().Get("proxies") != "", replicas, freshness)
+	serveRead(s, w, r, func(freshness controlapi.Freshness) (controlapi.StatusResponse, error) {
+		return s.buildStatus(revision.Number(number), r.URL.Query().Get("proxies") != "", replicas, freshness)
 	})
 }
 
-// relayStatus passes a status request to the leader.
-func (s *Server) relayStatus(w http.ResponseWriter, r *http.Request, leader Peer) {
-	if leader.Name == "" || r.Header.Get(relayedHeader) != "" {
-		writeError(w, s.noLeader())
+// forwardStatus forwards a status request to the leader. A request that was forwarded before is refused.
+func (s *Server) forwardStatus(w http.ResponseWriter, r *http.Request, leader Peer) {
+	if leader.Name == "" || r.Header.Get(forwardedHeader) != "" {
+		writeError(w, s.noLeaderError())
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), forwardTime)
+	ctx, cancel := context.WithTimeout(r.Context(), forwardTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+leader.Address+r.URL.RequestURI(), nil)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	request.Header.Set(relayedHeader, s.config.Name)
+	request.Header.Set(forwardedHeader, s.config.Name)
 	var response controlapi.StatusResponse
-	err = s.askPeer(request, &response)
-	var answered *controlapi.Error
+	err = s.doPeerRequest(request, &response)
+	var apiErr *controlapi.Error
 	switch {
 	case err == nil:
 		writeJSON(w, response)
-	case errors.As(err, &answered):
-		writeError(w, answered)
+	case errors.As(err, &apiErr):
+		writeError(w, apiErr)
 	default:
-		writeError(w, noQuorum("the leader %s does not answer %s; --stale shows what it knows", leader.Name, s.config.Name))
+		writeError(w, noQuorum("the leader %s does not answer %s; --stale shows the local state", leader.Name, s.config.Name))
 	}
 }
 
-// status looks at the state, with the server's lock held.
-func (s *Server) status(number revision.Number, proxies bool, replicas []controlapi.ReplicaStatus,
+// buildStatus builds the status response. The server's lock must be held.
+func (s *Server) buildStatus(number revision.Number, proxies bool, replicas []controlapi.ReplicaStatus,
 	freshness controlapi.Freshness) (controlapi.StatusResponse, error) {
 	state := s.node.State()
 	response := controlapi.StatusResponse{Fleet: s.config.Fleet, Replica: s.config.Name, Leader: s.peers[s.node.Leader()].Name,
@@ -320,14 +326,14 @@
 	return response, err
 }
 
-// replicaStatuses tells which replicas are heard here.
+// replicaStatuses returns which replicas are reachable from this one.
 func (s *Server) replicaStatuses() (statuses []controlapi.ReplicaStatus) {
 	for _, peer := range s.config.Replicas {
 		status := controlapi.ReplicaStatus{Name: peer.Name, Region: peer.Region, Address: peer.Address, Reachable: true}
 		if link := s.transport.peers[replicaID(s.config.Fleet, peer.Name)]; link != nil {
-			silent := link.silent()
-			status.Reachable = silent < silenceMost
-			status.SilentSeconds = silent.Seconds()
+			silence := link.silentFor()
+			status.Reachable = silence < silenceTimeout
+			status.SilentSeconds = silence.Seconds()
 		}
 		statuses = append(statuses, status)
 	}
--- a/internal/controlserver/reports.go
+++ b/internal/controlserver/reports.go
@@ -16,70 +16,70 @@
 )
 
 const (
-	reportsPath     = "/replica/reports"
-	reportsInterval = 100 * time.Millisecond // between two batches, while there is something to tell
-	reportsIdle     = time.Second            // between two batches otherwise
-	reportsTime     = 2 * time.Second        // for the leader to take a batch
-	reportsMost     = 500                    // proxies in a batch
+	reportsPath         = "/replica/reports"
+	reportsInterval     = 100 * time.Millisecond // between two batches while there are unsent statuses
+	reportsIdleInterval = time.Second            // between two batches while there are none
+	reportsTimeout      = 2 * time.Second        // for the leader to accept a batch
+	maxBatchStatuses    = 500                    // statuses in one batch
 )
 
-// reportsBatch is what a follower tells the leader of its proxies.
+// reportsBatch is a follower's message to the leader about its proxies.
 type reportsBatch struct {
-	Connected int                   `json:"connected"` // proxies that watch the follower
+	Connected int                   `json:"connected"` // number of proxies that watch the follower
 	Statuses  []control.ProxyStatus `json:"statuses,omitempty"`
 }
 
-// reportsAnswer says how many proxies the leader takes to watch the follower, after the batch.
-type reportsAnswer struct {
+// reportsResponse has the number of proxies that watch the follower according to the leader, after the batch.
+type reportsResponse struct {
 	Connected int `json:"connected"`
 }
 
-// opened notes a new watch.
-func (s *Server) opened(session *control.Session) {
+// sessionOpened records a new watch.
+func (s *Server) sessionOpened(session *control.Session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[session.Identity().Proxy] = session
-	s.noteOpen(session)
+	s.openSessions[session.Identity().Proxy] = session
+	s.recordOpenSession(session)
 }
 
-// noteOpen has the view show that a watch is open here.
-func (s *Server) noteOpen(session *control.Session) {
+// recordOpenSession records in the fleet view that a watch is open at this replica. The server's lock must be held.
+func (s *Server) recordOpenSession(session *control.Session) {
 	s.view.RecordWatchOpened(time.Now(), s.config.Name, session.Hello())
-	s.dirty[session.Identity().Proxy] = true
+	s.unsentStatuses[session.Identity().Proxy] = true
 }
 
-// closed notes the end of a watch, unless the proxy has opened another one here since.
-func (s *Server) closed(session *control.Session) {
+// sessionClosed records the end of a watch, unless the proxy has since opened another one at this replica.
+func (s *Server) sessionClosed(session *control.Session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	proxy := session.Identity().Proxy
-	if s.open[proxy] != session {
+	if s.openSessions[proxy] != session {
 		return
 	}
-	delete(s.open, proxy)
+	delete(s.openSessions, proxy)
 	s.view.RecordWatchClosed(time.Now(), s.config.Name, proxy)
-	s.dirty[proxy] = true
+	s.unsentStatuses[proxy] = true
 }
 
-// reported notes a proxy's report. One that answers no update of this watch changes nothing.
-func (s *Server) reported(watch *watch, report revision.Report) {
+// handleReport records a proxy's report. A report that does not belong to an update of this watch is ignored.
+func (s *Server) handleReport(watch *watch, report revision.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	session := watch.session
 	if !session.HandleReport(report) {
 		return
 	}
-	watch.answers++
+	watch.reportsReceived++
 	proxy := session.Identity().Proxy
 	s.view.RecordReport(time.Now(), s.config.Name, session.Hello(), report)
-	s.dirty[proxy] = true
+	s.unsentStatuses[proxy] = true
 	if s.node.IsLeader() {
-		s.guard.RecordReport(s.now(), proxy, report)
-		s.rouse()
+		s.canaryController.RecordReport(s.monotonicSeconds(), proxy, report)
+		s.wakeDriver()
 	}
 }
 
-// sendReports tells the leader of this replica's proxies until the end.
+// sendReports sends the statuses of this replica's proxies to the leader, until ended is closed.
 func (s *Server) sendReports(ended <-chan struct{}) {
 	ticker := time.NewTicker(reportsInterval)
 	defer ticker.Stop()
@@ -90,40 +90,41 @@
 			return
 		case <-ticker.C:
 		}
-		leader, batch := s.nextReports(time.Since(last) >= reportsIdle)
+		leader, batch := s.nextBatch(time.Since(last) >= reportsIdleInterval)
 		if batch == nil {
 			continue
 		}
 		last = time.Now()
 		if err := s.postReports(leader, batch); err != nil {
-			s.reportsLost()
+			s.resendAllStatuses()
 		}
 	}
 }
 
-// nextReports takes a batch out of what the leader has yet to learn, nil for nothing to send. A new leader learns all.
-func (s *Server) nextReports(idle bool) (Peer, *reportsBatch) {
+// nextBatch removes the next batch from the unsent statuses. It returns nil if there is nothing to send. A new leader gets
+// all statuses.
+func (s *Server) nextBatch(idle bool) (Peer, *reportsBatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	leader := s.node.Leader()
 	if leader == 0 || leader == s.id {
-		s.told = 0
-		clear(s.dirty)
+		s.syncedLeader = 0
+		clear(s.unsentStatuses)
 		return Peer{}, nil
 	}
-	if leader != s.told {
-		s.told = leader // it may have taken this replica for gone
-		s.markAllDirty()
+	if leader != s.syncedLeader {
+		s.syncedLeader = leader // it may have considered this replica gone
+		s.markAllUnsent()
 	}
-	if len(s.dirty) == 0 && !idle {
+	if len(s.unsentStatuses) == 0 && !idle {
 		return Peer{}, nil
 	}
-	batch := &reportsBatch{Connected: s.connectedHere()}
-	for proxy := range s.dirty {
-		if len(batch.Statuses) == reportsMost {
+	batch := &reportsBatch{Connected: s.connectedCount()}
+	for proxy := range s.unsentStatuses {
+		if len(batch.Statuses) == maxBatchStatuses {
 			break
 		}
-		delete(s.dirty, proxy)
+		delete(s.unsentStatuses, proxy)
 		if status, known := s.view.Status(proxy); known && status.Replica == s.config.Name {
 			batch.Statuses = append(batch.Statuses, status)
 		}
@@ -131,80 +132,82 @@
 	return s.peers[leader], batch
 }
 
-// markAllDirty has all statuses of this replica's proxies told anew.
-func (s *Server) markAllDirty() {
+// markAllUnsent marks the statuses of all of this replica's proxies as unsent.
+func (s *Server) markAllUnsent() {
 	s.view.RefreshConnected(time.Now(), s.config.Name)
 	for _, status := range s.view.Statuses() {
 		if status.Replica == s.config.Name {
-			s.dirty[status.Identity.Proxy] = true
+			s.unsentStatuses[status.Identity.Proxy] = true
 		}
 	}
 }
 
-func (s *Server) connectedHere() int { return s.view.CountConnectedAt(s.config.Name) }
+// connectedCount returns the number of proxies that watch this replica.
+func (s *Server) connectedCount() int { return s.view.CountConnectedAt(s.config.Name) }
 
-// reportsLost has all be told anew.
-func (s *Server) reportsLost() {
+// resendAllStatuses makes the next batches send all statuses again.
+func (s *Server) resendAllStatuses() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = 0
+	s.syncedLeader = 0
 }
 
-// postReports sends a batch. If the leader then counts other proxies here than there are, it has missed some.
+// postReports sends a batch. If the leader then counts a different number of proxies at this replica, it has missed some
+// statuses, and all are sent again.
 func (s *Server) postReports(leader Peer, batch *reportsBatch) error {
-	ctx, cancel := context.WithTimeout(s.transport.ctx, reportsTime)
+	ctx, cancel := context.WithTimeout(s.transport.ctx, reportsTimeout)
 	defer cancel()
-	var answer reportsAnswer
-	if err := s.postPeer(ctx, leader, reportsPath, batch, &answer); err != nil {
+	var response reportsResponse
+	if err := s.postPeer(ctx, leader, reportsPath, batch, &response); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.dirty) == 0 && answer.Connected != batch.Connected && answer.Connected != s.connectedHere() {
-		s.told = 0
+	if len(s.unsentStatuses) == 0 && response.Connected != batch.Connected && response.Connected != s.connectedCount() {
+		s.syncedLeader = 0
 	}
 	return nil
 }
 
-// postPeer asks another replica. An error is a *controlapi.Error where the replica gave one.
+// postPeer sends a POST request to another replica. An error that the replica returned is a *controlapi.Error.
 func (s *Server) postPeer(ctx context.Context, peer Peer, path string, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
-	post, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+peer.Address+path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+peer.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	return s.askPeer(post, response)
+	return s.doPeerRequest(httpRequest, response)
 }
 
-// askPeer sends a request to another replica and reads its answer.
-func (s *Server) askPeer(request *http.Request, response any) error {
+// doPeerRequest sends a request to another replica and decodes the response.
+func (s *Server) doPeerRequest(request *http.Request, response any) error {
 	request.Header.Set(fleetHeader, s.config.Fleet)
 	request.Header.Set(senderHeader, s.config.Name)
-	answer, err := s.transport.client.Do(request)
+	httpResponse, err := s.transport.client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, controlapi.MaxBodyBytes))
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, controlapi.MaxBodyBytes))
 	if err != nil {
 		return err
 	}
-	if answer.StatusCode == http.StatusOK {
-		return json.Unmarshal(text, response)
+	if httpResponse.StatusCode == http.StatusOK {
+		return json.Unmarshal(body, response)
 	}
-	refusal := &controlapi.Error{}
-	if json.Unmarshal(text, refusal) == nil && refusal.Kind != "" {
-		return refusal
+	apiErr := &controlapi.Error{}
+	if json.Unmarshal(body, apiErr) == nil && apiErr.Kind != "" {
+		return apiErr
 	}
-	return fmt.Errorf("%s: %.200s", answer.Status, text)
+	return fmt.Errorf("%s: %.200s", httpResponse.Status, body)
 }
 
-// serveReports takes a follower's batch.
+// serveReports handles a follower's batch of statuses.
 func (s *Server) serveReports(w http.ResponseWriter, r *http.Request) {
-	link := s.sender(w, r)
+	link := s.senderLink(w, r)
 	if link == nil {
 		return
 	}
@@ -219,33 +222,34 @@
 			return
 		}
 	}
-	link.touch()
+	link.markReceived()
 	writeJSON(w, s.mergeReports(link.peer.Name, batch.Statuses))
 }
 
-// mergeReports takes over statuses and passes what is new in them to the guard.
-func (s *Server) mergeReports(replica string, statuses []control.ProxyStatus) reportsAnswer {
+// mergeReports merges a follower's statuses into the fleet view and passes new reports to the canary controller.
+func (s *Server) mergeReports(replica string, statuses []control.ProxyStatus) reportsResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, status := range s.view.Merge(statuses) {
-		if session := s.open[status.Identity.Proxy]; session != nil && !status.Connected {
-			s.noteOpen(session) // it has ended there only: the other replica had a late word of it
+		if session := s.openSessions[status.Identity.Proxy]; session != nil && !status.Connected {
+			s.recordOpenSession(session) // a late report of the other replica: only its watch has ended, the one here is open
 		}
-		for _, report := range reportsOf(status) {
-			s.guard.RecordReport(s.now(), status.Identity.Proxy, report)
+		for _, report := range reportsFromStatus(status) {
+			s.canaryController.RecordReport(s.monotonicSeconds(), status.Identity.Proxy, report)
 		}
 	}
-	s.rouse()
-	return reportsAnswer{Connected: s.view.CountConnectedAt(replica)}
+	s.wakeDriver()
+	return reportsResponse{Connected: s.view.CountConnectedAt(replica)}
 }
 
-// reportsOf gives the reports that a status came from.
-func reportsOf(status control.ProxyStatus) (reports []revision.Report) {
+// reportsFromStatus returns the reports that a status was derived from.
+func reportsFromStatus(status control.ProxyStatus) (reports []revision.Report) {
 	if status.InForce != 0 {
 		reports = append(reports, revision.Report{Revision: status.InForce, Verdict: revision.InForce, Checksum: status.Checksum})
 	}
 	if status.RefusedNumber != 0 {
-		reports = append(reports, revision.Report{Revision: status.RefusedNumber, Verdict: revision.Refused, Reason: status.RefusalReason})
+		reports = append(reports, revision.Report{Revision: status.RefusedNumber, Verdict: revision.Refused,
+			Reason: status.RefusalReason})
 	}
 	return reports
 }
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -29,7 +29,7 @@
 )
 
 // startAlone starts a fleet's only replica in the test's process; others may be named that do not run.
-func startAlone(t *testing.T, storage Storage, others ...Peer) (*Server, *controlclient.Client) {
+func startSingleReplica(t *testing.T, storage Storage, others ...Peer) (*Server, *controlclient.Client) {
 	t.Helper()
 	check, err := newChecker("../../example/config.json")
 	if err != nil {
@@ -52,12 +52,12 @@
 			t.Log("ended with:", err)
 		}
 	})
-	return server, operatorOf(t, server.Address())
+	return server, newClient(t, server.Address())
 }
 
-func awaitReady(t *testing.T, client *controlclient.Client) {
+func awaitReadable(t *testing.T, client *controlclient.Client) {
 	t.Helper()
-	await(t, electTime, "a leader", func() (string, bool) {
+	await(t, electionTimeout, "a leader", func() (string, bool) {
 		_, err := client.Status(context.Background(), 0, false)
 		return fmt.Sprint(err), err == nil
 	})
@@ -67,7 +67,7 @@
 func openWatch(t *testing.T, server *Server, line string) (*http.Response, *io.PipeWriter) {
 	t.Helper()
 	body, out := io.Pipe()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*electTime)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*electionTimeout)
 	t.Cleanup(cancel)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+server.Address()+revision.WatchPath, body)
 	if err != nil {
@@ -84,18 +84,18 @@
 
 const goodHello = `{"protocol":1,"identity":{"fleet":"shop","proxy":"p1","zone":"eu-1"},"revision":0,"news":true}` + "\n"
 
-func TestABadHelloIsRefusedInOneLine(t *testing.T) {
+func TestMalformedHelloIsRefused(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
 	for line, want := range map[string]string{
 		"{\n":  "hello:",
 		"[]\n": "hello:",
 		`{"protocol":1,"identity":{"fleet":"other","proxy":"p1"}}` + "\n": `fleet "other" is not "shop"`,
 		`{"protocol":1,"identity":{"fleet":"shop","proxy":"a b"}}` + "\n": "proxy",
 		`{"protocol":0,"identity":{"fleet":"shop","proxy":"p1"}}` + "\n":  "protocol",
-		strings.Repeat("x", lineMost+1) + "\n":                            "too long",
-		`{"protocol":1`:                                                   "hello:", // it never ends
+		strings.Repeat("x", maxLineBytes+1) + "\n":                        "too long",
+		`{"protocol":1`: "hello:", // it never ends
 	} {
 		answer, _ := openWatch(t, server, line)
 		text, _ := io.ReadAll(answer.Body)
@@ -109,11 +109,11 @@
 	}
 }
 
-func TestAWatchOfANewerProtocolIsServed(t *testing.T) {
+func TestWatchOfNewerProtocolIsServed(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
-	apply(t, client, revision.FleetScope, utility(1))
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	apply(t, client, revision.FleetScope, testDocument(1))
 	answer, _ := openWatch(t, server, strings.Replace(goodHello, `"protocol":1`, `"protocol":2`, 1))
 	lines := bufio.NewReader(answer.Body)
 	var update revision.Update
@@ -133,54 +133,54 @@
 	}
 }
 
-func TestAQuietWatchHasHeartbeatsAndEndsWithTheReplica(t *testing.T) {
+func TestIdleWatchGetsHeartbeatsAndEndsOnStop(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
 	answer, _ := openWatch(t, server, goodHello)
 	lines := bufio.NewReader(answer.Body)
-	begin := time.Now()
+	start := time.Now()
 	for range 2 { // the first one comes at once
 		if line, err := lines.ReadString('\n'); err != nil || line != "\n" {
 			t.Fatalf("%q, %v", line, err)
 		}
 	}
-	if took := time.Since(begin); took > heartbeatTime+time.Second {
+	if took := time.Since(start); took > heartbeatInterval+time.Second {
 		t.Errorf("the heartbeat took %v", took)
 	}
-	begin = time.Now()
+	start = time.Now()
 	server.Stop()
 	if _, err := io.Copy(io.Discard, lines); err != nil {
 		t.Errorf("the watch did not end well: %v", err)
 	}
-	if took := time.Since(begin); took > drainTime+time.Second {
+	if took := time.Since(start); took > drainDuration+time.Second {
 		t.Errorf("the watch ended %v after the replica was told to stop", took)
 	}
 }
 
-func TestAFullReplicaTakesNoWatch(t *testing.T) {
+func TestReplicaAtWatchLimitRefusesWatch(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
 	server.mu.Lock()
-	server.watches = MaxWatches
+	server.watchCount = MaxWatches
 	server.mu.Unlock()
 	if answer, _ := openWatch(t, server, goodHello); answer.StatusCode != http.StatusServiceUnavailable {
 		t.Error(answer.Status)
 	}
 }
 
-func TestAProxyThatDoesNotReportIsDropped(t *testing.T) {
+func TestProxyWithoutReportIsDisconnected(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
-	apply(t, client, revision.FleetScope, utility(1))
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	apply(t, client, revision.FleetScope, testDocument(1))
 	answer, _ := openWatch(t, server, goodHello)
-	begin := time.Now()
+	start := time.Now()
 	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(begin); took < reportTime/2 || took > reportTime+2*time.Second {
+	if took := time.Since(start); took < reportTimeout/2 || took > reportTimeout+2*time.Second {
 		t.Errorf("it was dropped after %v", took)
 	}
 	status, err := client.Status(context.Background(), 0, true)
@@ -189,10 +189,10 @@
 	}
 }
 
-func TestABadReportEndsItsWatchAlone(t *testing.T) {
+func TestMalformedReportEndsOnlyItsWatch(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
 	answer, out := openWatch(t, server, goodHello)
 	io.WriteString(out, `{"revision":7,"verdict":"in_force"}`+"\n") // it answers nothing
 	io.WriteString(out, "no report\n")
@@ -205,16 +205,16 @@
 	}
 }
 
-func TestBadMessagesBetweenReplicasChangeNothing(t *testing.T) {
+func TestMalformedReplicaMessagesAreIgnored(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
+	server, client := startSingleReplica(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
 	client.AllowStale = true
-	awaitReady(t, client)
-	stranger, err := proto.Marshal(&raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: proto.Uint64(99), Term: proto.Uint64(9)})
+	awaitReadable(t, client)
+	foreign, err := proto.Marshal(&raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: proto.Uint64(99), Term: proto.Uint64(9)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	framed := append(binary.BigEndian.AppendUint32(nil, uint32(len(stranger))), stranger...)
+	framed := append(binary.BigEndian.AppendUint32(nil, uint32(len(foreign))), foreign...)
 	for _, message := range []struct {
 		path, fleet, sender, body string
 		status                    int
@@ -252,23 +252,23 @@
 	}
 }
 
-func TestBadChangesAreRefusedInOneLine(t *testing.T) {
+func TestInvalidApplyRequestsAreRefused(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
-	good := `{"id":"%s","scope":"fleet","base":0,"author":"a","reason":"r","document":%s}`
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	valid := `{"id":"%s","scope":"fleet","base":0,"author":"a","reason":"r","document":%s}`
 	for body, want := range map[string]controlapi.Kind{
-		"{":                                  controlapi.KindBadRequest,
-		fmt.Sprintf(good, "", "{}"):          controlapi.KindBadRequest,
-		fmt.Sprintf(good, "1", `{"a":null}`): controlapi.KindBadRequest,
-		fmt.Sprintf(good, "2", `[]`):         controlapi.KindBadRequest,
-		strings.Replace(fmt.Sprintf(good, "3", "{}"), "fleet", "rack:1", 1):             controlapi.KindBadRequest,
-		strings.Replace(fmt.Sprintf(good, "4", "{}"), `"r"`, `"r\nr"`, 1):               controlapi.KindBadRequest,
-		strings.Repeat(" ", controlapi.MaxBodyBytes+1) + "{}":                           controlapi.KindBadRequest,
-		fmt.Sprintf(good, "5", `{"listen":"127.0.0.1:1"}`):                              controlapi.KindRefused,
-		fmt.Sprintf(good, "6", `{"settings":{"tick_ms":"soon"}}`):                       controlapi.KindRefused,
-		strings.Replace(fmt.Sprintf(good, "7", "{}"), `"base":0`, `"base":3`, 1):        controlapi.KindNotFound,
-		strings.Replace(fmt.Sprintf(good, "8", "{}"), `"base":0`, `"rollback_of":3`, 1): controlapi.KindNotFound,
+		"{":                                   controlapi.KindBadRequest,
+		fmt.Sprintf(valid, "", "{}"):          controlapi.KindBadRequest,
+		fmt.Sprintf(valid, "1", `{"a":null}`): controlapi.KindBadRequest,
+		fmt.Sprintf(valid, "2", `[]`):         controlapi.KindBadRequest,
+		strings.Replace(fmt.Sprintf(valid, "3", "{}"), "fleet", "rack:1", 1):             controlapi.KindBadRequest,
+		strings.Replace(fmt.Sprintf(valid, "4", "{}"), `"r"`, `"r\nr"`, 1):               controlapi.KindBadRequest,
+		strings.Repeat(" ", controlapi.MaxBodyBytes+1) + "{}":                            controlapi.KindBadRequest,
+		fmt.Sprintf(valid, "5", `{"listen":"127.0.0.1:1"}`):                              controlapi.KindRefused,
+		fmt.Sprintf(valid, "6", `{"settings":{"tick_ms":"soon"}}`):                       controlapi.KindRefused,
+		strings.Replace(fmt.Sprintf(valid, "7", "{}"), `"base":0`, `"base":3`, 1):        controlapi.KindNotFound,
+		strings.Replace(fmt.Sprintf(valid, "8", "{}"), `"base":0`, `"rollback_of":3`, 1): controlapi.KindNotFound,
 	} {
 		answer, err := http.Post("http://"+server.Address()+controlapi.ApplyPath, "application/json", strings.NewReader(body))
 		if err != nil {
@@ -288,17 +288,18 @@
 	}
 }
 
-func TestARepeatedChangeIsMadeOnceAndAConflictNamesTheOther(t *testing.T) {
+func TestRepeatedApplyIsIdempotentAndConflictNamesAuthor(t *testing.T) {
 	t.Parallel()
-	_, client := startAlone(t, nil)
-	awaitReady(t, client)
-	request := controlapi.ApplyRequest{ID: "first", Scope: revision.FleetScope, Document: utility(1), Author: "anna", Reason: "more"}
+	_, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	request := controlapi.ApplyRequest{ID: "first", Scope: revision.FleetScope, Document: testDocument(1), Author: "anna",
+		Reason: "more"}
 	for range 3 {
 		if accepted, err := client.Apply(context.Background(), request); err != nil || accepted.Number != 1 {
 			t.Fatalf("%+v, %v", accepted, err)
 		}
 	}
-	request.ID, request.Author, request.Document = "second", "bert", utility(2)
+	request.ID, request.Author, request.Document = "second", "bert", testDocument(2)
 	_, err := client.Apply(context.Background(), request)
 	var conflict *controlapi.Error
 	if !errors.As(err, &conflict) || conflict.Kind != controlapi.KindConflict || len(conflict.Changed) != 1 ||
@@ -307,13 +308,13 @@
 	}
 }
 
-func TestWithoutAQuorumWritesAreRefusedAndReadsSayHowOldTheyAre(t *testing.T) {
+func TestWithoutQuorumWritesFailAndStaleReadsReportAge(t *testing.T) {
 	t.Parallel()
-	_, client := startAlone(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
+	_, client := startSingleReplica(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	request := controlapi.ApplyRequest{Scope: revision.FleetScope, Document: utility(1), Author: "anna", Reason: "more"}
-	if _, err := client.Apply(ctx, request); kindOf(err) != controlapi.KindNoQuorum {
+	request := controlapi.ApplyRequest{Scope: revision.FleetScope, Document: testDocument(1), Author: "anna", Reason: "more"}
+	if _, err := client.Apply(ctx, request); errorKind(err) != controlapi.KindNoQuorum {
 		t.Errorf("%v", err)
 	}
 	client.AllowStale = true
@@ -326,18 +327,18 @@
 // failingStorage fails from one operation on.
 type failingStorage struct {
 	Storage
-	failure error
-	after   int
+	err                error
+	savesBeforeFailure int
 }
 
 func (f *failingStorage) Save(work control.Work) error {
-	if f.after--; f.after < 0 {
-		return f.failure
+	if f.savesBeforeFailure--; f.savesBeforeFailure < 0 {
+		return f.err
 	}
 	return f.Storage.Save(work)
 }
 
-func TestAReplicaThatCanNotSaveAcknowledgesNothingAndEnds(t *testing.T) {
+func TestReplicaStopsWhenStorageFails(t *testing.T) {
 	t.Parallel()
 	for after := range 8 {
 		t.Run(fmt.Sprintf("after %d", after), func(t *testing.T) {
@@ -348,9 +349,9 @@
 }
 
 // checkFailingDisk lets the disk fail after some operations, and compares what was accepted with what lies on it.
-func checkFailingDisk(t *testing.T, after int) {
+func checkFailingDisk(t *testing.T, saves int) {
 	folder := t.TempDir()
-	storage := &failingStorage{openStorage(t, folder), syscall.ENOSPC, after}
+	storage := &failingStorage{openStorage(t, folder), syscall.ENOSPC, saves}
 	config := &Config{Fleet: "shop", Name: "c1", Folder: folder, Listen: "127.0.0.1:0",
 		Replicas: []Peer{{Name: "c1", Address: "127.0.0.1:1"}}}
 	server, err := newServer(config, storage, func(revision.Document) error { return nil })
@@ -359,15 +360,15 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- server.Run() }()
-	accepted, end := applyUntilItEnds(operatorOf(t, server.Address()), ended)
-	if !errors.Is(end, syscall.ENOSPC) || strings.Contains(end.Error(), "\n") {
-		t.Errorf("after %d: %v", after, end)
+	accepted, runErr := applyUntilStopped(newClient(t, server.Address()), ended)
+	if !errors.Is(runErr, syscall.ENOSPC) || strings.Contains(runErr.Error(), "\n") {
+		t.Errorf("after %d: %v", saves, runErr)
 	}
-	again, err := OpenStorage(folder, "shop", "c1")
+	reopened, err := OpenStorage(folder, "shop", "c1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	saved, err := again.Load()
+	saved, err := reopened.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -376,44 +377,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for work, any := node.Ready(); any; work, any = node.Ready() {
+	for work, hasWork := node.Ready(); hasWork; work, hasWork = node.Ready() {
 		if _, err := node.Advance(work); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if newest := node.State().NewestNumber(); int(newest) < accepted {
-		t.Errorf("after %d: %d accepted, %d are on the disk", after, accepted, newest)
+		t.Errorf("after %d: %d accepted, %d are on the disk", saves, accepted, newest)
 	}
-	again.Close()
+	reopened.Close()
 }
 
 // applyUntilItEnds makes changes until the replica ends, and says how many were accepted.
-func applyUntilItEnds(client *controlclient.Client, ended <-chan error) (accepted int, end error) {
+func applyUntilStopped(client *controlclient.Client, ended <-chan error) (accepted int, runErr error) {
 	for n := 0; ; n++ {
 		select {
-		case end = <-ended:
-			return accepted, end
+		case runErr = <-ended:
+			return accepted, runErr
 		default:
 		}
-		if _, err := tryApply(client, revision.FleetScope, utility(n), 300*time.Millisecond); err == nil {
+		if _, err := tryApply(client, revision.FleetScope, testDocument(n), 300*time.Millisecond); err == nil {
 			accepted++
 		}
 	}
 }
 
-func TestMistakesInAReplicasFile(t *testing.T) {
+func TestReadConfigRejectsInvalidFiles(t *testing.T) {
 	t.Parallel()
-	good := "fleet = \"shop\"\nname = \"c1\"\nfolder = \"log\"\nlisten = \"127.0.0.1:0\"\n" +
+	valid := "fleet = \"shop\"\nname = \"c1\"\nfolder = \"log\"\nlisten = \"127.0.0.1:0\"\n" +
 		"[[replica]]\nname = \"c1\"\naddress = \"127.0.0.1:1\"\n"
 	for text, want := range map[string]string{
-		good + "colour = 1\n":                                    "line 8, column 1: key replica.colour is unknown",
-		"fleet = ":                                               "line 1",
-		strings.Replace(good, "shop", "a b", 1):                  "fleet",
-		strings.Replace(good, `"log"`, `""`, 1):                  "folder is missing",
-		strings.Replace(good, "127.0.0.1:0", "here", 1):          "listen",
-		strings.Replace(good, `name = "c1"`, `name = "c3"`, 1):   "c3 is not one of the replicas",
-		good + "[[replica]]\nname = \"c1\"\naddress = \"h:1\"\n": "twice",
-		good + "[[replica]]\nname = \"c2\"\naddress = \"h\"\n":   "replica c2: address",
+		valid + "colour = 1\n":                                    "line 8, column 1: key replica.colour is unknown",
+		"fleet = ":                                                "line 1",
+		strings.Replace(valid, "shop", "a b", 1):                  "fleet",
+		strings.Replace(valid, `"log"`, `""`, 1):                  "folder is missing",
+		strings.Replace(valid, "127.0.0.1:0", "here", 1):          "listen",
+		strings.Replace(valid, `name = "c1"`, `name = "c3"`, 1):   "c3 is not one of the replicas",
+		valid + "[[replica]]\nname = \"c1\"\naddress = \"h:1\"\n": "twice",
+		valid + "[[replica]]\nname = \"c2\"\naddress = \"h\"\n":   "replica c2: address",
 	} {
 		path := filepath.Join(t.TempDir(), "control.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -448,19 +449,19 @@
 		if err := readBody(recorder, post, &request); err != nil {
 			return
 		}
-		if err := checkRequest(&request); err != nil && strings.Contains(err.Error(), "\n") {
+		if err := validateRequest(&request); err != nil && strings.Contains(err.Error(), "\n") {
 			t.Fatalf("%q", err)
 		}
 	})
 }
 
-func TestAConnectionThatEndsGivesItsPlaceBack(t *testing.T) {
+func TestClosedConnectionReleasesSlotOnce(t *testing.T) {
 	t.Parallel()
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := boundListener(inner, 1)
+	listener := newLimitListener(inner, 1)
 	defer listener.Close()
 	for range 3 {
 		client, err := net.Dial("tcp", inner.Addr().String())
--- a/internal/controlserver/simproxy_test.go
+++ b/internal/controlserver/simproxy_test.go
@@ -23,22 +23,22 @@
 	replicas []string
 	refuse   func(effective revision.Document) string // why it refuses a configuration, empty: it takes it
 
-	mu       sync.Mutex
-	held     map[revision.Scope]revision.ScopeDocument
-	revision revision.Number
-	checksum string
-	refused  map[revision.Number]bool
-	faults   []string // what must never happen
-	watches  int      // opened
+	mu         sync.Mutex
+	documents  map[revision.Scope]revision.ScopeDocument
+	revision   revision.Number
+	checksum   string
+	refused    map[revision.Number]bool
+	violations []string // what must never happen
+	watches    int      // opened
 }
 
 const (
-	simSilence = 5 * time.Second        // of a replica, until the proxy moves
-	simPause   = 300 * time.Millisecond // most between two attempts
+	simSilenceTimeout = 5 * time.Second        // of a replica, until the proxy moves
+	maxReconnectDelay = 300 * time.Millisecond // most between two attempts
 )
 
 func newSimProxy(identity revision.Identity, replicas []string) *simProxy {
-	return &simProxy{identity: identity, replicas: replicas, held: map[revision.Scope]revision.ScopeDocument{},
+	return &simProxy{identity: identity, replicas: replicas, documents: map[revision.Scope]revision.ScopeDocument{},
 		checksum: revision.Checksum(revision.EmptyDocument), refused: map[revision.Number]bool{}}
 }
 
@@ -48,7 +48,7 @@
 		p.watch(ctx, p.replicas[at%len(p.replicas)])
 		select {
 		case <-ctx.Done():
-		case <-time.After(rand.N(simPause)):
+		case <-time.After(rand.N(maxReconnectDelay)):
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	if p.revision == 0 {
 		hello.Checksum = ""
 	}
-	for _, held := range p.held {
+	for _, held := range p.documents {
 		hello.Documents = append(hello.Documents, revision.ScopeDocument{Scope: held.Scope, Number: held.Number})
 	}
 	return hello
@@ -70,99 +70,100 @@
 // watch serves one watch until it breaks or is silent. It speaks HTTP on a bare connection: net/http's client holds a
 // request whose connection was reset until the request's body ends.
 func (p *simProxy) watch(ctx context.Context, replica string) {
-	dialer := net.Dialer{Timeout: dialTime}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", replica)
 	if err != nil {
 		return
 	}
 	defer connection.Close()
 	defer context.AfterFunc(ctx, func() { connection.Close() })()
-	silence := time.AfterFunc(simSilence, func() { connection.Close() })
-	defer silence.Stop()
+	watchdog := time.AfterFunc(simSilenceTimeout, func() { connection.Close() })
+	defer watchdog.Stop()
 	fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: %s\r\nTransfer-Encoding: chunked\r\n\r\n", revision.WatchPath, replica)
 	encoder := json.NewEncoder(httputil.NewChunkedWriter(connection))
 	if encoder.Encode(p.hello()) != nil {
 		return
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
+	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err != nil {
 		return
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
 		return
 	}
-	lines := bufio.NewReader(answer.Body)
+	lines := bufio.NewReader(response.Body)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		silence.Reset(simSilence)
+		watchdog.Reset(simSilenceTimeout)
 		if len(line) == 1 {
 			continue
 		}
 		var update revision.Update
 		if err := json.Unmarshal(line, &update); err != nil {
-			p.fault("update %s: %v", line, err)
+			p.addViolation("update %s: %v", line, err)
 			return
 		}
-		if encoder.Encode(p.take(update)) != nil {
+		if encoder.Encode(p.applyUpdate(update)) != nil {
 			return
 		}
 	}
 }
 
-func (p *simProxy) fault(format string, args ...any) {
+func (p *simProxy) addViolation(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faults = append(p.faults, p.identity.Proxy+": "+fmt.Sprintf(format, args...))
+	p.violations = append(p.violations, p.identity.Proxy+": "+fmt.Sprintf(format, args...))
 }
 
 // take applies an update and gives the report on it.
-func (p *simProxy) take(update revision.Update) revision.Report {
+func (p *simProxy) applyUpdate(update revision.Update) revision.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	report := revision.Report{Revision: update.Revision, Verdict: revision.Unknown, Checksum: p.checksum}
 	next := map[revision.Scope]revision.ScopeDocument{}
 	if !update.Full {
-		for scope, held := range p.held {
+		for scope, held := range p.documents {
 			next[scope] = held
 		}
 	}
 	for _, change := range update.Scopes {
 		document := change.Document
 		if len(change.Patch) > 0 {
-			held := next[change.Scope]
-			patched, err := revision.ApplyPatch(held.Document, change.Patch)
-			if err != nil || held.Number != change.From {
+			base := next[change.Scope]
+			patched, err := revision.ApplyPatch(base.Document, change.Patch)
+			if err != nil || base.Number != change.From {
 				report.Reason = "the change does not follow"
 				return report
 			}
 			document = patched
 		}
-		if change.Number < p.held[change.Scope].Number {
-			p.faults = append(p.faults, fmt.Sprintf("%s: %s goes back from %d to %d", p.identity.Proxy, change.Scope,
-				p.held[change.Scope].Number, change.Number))
+		if change.Number < p.documents[change.Scope].Number {
+			p.violations = append(p.violations, fmt.Sprintf("%s: %s goes back from %d to %d", p.identity.Proxy, change.Scope,
+				p.documents[change.Scope].Number, change.Number))
 		}
 		next[change.Scope] = revision.ScopeDocument{Scope: change.Scope, Number: change.Number, Document: document}
 	}
 	if update.Revision < p.revision {
-		p.faults = append(p.faults, fmt.Sprintf("%s goes back from %d to %d", p.identity.Proxy, p.revision, update.Revision))
+		p.violations = append(p.violations, fmt.Sprintf("%s goes back from %d to %d", p.identity.Proxy, p.revision, update.Revision))
 	}
-	return p.judge(update, next, report)
+	return p.applyMerged(update, next, report)
 }
 
 // judge takes a configuration over, or says why not.
-func (p *simProxy) judge(update revision.Update, next map[revision.Scope]revision.ScopeDocument, report revision.Report) revision.Report {
-	var held []revision.ScopeDocument
-	for _, one := range next {
-		held = append(held, one)
+func (p *simProxy) applyMerged(update revision.Update, documents map[revision.Scope]revision.ScopeDocument,
+	report revision.Report) revision.Report {
+	var list []revision.ScopeDocument
+	for _, document := range documents {
+		list = append(list, document)
 	}
-	effective, err := revision.EffectiveDocument(p.identity, held)
+	effective, err := revision.EffectiveDocument(p.identity, list)
 	if err != nil || revision.Checksum(effective) != update.Checksum {
 		report.Reason = "the checksum is wrong"
-		p.faults = append(p.faults, fmt.Sprintf("%s: update %d gives %s, its checksum is another's (%v)",
+		p.violations = append(p.violations, fmt.Sprintf("%s: update %d gives %s, its checksum is another's (%v)",
 			p.identity.Proxy, update.Revision, effective, err))
 		return report
 	}
@@ -173,7 +174,7 @@
 			return report
 		}
 	}
-	p.held, p.revision, p.checksum = next, update.Revision, update.Checksum
+	p.documents, p.revision, p.checksum = documents, update.Revision, update.Checksum
 	report.Verdict, report.Checksum = revision.InForce, update.Checksum
 	return report
 }
@@ -228,11 +229,11 @@
 }
 
 // faults gives what must never happen and did.
-func (f *simFleet) faults() string {
+func (f *simFleet) violations() string {
 	var all []string
 	for _, proxy := range f.proxies {
 		proxy.mu.Lock()
-		all = append(all, proxy.faults...)
+		all = append(all, proxy.violations...)
 		proxy.mu.Unlock()
 	}
 	return strings.Join(all, "\n")
--- a/internal/controlserver/storage.go
+++ b/internal/controlserver/storage.go
@@ -11,69 +11,71 @@
 	"sandpass/internal/control"
 )
 
-// Storage keeps what a replica must not forget. After an error of Save the replica takes part in nothing any more: what is
-// on the disk is then not known.
+// Storage persists the consensus state of a replica. After an error of Save the replica must stop, because the content of
+// the disk is then unknown.
 type Storage interface {
-	// Load reads all that was saved. An error means that the record is damaged or belongs to somebody else.
+	// Load reads all saved records. An error means that a record is damaged or cannot be read.
 	Load() (control.PersistedState, error)
-	// Save writes a work's snapshot, compaction, hard state and entries, all of them or none; once it returns nil they
-	// outlive the machine's power.
+	// Save writes the snapshot, compaction, hard state and entries of work, all of them or none. Once it returns nil, they
+	// survive a power failure.
 	Save(control.Work) error
+	// Close releases the storage.
 	Close() error
 }
 
-// A record on the disk is the format's version (1 byte), the CRC32C of the key, the version and the content (4 bytes,
-// little endian), and the content.
+// A record on the disk consists of the format version (1 byte), the CRC32C of the key, the version and the content
+// (4 bytes, little endian), and the content.
 const (
-	recordVersion = 1
-	recordHead    = 5
+	recordVersion     = 1
+	recordHeaderBytes = 5
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-func recordSum(key, content []byte) uint32 {
-	sum := crc32.Update(0, castagnoli, key)
-	sum = crc32.Update(sum, castagnoli, []byte{recordVersion})
-	return crc32.Update(sum, castagnoli, content)
+// recordChecksum returns the CRC32C of the key, the format version and the content.
+func recordChecksum(key, content []byte) uint32 {
+	sum := crc32.Update(0, castagnoliTable, key)
+	sum = crc32.Update(sum, castagnoliTable, []byte{recordVersion})
+	return crc32.Update(sum, castagnoliTable, content)
 }
 
-// sealRecord gives a content the head that openRecord checks.
-func sealRecord(key, content []byte) []byte {
-	record := make([]byte, recordHead, recordHead+len(content))
+// encodeRecord prepends the header that decodeRecord verifies to a content.
+func encodeRecord(key, content []byte) []byte {
+	record := make([]byte, recordHeaderBytes, recordHeaderBytes+len(content))
 	record[0] = recordVersion
-	binary.LittleEndian.PutUint32(record[1:], recordSum(key, content))
+	binary.LittleEndian.PutUint32(record[1:], recordChecksum(key, content))
 	return append(record, content...)
 }
 
-// openRecord gives a record's content, or says what is wrong with it.
-func openRecord(key, record []byte) ([]byte, error) {
-	if len(record) < recordHead {
-		return nil, errors.New("it is too short")
+// decodeRecord verifies a record's header and returns the content.
+func decodeRecord(key, record []byte) ([]byte, error) {
+	if len(record) < recordHeaderBytes {
+		return nil, errors.New("too short")
 	}
 	if record[0] != recordVersion {
-		return nil, fmt.Errorf("its format is %d, this program knows %d", record[0], recordVersion)
+		return nil, fmt.Errorf("format version %d, this program supports %d", record[0], recordVersion)
 	}
-	content := record[recordHead:]
-	if binary.LittleEndian.Uint32(record[1:]) != recordSum(key, content) {
-		return nil, errors.New("its checksum is wrong")
+	content := record[recordHeaderBytes:]
+	if binary.LittleEndian.Uint32(record[1:]) != recordChecksum(key, content) {
+		return nil, errors.New("wrong checksum")
 	}
 	return content, nil
 }
 
-// sealMessage is sealRecord of a message.
-func sealMessage(key []byte, message proto.Message) ([]byte, error) {
+// encodeMessage encodes a message as a record.
+func encodeMessage(key []byte, message proto.Message) ([]byte, error) {
 	content, err := proto.Marshal(message)
 	if err != nil {
 		return nil, err
 	}
-	return sealRecord(key, content), nil
+	return encodeRecord(key, content), nil
 }
 
-// openMessage decodes a record's content.
-func openMessage(key, record []byte, into proto.Message) error {
-	content, err := openRecord(key, record)
+// decodeMessage verifies a record and decodes its content into a message.
+func decodeMessage(key, record []byte, target proto.Message) error {
+	content, err := decodeRecord(key, record)
 	if err == nil {
-		err = proto.Unmarshal(content, into)
+		err = proto.Unmarshal(content, target)
 	}
 	if err != nil {
 		return fmt.Errorf("record %q: %w", key, err)
--- a/internal/controlserver/storage_test.go
+++ b/internal/controlserver/storage_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestStorageHoldsWhatWasSaved(t *testing.T) {
+func TestStorageLoadsSavedRecords(t *testing.T) {
 	folder := t.TempDir()
 	storage := openStorage(t, folder)
 	save(t, storage,
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestStorageOfSomebodyElseIsRefused(t *testing.T) {
+func TestStorageRejectsOtherOwner(t *testing.T) {
 	folder := t.TempDir()
 	openStorage(t, folder).Close()
 	for _, owner := range [][2]string{{"other", "c1"}, {"shop", "c2"}} {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestStorageThatIsOpenElsewhereIsRefused(t *testing.T) {
+func TestStorageRejectsSecondOpen(t *testing.T) {
 	folder := t.TempDir()
 	openStorage(t, folder)
 	if _, err := OpenStorage(folder, "shop", "c1"); err == nil || !strings.Contains(err.Error(), "timeout") {
@@ -84,7 +84,7 @@
 }
 
 // filled is the text of a storage file with some entries.
-func filled(t testing.TB) []byte {
+func populatedStorageFile(t testing.TB) []byte {
 	folder := t.TempDir()
 	storage, err := OpenStorage(folder, "shop", "c1")
 	if err != nil {
@@ -97,7 +97,7 @@
 		}
 	}
 	storage.Close()
-	text, err := os.ReadFile(filepath.Join(folder, storageFile))
+	text, err := os.ReadFile(filepath.Join(folder, storageFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,9 +105,9 @@
 }
 
 // loadText opens and loads a file with the text.
-func loadText(t testing.TB, text []byte) (control.PersistedState, error) {
+func loadBytes(t testing.TB, text []byte) (control.PersistedState, error) {
 	folder := t.TempDir()
-	if err := os.WriteFile(filepath.Join(folder, storageFile), text, fileMode); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, storageFileName), text, fileMode); err != nil {
 		t.Fatal(err)
 	}
 	storage, err := OpenStorage(folder, "shop", "c1")
@@ -118,55 +118,55 @@
 	return storage.Load()
 }
 
-func TestATornFileIsRefusedInOneLine(t *testing.T) {
-	text := filled(t)
+func TestTruncatedStorageFileIsRejected(t *testing.T) {
+	text := populatedStorageFile(t)
 	for _, size := range []int{100, 4096, 3 * 4096, len(text) / 2, len(text) - 4096} {
-		saved, err := loadText(t, text[:size])
+		saved, err := loadBytes(t, text[:size])
 		if err == nil && len(saved.Entries) == 40 {
 			continue // what is missing was free
 		}
-		if err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), storageFile) {
+		if err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), storageFileName) {
 			t.Errorf("%d of %d bytes: %v", size, len(text), err)
 		}
 	}
 }
 
-func TestAFlippedByteIsRefusedOrChangesNothing(t *testing.T) {
-	text := filled(t)
-	want, err := loadText(t, text)
+func TestFlippedByteIsRejectedOrHarmless(t *testing.T) {
+	text := populatedStorageFile(t)
+	want, err := loadBytes(t, text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := 0
-	for at := 0; at < len(text); at += 509 {
+	rejected := 0
+	for offset := 0; offset < len(text); offset += 509 {
 		damaged := append([]byte(nil), text...)
-		damaged[at] ^= 0x40
-		saved, err := loadText(t, damaged)
+		damaged[offset] ^= 0x40
+		saved, err := loadBytes(t, damaged)
 		if err != nil {
-			found++
+			rejected++
 			continue
 		}
 		if len(saved.Entries) != len(want.Entries) || !proto.Equal(saved.HardState, want.HardState) {
-			t.Fatalf("byte %d: %d entries, %v", at, len(saved.Entries), saved.HardState)
+			t.Fatalf("byte %d: %d entries, %v", offset, len(saved.Entries), saved.HardState)
 		}
 		for i, entry := range saved.Entries {
 			if !proto.Equal(entry, want.Entries[i]) {
-				t.Fatalf("byte %d: entry %d differs", at, i+1)
+				t.Fatalf("byte %d: entry %d differs", offset, i+1)
 			}
 		}
 	}
-	if found == 0 {
+	if rejected == 0 {
 		t.Error("no damage was found")
 	}
 }
 
 func FuzzRecord(f *testing.F) {
 	key := []byte("key")
-	f.Add(sealRecord(key, []byte("content")))
+	f.Add(encodeRecord(key, []byte("content")))
 	f.Add([]byte{1, 2})
 	f.Fuzz(func(t *testing.T, record []byte) {
-		content, err := openRecord(key, record)
-		if err == nil && string(sealRecord(key, content)) != string(record) {
+		content, err := decodeRecord(key, record)
+		if err == nil && string(encodeRecord(key, content)) != string(record) {
 			t.Fatalf("%q is not what sealing gives", record)
 		}
 	})
--- a/internal/controlserver/transport.go
+++ b/internal/controlserver/transport.go
@@ -18,71 +18,75 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Between two replicas goes one request in each direction whose body stays open: messages of the consensus core, each
-// after its length in 4 bytes, big endian. The receiver answers with a byte now and then, by which the sender knows that
-// the way is open both ways: after a silence it connects anew, so that a cut that has healed does not wait for TCP.
+// Two replicas keep one HTTP request open in each direction. Its body carries the messages of the consensus core, each
+// preceded by its length in 4 bytes, big endian. The receiver writes a byte to the response every keepaliveInterval, so
+// that the sender knows that the connection works in both directions. Without a byte for silenceTimeout the sender
+// reconnects, so that recovery from a network partition does not wait for TCP's retransmission.
 const (
-	raftPath        = "/replica/raft"
-	fleetHeader     = "Sandpass-Fleet"
-	senderHeader    = "Sandpass-Replica"
-	messageMost     = 64 << 20               // bytes of one message; a snapshot is the largest
-	queueMost       = 512                    // messages that wait for one replica; further ones are dropped
-	dialTime        = time.Second            // for a connection
-	aliveInterval   = 500 * time.Millisecond // between two bytes of an answer
-	silenceMost     = 2 * time.Second        // of the other side, before one connects anew
-	reconnectPause  = 100 * time.Millisecond // between two attempts
-	complainPause   = 10 * time.Second       // between two lines on one replica's bad messages
-	replicaGoneTime = 5 * time.Second        // of silence, after which a replica's watches count as closed
+	raftPath              = "/replica/raft"
+	fleetHeader           = "Sandpass-Fleet"
+	senderHeader          = "Sandpass-Replica"
+	maxMessageBytes       = 64 << 20               // a snapshot is the largest message
+	maxQueuedMessages     = 512                    // per replica; further messages are dropped
+	dialTimeout           = time.Second            // for a connection attempt, and for a join request
+	keepaliveInterval     = 500 * time.Millisecond // between two keepalive bytes of a response
+	silenceTimeout        = 2 * time.Second        // without bytes from the other side, after which the connection is closed
+	reconnectDelay        = 100 * time.Millisecond // between two connection attempts
+	badMessageLogInterval = 10 * time.Second       // between two log lines about one replica's rejected messages
+	replicaGoneTimeout    = 5 * time.Second        // without messages from a replica, after which its watches count as closed
 )
 
-// transport carries the core's messages to the other replicas.
+// transport sends the core's messages to the other replicas.
 type transport struct {
-	server *Server
-	client *http.Client
-	peers  map[uint64]*peerLink
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	server  *Server
+	client  *http.Client
+	peers   map[uint64]*peerLink
+	ctx     context.Context
+	cancel  context.CancelFunc
+	streams sync.WaitGroup
 }
 
-// peerLink is the way to one replica.
+// peerLink is the connection to one replica.
 type peerLink struct {
 	id    uint64
 	peer  Peer
 	queue chan *raftpb.Message
 
-	mu         sync.Mutex
-	heard      time.Time // when anything last came from it
-	refused    int       // messages from it, since the last line in the log
-	complained time.Time // when that line was
+	mu            sync.Mutex
+	lastReceived  time.Time // when anything was last received from the replica
+	rejectedCount int       // messages from the replica rejected since the last log line
+	lastRejectLog time.Time // time of that log line
 }
 
+// newTransport returns a transport to all other replicas of a server. It sends nothing until start is called.
 func newTransport(server *Server) *transport {
-	dialer := &net.Dialer{Timeout: dialTime, Control: dropDeadPeers}
+	dialer := &net.Dialer{Timeout: dialTimeout, Control: setTCPUserTimeout}
 	t := &transport{server: server, peers: map[uint64]*peerLink{},
 		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext}}}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	for id, peer := range server.peers {
 		if id != server.id {
-			t.peers[id] = &peerLink{id: id, peer: peer, queue: make(chan *raftpb.Message, queueMost), heard: time.Now()}
+			t.peers[id] = &peerLink{id: id, peer: peer, queue: make(chan *raftpb.Message, maxQueuedMessages), lastReceived: time.Now()}
 		}
 	}
 	return t
 }
 
+// start begins to connect to all other replicas.
 func (t *transport) start() {
 	for _, link := range t.peers {
-		t.done.Go(func() { t.keepConnected(link) })
+		t.streams.Go(func() { t.keepConnected(link) })
 	}
 }
 
+// stop closes all streams and waits for their goroutines.
 func (t *transport) stop() {
 	t.cancel()
-	t.done.Wait()
+	t.streams.Wait()
 	t.client.CloseIdleConnections()
 }
 
-// send queues messages; one that finds no room is dropped, as the core allows.
+// send queues messages. If a queue is full the message is dropped, which the core tolerates.
 func (t *transport) send(messages []*raftpb.Message) {
 	for _, message := range messages {
 		link := t.peers[message.GetTo()]
@@ -92,42 +96,42 @@
 		select {
 		case link.queue <- message:
 		default:
-			t.lost(link, message)
+			t.reportUndelivered(link, message)
 		}
 	}
 }
 
-// lost tells the core that a message did not arrive.
-func (t *transport) lost(link *peerLink, message *raftpb.Message) {
+// reportUndelivered tells the core that a replica is unreachable, and that a snapshot was not delivered if message is one.
+func (t *transport) reportUndelivered(link *peerLink, message *raftpb.Message) {
 	t.server.mu.Lock()
 	defer t.server.mu.Unlock()
 	t.server.node.ReportUnreachable(link.id)
 	if message != nil && message.GetType() == raftpb.MsgSnap {
 		t.server.node.ReportSnapshot(link.id, false)
 	}
-	t.server.rouse()
+	t.server.wakeDriver()
 }
 
-// keepConnected keeps a stream to one replica open until the end.
+// keepConnected keeps a stream to one replica open until the transport stops.
 func (t *transport) keepConnected(link *peerLink) {
-	reachable := true // as the log has it
+	loggedReachable := true // according to the last log line
 	for t.ctx.Err() == nil {
 		answered, err := t.stream(link)
-		if t.ctx.Err() == nil && (answered || reachable) {
+		if t.ctx.Err() == nil && (answered || loggedReachable) {
 			log.Printf("msg=control_replica_unreachable replica=%s error=%q", link.peer.Name, err)
-			reachable = false
+			loggedReachable = false
 		}
-		t.lost(link, nil)
-		link.drain()
+		t.reportUndelivered(link, nil)
+		link.discardQueued()
 		select {
 		case <-t.ctx.Done():
-		case <-time.After(reconnectPause):
+		case <-time.After(reconnectDelay):
 		}
 	}
 }
 
-// drain drops messages that have waited through an outage; the core sends what still counts again.
-func (l *peerLink) drain() {
+// discardQueued drops the messages queued during an outage. The core sends again what is still needed.
+func (l *peerLink) discardQueued() {
 	for {
 		select {
 		case <-l.queue:
@@ -137,7 +141,7 @@
 	}
 }
 
-// stream sends messages over one connection until it breaks. It says whether the replica answered.
+// stream sends messages over one connection until it breaks. answered reports whether the replica sent a keepalive byte.
 func (t *transport) stream(link *peerLink) (answered bool, err error) {
 	ctx, cancel := context.WithCancelCause(t.ctx)
 	defer cancel(nil)
@@ -149,39 +153,40 @@
 	}
 	request.Header.Set(fleetHeader, t.server.config.Fleet)
 	request.Header.Set(senderHeader, t.server.config.Name)
-	silence := time.AfterFunc(silenceMost, func() { cancel(errors.New("it is silent")) })
-	defer silence.Stop()
-	var writing sync.WaitGroup
-	defer writing.Wait()
+	watchdog := time.AfterFunc(silenceTimeout, func() { cancel(errors.New("no keepalive received in time")) })
+	defer watchdog.Stop()
+	var writer sync.WaitGroup
+	defer writer.Wait()
 	defer cancel(nil)
-	writing.Go(func() { pipe.CloseWithError(t.writeMessages(ctx, link, pipe)) })
-	answer, err := t.client.Do(request)
+	writer.Go(func() { pipe.CloseWithError(t.writeMessages(ctx, link, pipe)) })
+	response, err := t.client.Do(request)
 	if err != nil {
-		return false, causeOf(ctx, err)
+		return false, contextCause(ctx, err)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(answer.Body, lineMost))
-		return false, fmt.Errorf("%s: %s", answer.Status, bytes.TrimSpace(text))
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		text, _ := io.ReadAll(io.LimitReader(response.Body, maxLineBytes))
+		return false, fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(text))
 	}
-	for piece := make([]byte, 64); ; {
-		if _, err := answer.Body.Read(piece); err != nil {
-			return answered, causeOf(ctx, err)
+	for buffer := make([]byte, 64); ; {
+		if _, err := response.Body.Read(buffer); err != nil {
+			return answered, contextCause(ctx, err)
 		}
 		answered = true
-		link.touch()
-		silence.Reset(silenceMost)
+		link.markReceived()
+		watchdog.Reset(silenceTimeout)
 	}
 }
 
-func causeOf(ctx context.Context, err error) error {
+// contextCause returns the reason why the context was canceled, or err if it was not canceled.
+func contextCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
 	return err
 }
 
-// writeMessages writes what is queued, as many messages at once as there are.
+// writeMessages writes queued messages until the context ends. It flushes when the queue is empty.
 func (t *transport) writeMessages(ctx context.Context, link *peerLink, out io.Writer) error {
 	buffered := bufio.NewWriter(out)
 	for {
@@ -201,13 +206,14 @@
 	}
 }
 
+// writeMessage writes one message after its length, and reports to the core whether a snapshot was written.
 func (t *transport) writeMessage(link *peerLink, out *bufio.Writer, message *raftpb.Message) error {
-	text, err := proto.Marshal(message)
+	data, err := proto.Marshal(message)
 	if err == nil {
-		_, err = out.Write(binary.BigEndian.AppendUint32(nil, uint32(len(text))))
+		_, err = out.Write(binary.BigEndian.AppendUint32(nil, uint32(len(data))))
 	}
 	if err == nil {
-		_, err = out.Write(text)
+		_, err = out.Write(data)
 	}
 	if message.GetType() == raftpb.MsgSnap {
 		t.server.mu.Lock()
@@ -217,32 +223,33 @@
 	return err
 }
 
-// touch notes that something came from the replica.
-func (l *peerLink) touch() {
+// markReceived records that something was received from the replica.
+func (l *peerLink) markReceived() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = time.Now()
+	l.lastReceived = time.Now()
 }
 
-// silent is how long nothing came from the replica.
-func (l *peerLink) silent() time.Duration {
+// silentFor returns the time since anything was received from the replica.
+func (l *peerLink) silentFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Since(l.heard)
+	return time.Since(l.lastReceived)
 }
 
-// silentReplicas names the replicas that were not heard for so long that their watches count as closed.
-func (t *transport) silentReplicas() (names []string) {
+// goneReplicas returns the names of the replicas that have been silent for so long that their watches count as closed.
+func (t *transport) goneReplicas() (names []string) {
 	for _, link := range t.peers {
-		if link.silent() > replicaGoneTime {
+		if link.silentFor() > replicaGoneTimeout {
 			names = append(names, link.peer.Name)
 		}
 	}
 	return names
 }
 
-// sender finds the replica that a request is from; a foreign one is refused in one line.
-func (s *Server) sender(w http.ResponseWriter, r *http.Request) *peerLink {
+// senderLink returns the link of the replica that sent a request. If the sender is not a replica of this fleet, it refuses
+// the request in one line and returns nil.
+func (s *Server) senderLink(w http.ResponseWriter, r *http.Request) *peerLink {
 	fleet, name := r.Header.Get(fleetHeader), r.Header.Get(senderHeader)
 	if fleet != s.config.Fleet {
 		refuse(w, fmt.Sprintf("fleet %.128q is not %q", fleet, s.config.Fleet), http.StatusForbidden)
@@ -255,120 +262,122 @@
 	return link
 }
 
-// serveRaft takes the core's messages of another replica.
+// serveRaft receives the stream of core messages of another replica.
 func (s *Server) serveRaft(w http.ResponseWriter, r *http.Request) {
-	link := s.sender(w, r)
+	link := s.senderLink(w, r)
 	if link == nil {
 		return
 	}
-	answer := http.NewResponseController(w)
-	answer.SetReadDeadline(time.Time{})
+	controller := http.NewResponseController(w)
+	controller.SetReadDeadline(time.Time{})
 	ended := make(chan struct{})
-	var answering sync.WaitGroup
-	defer answering.Wait()
+	var keepalives sync.WaitGroup
+	defer keepalives.Wait()
 	defer close(ended)
-	answering.Go(func() { stayAlive(w, answer, ended, s.stop) })
+	keepalives.Go(func() { sendKeepalives(w, controller, ended, s.stop) })
 	input := bufio.NewReader(r.Body)
 	for {
 		message, err := readMessage(input)
 		if err != nil {
-			if errors.Is(err, errBadMessage) {
-				link.complain(err)
+			if errors.Is(err, errMalformedMessage) {
+				link.logRejected(err)
 			}
-			answer.SetReadDeadline(time.Now()) // so that net/http does not wait for the rest of the body
+			controller.SetReadDeadline(time.Now()) // so that net/http does not wait for the rest of the body
 			return
 		}
-		link.touch()
+		link.markReceived()
 		if message.GetFrom() != link.id {
-			link.complain(errors.New("it is in another's name"))
-			answer.SetReadDeadline(time.Now())
+			link.logRejected(errors.New("the sender of the message is another replica"))
+			controller.SetReadDeadline(time.Now())
 			return
 		}
 		s.step(link, message)
 	}
 }
 
-// complain logs that a message was refused, and how many were since the last such line.
-func (l *peerLink) complain(err error) {
+// logRejected logs that a message was rejected, with the number of rejections since the last such line. It logs at most
+// once per badMessageLogInterval.
+func (l *peerLink) logRejected(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refused++
-	if time.Since(l.complained) < complainPause {
+	l.rejectedCount++
+	if time.Since(l.lastRejectLog) < badMessageLogInterval {
 		return
 	}
-	log.Printf("msg=control_bad_message replica=%s count=%d error=%q", l.peer.Name, l.refused, err)
-	l.complained, l.refused = time.Now(), 0
+	log.Printf("msg=control_bad_message replica=%s count=%d error=%q", l.peer.Name, l.rejectedCount, err)
+	l.lastRejectLog, l.rejectedCount = time.Now(), 0
 }
 
-// stayAlive writes a byte to the answer now and then. When the replica stops, the connection is cut.
-func stayAlive(w http.ResponseWriter, answer *http.ResponseController, ended, stop <-chan struct{}) {
-	ticker := time.NewTicker(aliveInterval)
+// sendKeepalives writes a byte to the response every keepaliveInterval. When the replica stops or
+// the byte cannot be written, it ends the stream by an expired read deadline.
+func sendKeepalives(w http.ResponseWriter, controller *http.ResponseController, ended, stop <-chan struct{}) {
+	ticker := time.NewTicker(keepaliveInterval)
 	defer ticker.Stop()
 	for {
-		answer.SetWriteDeadline(time.Now().Add(silenceMost))
+		controller.SetWriteDeadline(time.Now().Add(silenceTimeout))
 		_, err := w.Write([]byte("\n"))
 		if err == nil {
-			err = answer.Flush()
+			err = controller.Flush()
 		}
 		if err != nil {
-			answer.SetReadDeadline(time.Now())
+			controller.SetReadDeadline(time.Now())
 			return
 		}
 		select {
 		case <-ended:
 			return
 		case <-stop:
-			answer.SetReadDeadline(time.Now())
+			controller.SetReadDeadline(time.Now())
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-var errBadMessage = errors.New("malformed message")
+var errMalformedMessage = errors.New("malformed message")
 
-// readMessage reads one message; memory is taken only as its bytes come.
+// readMessage reads one message. It allocates memory only as the bytes arrive, not by the announced length.
 func readMessage(input io.Reader) (*raftpb.Message, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(input, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(input, header[:]); err != nil {
 		return nil, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
-	if size > messageMost {
-		return nil, fmt.Errorf("%w: %d bytes, %d are allowed", errBadMessage, size, messageMost)
+	size := binary.BigEndian.Uint32(header[:])
+	if size > maxMessageBytes {
+		return nil, fmt.Errorf("%w: %d bytes, at most %d are allowed", errMalformedMessage, size, maxMessageBytes)
 	}
-	text, err := io.ReadAll(io.LimitReader(input, int64(size)))
+	data, err := io.ReadAll(io.LimitReader(input, int64(size)))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) < int(size) {
+	if len(data) < int(size) {
 		return nil, io.ErrUnexpectedEOF
 	}
 	message := &raftpb.Message{}
-	if err := proto.Unmarshal(text, message); err != nil {
-		return nil, fmt.Errorf("%w: %w", errBadMessage, err)
+	if err := proto.Unmarshal(data, message); err != nil {
+		return nil, fmt.Errorf("%w: %w", errMalformedMessage, err)
 	}
 	return message, nil
 }
 
-// step passes a message to the core.
+// step passes a message to the core and wakes the driver.
 func (s *Server) step(link *peerLink, message *raftpb.Message) {
 	if err := s.stepNode(link, message); err != nil {
 		s.fail(err)
 	}
-	s.rouse()
+	s.wakeDriver()
 }
 
-// stepNode gives an error that the replica can't go on with; a message that is refused changes nothing.
+// stepNode passes a message to the core. It returns only fatal errors; a rejected message is logged and changes nothing.
 func (s *Server) stepNode(link *peerLink, message *raftpb.Message) (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer catchPanic(&err)
-	if !s.passes(message) {
+	defer recoverPanic(&err)
+	if !s.acceptsMessage(message) {
 		return nil
 	}
 	if refusal := s.node.Step(message); refusal != nil {
-		link.complain(refusal)
+		link.logRejected(refusal)
 	}
 	return nil
 }
--- a/internal/controlserver/watch.go
+++ b/internal/controlserver/watch.go
@@ -17,56 +17,59 @@
 )
 
 const (
-	lineMost       = 64 << 10         // bytes of a Hello or a Report
-	helloTime      = 2 * time.Second  // for the Hello to come
-	heartbeatTime  = 2 * time.Second  // between two lines, also where there is nothing to say
-	writeTime      = 5 * time.Second  // for a proxy to take a line
-	reportTime     = 10 * time.Second // for a proxy to report on an update
-	bodyReaderSize = 4 << 10
+	maxLineBytes      = 64 << 10         // of a Hello or a Report
+	helloTimeout      = 2 * time.Second  // for the Hello to be received
+	heartbeatInterval = 2 * time.Second  // between two empty lines, sent also when there are no updates
+	writeTimeout      = 5 * time.Second  // for a proxy to receive a line
+	reportTimeout     = 10 * time.Second // for a proxy to report on an update
+	readBufferBytes   = 4 << 10
 )
 
-// watch is a proxy's open request. Its session and counts are guarded by the server's lock.
+// watch is a proxy's open request, over which it receives updates. Its session and counters are guarded by the server's
+// lock.
 type watch struct {
-	server   *Server
-	session  *control.Session
-	sent     int // updates
-	answers  int // reports on them
-	out      http.ResponseWriter
-	answer   *http.ResponseController
-	reported chan struct{} // has room for one
-	gone     chan struct{} // closed once the proxy says no more
+	server          *Server
+	session         *control.Session
+	updatesSent     int // updates sent to the proxy
+	reportsReceived int // reports received on them
+	writer          http.ResponseWriter
+	controller      *http.ResponseController
+	reported        chan struct{} // signals a report; buffer of one
+	proxyGone       chan struct{} // closed once no more reports can be read
 }
 
-// serveWatch serves a proxy until it goes, stalls or breaks the protocol, or the replica ends.
+// serveWatch serves a proxy until it disconnects, stalls or violates the protocol, or the replica stops.
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
-	if !s.enterWatch() {
-		refuse(w, "the replica is full or ends: watch another one", http.StatusServiceUnavailable)
+	if !s.acquireWatchSlot() {
+		refuse(w, "the replica has too many watches or is stopping: watch another replica", http.StatusServiceUnavailable)
 		return
 	}
-	defer s.leaveWatch()
-	answer := http.NewResponseController(w)
-	defer answer.SetReadDeadline(time.Now()) // net/http does not wait for the rest of the body then
-	answer.SetReadDeadline(time.Now().Add(helloTime))
-	input := bufio.NewReaderSize(r.Body, bodyReaderSize)
+	defer s.releaseWatchSlot()
+	controller := http.NewResponseController(w)
+	defer controller.SetReadDeadline(time.Now()) // so that net/http does not wait for the rest of the body
+	controller.SetReadDeadline(time.Now().Add(helloTimeout))
+	input := bufio.NewReaderSize(r.Body, readBufferBytes)
 	hello, session, err := s.readHello(input)
 	if err != nil {
 		refuse(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer.SetReadDeadline(time.Time{})
-	s.opened(session)
-	defer s.closed(session)
-	watch := &watch{server: s, session: session, out: w, answer: answer, reported: make(chan struct{}, 1), gone: make(chan struct{})}
-	var reading sync.WaitGroup
-	defer reading.Wait()
-	defer answer.SetReadDeadline(time.Now())
-	reading.Go(func() { watch.readReports(input) })
+	controller.SetReadDeadline(time.Time{})
+	s.sessionOpened(session)
+	defer s.sessionClosed(session)
+	watch := &watch{server: s, session: session, writer: w, controller: controller,
+		reported: make(chan struct{}, 1), proxyGone: make(chan struct{})}
+	var reader sync.WaitGroup
+	defer reader.Wait()
+	defer controller.SetReadDeadline(time.Now())
+	reader.Go(func() { watch.readReports(input) })
 	if err := watch.serve(); err != nil {
 		log.Printf("msg=control_watch_ended proxy=%s error=%q", hello.Identity.Proxy, err)
 	}
 }
 
-func (s *Server) enterWatch() bool {
+// acquireWatchSlot counts a new watch. It returns false if the limit is reached or the replica is stopping.
+func (s *Server) acquireWatchSlot() bool {
 	select {
 	case <-s.stop:
 		return false
@@ -74,20 +77,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.watches >= MaxWatches {
+	if s.watchCount >= MaxWatches {
 		return false
 	}
-	s.watches++
+	s.watchCount++
 	return true
 }
 
-func (s *Server) leaveWatch() {
+// releaseWatchSlot uncounts a watch that has ended.
+func (s *Server) releaseWatchSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watches--
+	s.watchCount--
 }
 
-// readHello reads and checks a watch's first line.
+// readHello reads and checks the first line of a watch, and creates its session.
 func (s *Server) readHello(input *bufio.Reader) (hello revision.Hello, session *control.Session, err error) {
 	line, err := readLine(input)
 	if err != nil {
@@ -99,24 +103,24 @@
 	if hello.Identity.Fleet != s.config.Fleet {
 		return hello, nil, &control.FleetMismatchError{Fleet: fmt.Sprintf("%.128s", hello.Identity.Fleet), Want: s.config.Fleet}
 	}
-	hello.Protocol = min(hello.Protocol, revision.Protocol) // a newer proxy is answered as this replica can
+	hello.Protocol = min(hello.Protocol, revision.Protocol) // a proxy with a newer protocol is served with this replica's version
 	session, err = control.NewSession(hello)
 	return hello, session, err
 }
 
 var (
-	errLineTooLong = errors.New("the line is too long")
-	errNoReport    = errors.New("it does not report on an update")
+	errLineTooLong   = errors.New("the line is too long")
+	errReportTimeout = errors.New("the proxy did not report on an update in time")
 )
 
-// readLine reads a line that is not empty, without its end.
+// readLine reads the next line that is not empty and returns it without its newline.
 func readLine(input *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
-		piece, err := input.ReadSlice('\n')
-		line = append(line, piece...)
+		part, err := input.ReadSlice('\n')
+		line = append(line, part...)
 		switch {
-		case len(line) > lineMost:
+		case len(line) > maxLineBytes:
 			return nil, errLineTooLong
 		case errors.Is(err, bufio.ErrBufferFull):
 		case err != nil:
@@ -129,9 +133,9 @@
 	}
 }
 
-// readReports takes the proxy's reports until it says no more.
+// readReports reads the proxy's reports until its side of the request ends or a report is malformed.
 func (w *watch) readReports(input *bufio.Reader) {
-	defer close(w.gone)
+	defer close(w.proxyGone)
 	for {
 		line, err := readLine(input)
 		if err != nil {
@@ -142,7 +146,7 @@
 			log.Printf("msg=control_bad_report proxy=%s error=%q", w.session.Identity().Proxy, err)
 			return
 		}
-		w.server.reported(w, report)
+		w.server.handleReport(w, report)
 		select {
 		case w.reported <- struct{}{}:
 		default:
@@ -150,17 +154,17 @@
 	}
 }
 
-// serve writes updates and heartbeats.
+// serve writes updates and heartbeats until the watch ends.
 func (w *watch) serve() error {
-	if err := w.write(nil); err != nil { // the proxy sees at once that it is taken
+	if err := w.writeLine(nil); err != nil { // tells the proxy at once that the watch was accepted
 		return err
 	}
-	heartbeat := time.NewTicker(heartbeatTime)
+	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	stop := w.server.stop
-	var drained, overdue <-chan time.Time
+	var drainDeadline, reportDeadline <-chan time.Time
 	for {
-		update, changed, err := w.next()
+		update, changed, err := w.nextUpdate()
 		if err != nil {
 			return err
 		}
@@ -168,96 +172,97 @@
 			if err := w.sendUpdate(update, heartbeat); err != nil {
 				return err
 			}
-			overdue = time.After(reportTime)
+			reportDeadline = time.After(reportTimeout)
 			continue
 		}
 		select {
 		case <-changed:
 		case <-w.reported:
-			if w.answered() {
-				overdue = nil
+			if w.allReported() {
+				reportDeadline = nil
 			}
-		case <-overdue:
-			return errNoReport
-		case <-w.gone:
+		case <-reportDeadline:
+			return errReportTimeout
+		case <-w.proxyGone:
 			return nil
 		case <-heartbeat.C:
-			if err := w.write(nil); err != nil {
+			if err := w.writeLine(nil); err != nil {
 				return err
 			}
 		case <-stop:
-			stop, drained = nil, time.After(rand.N(drainTime))
-		case <-drained:
+			stop, drainDeadline = nil, time.After(rand.N(drainDuration))
+		case <-drainDeadline:
 			return nil
 		}
 	}
 }
 
-// answered tells whether the proxy has reported on all that it was sent.
-func (w *watch) answered() bool {
+// allReported reports whether the proxy has sent a report on every update that it got.
+func (w *watch) allReported() bool {
 	w.server.mu.Lock()
 	defer w.server.mu.Unlock()
-	return w.answers == w.sent
+	return w.reportsReceived == w.updatesSent
 }
 
-// next gives the update to send now, if any, and a channel that is closed when there may be another.
-func (w *watch) next() (*revision.Update, <-chan struct{}, error) {
+// nextUpdate returns the update to send now, if any, and a channel that is closed when there may be another.
+func (w *watch) nextUpdate() (*revision.Update, <-chan struct{}, error) {
 	w.server.mu.Lock()
 	defer w.server.mu.Unlock()
 	update, err := w.session.NextUpdate(w.server.node.State())
 	if update != nil {
-		w.sent++
+		w.updatesSent++
 	}
-	var ahead *control.ReplicaBehindError
-	if errors.As(err, &ahead) {
-		err = nil // this replica learns of it in a moment, or is cut off
+	var behind *control.ReplicaBehindError
+	if errors.As(err, &behind) {
+		err = nil // the proxy has a revision that this replica has not received yet, or cannot because it is disconnected
 	}
-	return update, w.server.changed, err
+	return update, w.server.stateChanged, err
 }
 
-// sendUpdate writes an update; a whole configuration waits for its place in the replica's rate, and heartbeats go on.
+// sendUpdate writes an update. A full configuration waits for the replica's rate limit while heartbeats continue.
 func (w *watch) sendUpdate(update *revision.Update, heartbeat *time.Ticker) error {
 	text, err := json.Marshal(update)
 	if err != nil {
 		return err
 	}
 	for update.Full {
-		wait, ok := w.server.pace(len(text))
+		wait, ok := w.server.reserveFullUpdate(len(text))
 		if ok {
 			break
 		}
 		select {
 		case <-time.After(wait):
 		case <-heartbeat.C:
-			if err := w.write(nil); err != nil {
+			if err := w.writeLine(nil); err != nil {
 				return err
 			}
-		case <-w.gone:
+		case <-w.proxyGone:
 			return io.EOF
 		case <-w.server.stop:
-			return nil // serve ends the watch; what was not sent, the next replica sends
+			return nil // serve ends the watch; the proxy gets the update from its next replica
 		}
 	}
-	return w.write(text)
+	return w.writeLine(text)
 }
 
-// pace says whether so many bytes of a whole configuration may leave now, or for how long to wait.
-func (s *Server) pace(bytes int) (time.Duration, bool) {
+// reserveFullUpdate takes size bytes from the rate limit for full configurations. If that is not possible yet, it returns
+// how long to wait, and false.
+func (s *Server) reserveFullUpdate(size int) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.now()
-	if s.pacer.TryTake(now, bytes) {
+	now := s.monotonicSeconds()
+	if s.fullUpdateLimiter.TryTake(now, size) {
 		return 0, true
 	}
-	const least = time.Millisecond
-	return max(least, time.Duration((s.pacer.EarliestTime(now, bytes)-now)*float64(time.Second))), false
+	const minWait = time.Millisecond
+	return max(minWait, time.Duration((s.fullUpdateLimiter.EarliestTime(now, size)-now)*float64(time.Second))), false
 }
 
-// write sends one line, nil for an empty one. A proxy that does not take it in time is dropped.
-func (w *watch) write(line []byte) error {
-	w.answer.SetWriteDeadline(time.Now().Add(writeTime))
-	if _, err := w.out.Write(append(line, '\n')); err != nil {
+// writeLine sends one line; nil sends an empty one. It fails if the proxy does not receive the line within writeTimeout.
+func (w *watch) writeLine(line []byte) error {
+	w.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := w.writer.Write(append(line, '\n')); err != nil {
 		return err
 	}
-	return w.answer.Flush()
+	return w.controller.Flush()
 }
