--- a/internal/controlserver/cluster_test.go
+++ b/internal/controlserver/cluster_test.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	electionTimeout    = 10 * time.Second // for a cluster to start
-	propagationTimeout = 3 * time.Second  // for a change, or for a healed cut, to reach all proxies
+	electionTimeout    = 10 * time.Second // for a cluster to elect a leader
+	propagationTimeout = 3 * time.Second  // for a change to reach all proxies
 	pollInterval       = 20 * time.Millisecond
 )
 
-// await looks until a condition holds; it is told why it does not yet.
+// await polls a condition until it holds and returns the time that this took. It fails the test after the timeout, with
+// the reason that the condition returned last.
 func await(t *testing.T, timeout time.Duration, what string, condition func() (string, bool)) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -35,6 +36,7 @@
 	}
 }
 
+// newClient returns an operator's client of the replicas at the given addresses.
 func newClient(t *testing.T, replicas ...string) *controlclient.Client {
 	t.Helper()
 	client, err := controlclient.New(replicas)
@@ -44,7 +46,7 @@
 	return client
 }
 
-// awaitLeader waits until a cluster can answer, and gives its leader's place.
+// awaitLeader waits until the replicas have a leader and returns its index in the cluster.
 func (c *cluster) awaitLeader(client *controlclient.Client) int {
 	c.t.Helper()
 	leader := -1
@@ -60,17 +62,17 @@
 				leader = i
 			}
 		}
-		return "no leader is named", leader >= 0
+		return "the status names no leader", leader >= 0
 	})
 	return leader
 }
 
-// utility is a configuration that a test can tell from others.
+// testDocument returns a valid configuration that differs for each n.
 func testDocument(n int) revision.Document {
 	return revision.Document(fmt.Sprintf(`{"settings":{"overage_utility":0.%06d}}`, n+1))
 }
 
-// apply changes a scope on top of its newest revision.
+// apply changes a scope on top of its newest revision and returns the new revision's number.
 func apply(t *testing.T, client *controlclient.Client, scope revision.Scope, document revision.Document) revision.Number {
 	t.Helper()
 	number, err := tryApply(client, scope, document, 10*time.Second)
@@ -80,6 +82,7 @@
 	return number
 }
 
+// tryApply is like apply, but returns errors.
 func tryApply(client *controlclient.Client, scope revision.Scope, document revision.Document, timeout time.Duration) (
 	revision.Number, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -93,7 +96,8 @@
 	return response.Number, err
 }
 
-// allAt says whether all proxies have in force what the released revisions give them.
+// allInForce returns a condition for await: all proxies have the configuration in force that the control plane has for
+// them.
 func allInForce(client *controlclient.Client, proxies []*simProxy) func() (string, bool) {
 	return func() (string, bool) {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -112,18 +116,19 @@
 	}
 }
 
-// lateness says in which way a proxy is not up to date, empty where it is.
+// whyBehind returns why a proxy is not up to date; empty if it is.
 func whyBehind(ctx context.Context, client *controlclient.Client, proxy *simProxy) string {
 	want, err := client.ShowProxy(ctx, proxy.identity)
 	if err != nil {
 		return err.Error()
 	}
 	if number, checksum := proxy.state(); checksum != want.Checksum {
-		return fmt.Sprintf("%s has revision %d, wanted %d", proxy.identity.Proxy, number, want.Number)
+		return fmt.Sprintf("%s has revision %d, want %d", proxy.identity.Proxy, number, want.Number)
 	}
 	return ""
 }
 
+// errorKind returns the kind of an error that a replica returned; empty for other errors.
 func errorKind(err error) controlapi.Kind {
 	var apiErr *controlapi.Error
 	if errors.As(err, &apiErr) {
@@ -132,6 +137,8 @@
 	return ""
 }
 
+// Changes must come into force at all proxies while messages between the regions are delayed, and a zone's change only at
+// the proxies of that zone.
 func TestAppliedChangesReachAllProxies(t *testing.T) {
 	c := startCluster(t, 1, "")
 	c.delayRegions(0.035)
@@ -150,7 +157,7 @@
 		await(t, propagationTimeout, "in force", func() (string, bool) {
 			for _, proxy := range fleet.proxies {
 				if at, _ := proxy.state(); at < number {
-					return fmt.Sprintf("%s is at %d", proxy.identity.Proxy, at), false
+					return fmt.Sprintf("%s is at revision %d", proxy.identity.Proxy, at), false
 				}
 			}
 			return "", true
@@ -162,7 +169,7 @@
 	await(t, propagationTimeout, "the zone's configuration", allInForce(client, fleet.proxies))
 	for _, proxy := range fleet.proxies {
 		if number, _ := proxy.state(); (proxy.identity.Zone == "us-1") != (number == zone) {
-			t.Errorf("%s in %s is at %d", proxy.identity.Proxy, proxy.identity.Zone, number)
+			t.Errorf("%s in zone %s is at revision %d", proxy.identity.Proxy, proxy.identity.Zone, number)
 		}
 	}
 	if faults := fleet.violations(); faults != "" {
--- a/internal/controlserver/defects_test.go
+++ b/internal/controlserver/defects_test.go
@@ -13,7 +13,8 @@
 	"sandpass/internal/revision"
 )
 
-// lostAfterPowerCut makes changes, ends all five replicas at once, starts them again and gives what the journal finds.
+// violationsAfterPowerCut makes changes, kills all five replicas at once, restarts them, and returns the violations that
+// the operation log finds in the history.
 func violationsAfterPowerCut(t *testing.T, defect string) []string {
 	c := startCluster(t, 5, defect)
 	client := newClient(t, c.addresses()...)
@@ -44,6 +45,7 @@
 	return operations.violations
 }
 
+// Accepted revisions must survive the simultaneous crash of all replicas.
 func TestNoRevisionLostAfterPowerCut(t *testing.T) {
 	t.Parallel()
 	if faults := violationsAfterPowerCut(t, ""); len(faults) > 0 {
@@ -51,14 +53,16 @@
 	}
 }
 
+// The check of TestNoRevisionLostAfterPowerCut must detect replicas that acknowledge entries before they are on disk.
 func TestDetectsAcknowledgementBeforeSync(t *testing.T) {
 	t.Parallel()
 	if faults := violationsAfterPowerCut(t, ackBeforeSync); len(faults) == 0 {
-		t.Error("nothing was lost")
+		t.Error("no lost revision was detected")
 	}
 }
 
-// refusedBy counts the simulated proxies that were sent a revision which all of them refuse.
+// refusedBy applies a revision that all simulated proxies refuse. It returns how many proxies refused it, and its entry in
+// the history.
 func refusedBy(t *testing.T, atOnce bool) (count int, entry control.Entry) {
 	c := startCluster(t, 6, "")
 	client := newClient(t, c.addresses()...)
@@ -69,7 +73,7 @@
 	for _, proxy := range fleet.proxies {
 		proxy.setRefuse(func(effective revision.Document) string {
 			if bytes.Equal(effective, bad) {
-				return "it is not good here"
+				return "refused by the test"
 			}
 			return ""
 		})
@@ -82,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	await(t, propagationTimeout, "it stops", func() (string, bool) {
+	await(t, propagationTimeout, "the rollout stops", func() (string, bool) {
 		history, err := client.History(context.Background(), nil, 1)
 		if err != nil || len(history.Revisions) == 0 {
 			return fmt.Sprint(err), false
@@ -90,16 +94,16 @@
 		entry, count = history.Revisions[0], fleet.refused(accepted.Number)
 		return fmt.Sprintf("%s, refused by %d", entry.Stage, count), entry.Stage == control.StageHeld || count == len(fleet.proxies)
 	})
-	time.Sleep(time.Second) // whoever is still to get it has it now
+	time.Sleep(time.Second) // updates still in transit arrive meanwhile
 	for _, proxy := range fleet.proxies {
 		if number, _ := proxy.state(); number != good {
-			t.Errorf("%s is at %d, not %d", proxy.identity.Proxy, number, good)
+			t.Errorf("%s is at revision %d, want %d", proxy.identity.Proxy, number, good)
 		}
 	}
 	return fleet.refused(accepted.Number), entry
 }
 
-// allWatch says whether so many proxies are connected as the leader knows it.
+// allConnected returns a condition for await: the leader counts exactly count connected proxies.
 func allConnected(client *controlclient.Client, count int) func() (string, bool) {
 	return func() (string, bool) {
 		status, err := client.Status(context.Background(), 0, false)
@@ -107,14 +111,14 @@
 	}
 }
 
-// setRefuse has a proxy refuse configurations.
+// setRefuse sets the function that decides which configurations the proxy refuses.
 func (p *simProxy) setRefuse(refuse func(revision.Document) string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refuse = refuse
 }
 
-// refused counts the proxies that refused a revision.
+// refused returns the number of proxies that refused a revision.
 func (f *simFleet) refused(number revision.Number) (count int) {
 	for _, proxy := range f.proxies {
 		proxy.mu.Lock()
@@ -126,24 +130,28 @@
 	return count
 }
 
-// canariesMost is the share of the 24 proxies that may be sent a revision before the first refusal holds it.
+// maxCanaries is the number of the 24 proxies that may be sent a revision before the first refusal holds it.
 const maxCanaries = 2
 
+// A revision that proxies refuse must be held after it was sent to the canaries only.
 func TestRefusedRevisionStopsAtCanaries(t *testing.T) {
 	t.Parallel()
 	count, entry := refusedBy(t, false)
 	if count == 0 || count > maxCanaries || entry.Stage != control.StageHeld || entry.HeldReason == "" {
-		t.Errorf("refused by %d, %+v", count, entry)
+		t.Errorf("refused by %d proxies, entry %+v; want 1 to 2 proxies and a held entry", count, entry)
 	}
 }
 
+// The check of TestRefusedRevisionStopsAtCanaries must detect a revision that is sent to all proxies at once.
 func TestDetectsDisabledCanaryGuard(t *testing.T) {
 	t.Parallel()
 	if count, _ := refusedBy(t, true); count <= maxCanaries {
-		t.Errorf("refused by %d only", count)
+		t.Errorf("refused by %d proxies, want more than the canaries", count)
 	}
 }
 
+// An invalid configuration must be refused, and accepted by replicas with the defect noCheck, which shows that the
+// refusal comes from the check.
 func TestDetectsMissingConfigCheck(t *testing.T) {
 	t.Parallel()
 	for _, defect := range []string{"", noCheck} {
@@ -152,7 +160,7 @@
 		c.awaitLeader(client)
 		_, err := tryApply(client, revision.FleetScope, revision.Document(`{"settings":{"tick_ms":"soon"}}`), electionTimeout)
 		if accepted := errorKind(err) != controlapi.KindRefused; accepted != (defect == noCheck) {
-			t.Errorf("defect %q: %v", defect, err)
+			t.Errorf("defect %q: apply of an invalid configuration returned %v", defect, err)
 		}
 	}
 }
--- a/internal/controlserver/faults_test.go
+++ b/internal/controlserver/faults_test.go
@@ -20,103 +20,112 @@
 )
 
 const (
-	seedsVariable      = "SANDPASS_CONTROL_SEEDS" // how many seeds; the long form of each fault where it is set
+	seedsVariable      = "SANDPASS_CONTROL_SEEDS" // number of seeds to run; if set, faults have their long form
 	defaultSeeds       = 2
-	faultsPerSeed      = 3 // of a seed
+	faultsPerSeed      = 3 // faults injected per seed
 	regionDelaySeconds = 0.035
-	faultDuration      = 1500 * time.Millisecond // that a fault lasts
-	shortPauseDuration = 3 * time.Second         // that a leader stands still
+	faultDuration      = 1500 * time.Millisecond // of a fault; some last twice as long
+	shortPauseDuration = 3 * time.Second         // during which a leader is stopped by SIGSTOP
 	longPauseDuration  = 10 * time.Second
-	convergenceLimit   = 3 * time.Second // until all are equal after a fault is healed
+	convergenceLimit   = 3 * time.Second // for all proxies to converge after a fault is healed
 	operatorInterval   = 100 * time.Millisecond
 	readInterval       = 50 * time.Millisecond
 )
 
-// journal is what operators were told, and what must hold of it.
+// operationLog records the changes that operators requested and their results, and finds violations: accepted revisions
+// that are lost, made twice or never requested.
 type operationLog struct {
 	mu         sync.Mutex
-	requested  map[string]bool            // checksums of documents that were asked for
+	requested  map[string]bool            // checksums of requested documents
 	accepted   map[revision.Number]string // checksums of accepted documents
 	unknown    int
 	newest     revision.Number
 	violations []string
 }
 
+// newOperationLog returns an empty operation log.
 func newOperationLog() *operationLog {
 	return &operationLog{requested: map[string]bool{}, accepted: map[revision.Number]string{}}
 }
 
-func (j *operationLog) addViolation(format string, args ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violations = append(j.violations, fmt.Sprintf(format, args...))
+// addViolation records an event that must never happen.
+func (l *operationLog) addViolation(format string, args ...any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-func (j *operationLog) recordRequest(checksum string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.requested[checksum] = true
+// recordRequest records that a document was requested.
+func (l *operationLog) recordRequest(checksum string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requested[checksum] = true
 }
 
-func (j *operationLog) recordResult(number revision.Number, checksum string, err error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// recordResult records the result of a request.
+func (l *operationLog) recordResult(number revision.Number, checksum string, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		if previous, known := j.accepted[number]; known {
-			j.violations = append(j.violations, fmt.Sprintf("revision %d was accepted twice: %s, %s", number, previous, checksum))
+		if previous, known := l.accepted[number]; known {
+			l.violations = append(l.violations, fmt.Sprintf("revision %d was accepted twice: %s, %s", number, previous, checksum))
 		}
-		j.accepted[number] = checksum
-		j.newest = max(j.newest, number)
+		l.accepted[number] = checksum
+		l.newest = max(l.newest, number)
 	case errorKind(err) == controlapi.KindUnknown:
-		j.unknown++
+		l.unknown++
 	case errorKind(err) == controlapi.KindRefused, errorKind(err) == controlapi.KindBadRequest:
-		j.violations = append(j.violations, fmt.Sprintf("a good revision was refused: %v", err))
+		l.violations = append(l.violations, fmt.Sprintf("a valid revision was refused: %v", err))
 	}
 }
 
-// count is how many revisions were accepted.
-func (j *operationLog) acceptedCount() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return len(j.accepted)
+// acceptedCount returns the number of accepted revisions.
+func (l *operationLog) acceptedCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.accepted)
 }
 
-func (j *operationLog) newestAccepted() revision.Number {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.newest
+// newestAccepted returns the newest accepted revision, 0 for none.
+func (l *operationLog) newestAccepted() revision.Number {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.newest
 }
 
-// compare finds accepted revisions that a history lost, and revisions that nobody asked for or that are there twice.
-func (j *operationLog) compare(history []historyEntry) {
+// compare compares a history with the log. Accepted revisions that are missing, and documents that were not requested or
+// occur twice, are violations.
+func (l *operationLog) compare(history []historyEntry) {
 	found := map[revision.Number]string{}
 	occurrencesByChecksum := map[string]int{}
 	for _, entry := range history {
 		found[entry.number] = entry.checksum
 		occurrencesByChecksum[entry.checksum]++
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for number, checksum := range j.accepted {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for number, checksum := range l.accepted {
 		if found[number] != checksum {
-			j.violations = append(j.violations, fmt.Sprintf("accepted revision %d is lost: %s in its place", number, found[number]))
+			l.violations = append(l.violations, fmt.Sprintf("accepted revision %d is lost: the history has %s in its place",
+				number, found[number]))
 		}
 	}
 	for checksum, occurrences := range occurrencesByChecksum {
-		if !j.requested[checksum] || occurrences > 1 {
-			j.violations = append(j.violations, fmt.Sprintf("document %s is in the history %d times, requested: %t",
-				checksum, occurrences, j.requested[checksum]))
+		if !l.requested[checksum] || occurrences > 1 {
+			l.violations = append(l.violations, fmt.Sprintf("document %s is in the history %d times, requested: %t",
+				checksum, occurrences, l.requested[checksum]))
 		}
 	}
 }
 
-// historyLine is a revision in a history.
+// historyEntry is a revision in a history.
 type historyEntry struct {
 	number   revision.Number
 	checksum string
 }
 
+// historyOf returns all revisions that a client reads.
 func historyOf(client *controlclient.Client) (lines []historyEntry, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -127,17 +136,17 @@
 	return lines, err
 }
 
-// operate changes configurations until the context ends. Every document is another.
-func (j *operationLog) runOperator(ctx context.Context, client *controlclient.Client, seed uint64, operator int) {
+// runOperator changes random scopes until the context ends, each time with a different document.
+func (l *operationLog) runOperator(ctx context.Context, client *controlclient.Client, seed uint64, operator int) {
 	random := rand.New(rand.NewPCG(seed, uint64(operator)))
 	scopes := []revision.Scope{revision.FleetScope, {Kind: revision.RegionKind, Name: "us"}, {Kind: revision.ZoneKind, Name: "eu-0"},
 		{Kind: revision.ServiceKind, Name: "s1"}, {Kind: revision.ProxyKind, Name: "p3"}}
 	for n := 0; ctx.Err() == nil; n++ {
 		document := testDocument(100000*operator + n)
 		checksum := revision.Checksum(document)
-		j.recordRequest(checksum)
+		l.recordRequest(checksum)
 		number, err := tryApply(client, scopes[random.IntN(len(scopes))], document, 8*time.Second)
-		j.recordResult(number, checksum, err)
+		l.recordResult(number, checksum, err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(operatorInterval):
@@ -145,13 +154,14 @@
 	}
 }
 
-// read looks at the fleet through one replica until the context ends: what was accepted before must be told.
-func (j *operationLog) runReader(ctx context.Context, name string, client *controlclient.Client) {
+// runReader reads the newest revision from one replica until the context ends. A read must return at least the newest
+// revision that was accepted before the read began.
+func (l *operationLog) runReader(ctx context.Context, name string, client *controlclient.Client) {
 	for ctx.Err() == nil {
-		newest := j.newestAccepted()
+		newest := l.newestAccepted()
 		history, err := client.History(ctx, nil, 1)
 		if err == nil && newest > 0 && (len(history.Revisions) == 0 || history.Revisions[0].Number < newest) {
-			j.addViolation("%s told %v as newest after revision %d was accepted", name, history.Revisions, newest)
+			l.addViolation("%s returned %v as the newest revision after revision %d was accepted", name, history.Revisions, newest)
 		}
 		select {
 		case <-ctx.Done():
@@ -160,7 +170,7 @@
 	}
 }
 
-// scene is a cluster with proxies, operators and readers on which faults are played.
+// faultScenario is a cluster with proxies, operators and readers into which faults are injected.
 type faultScenario struct {
 	*cluster
 	random     *rand.Rand
@@ -170,12 +180,13 @@
 	longRun    bool
 }
 
-// fault is something that is done to a scene; heal undoes it.
+// fault is a failure that can be injected into a scenario. The function heal undoes it.
 type fault struct {
 	name   string
 	inject func(s *faultScenario) (heal func())
 }
 
+// faultCatalog lists the faults that seeds choose from.
 var faultCatalog = []fault{
 	{"leader killed", func(s *faultScenario) func() {
 		leader := s.awaitLeader(s.operator)
@@ -191,37 +202,38 @@
 		time.Sleep(faultDuration)
 		return func() { s.start(leader); s.start(other) }
 	}},
-	{"leader stands still", func(s *faultScenario) func() {
+	{"leader stopped by SIGSTOP", func(s *faultScenario) func() {
 		leader := s.awaitLeader(s.operator)
 		s.signal(leader, syscall.SIGSTOP)
 		time.Sleep(map[bool]time.Duration{false: shortPauseDuration, true: longPauseDuration}[s.longRun])
 		return func() { s.signal(leader, syscall.SIGCONT) }
 	}},
-	{"region eu cut", regionCut("eu")},
-	{"region us cut", regionCut("us")},
-	{"region ap cut", regionCut("ap")},
-	{"leader hears nobody", oneWayCut(true)},
-	{"nobody hears the leader", oneWayCut(false)},
-	{"torn file", func(s *faultScenario) func() { return s.truncateFile() }},
+	{"region eu disconnected", regionCut("eu")},
+	{"region us disconnected", regionCut("us")},
+	{"region ap disconnected", regionCut("ap")},
+	{"leader receives nothing", oneWayCut(true)},
+	{"leader's messages are lost", oneWayCut(false)},
+	{"storage file truncated", func(s *faultScenario) func() { return s.truncateFile() }},
 	{"disk full", func(s *faultScenario) func() { return s.fillDisk() }},
-	{"proxy restarted", func(s *faultScenario) func() {
+	{"proxies restarted", func(s *faultScenario) func() {
 		for range 10 {
 			s.fleet.restart(s.random.IntN(len(s.fleet.proxies)))
 			time.Sleep(faultDuration / 10)
 		}
 		return func() {}
 	}},
-	{"replica stops as told", func(s *faultScenario) func() {
+	{"leader stopped by SIGTERM", func(s *faultScenario) func() {
 		leader := s.awaitLeader(s.operator)
 		s.signal(leader, syscall.SIGTERM)
 		<-s.replicas[leader].ended
 		if code := s.replicas[leader].command.ProcessState.ExitCode(); code != 0 {
-			s.operations.addViolation("a replica that was told to stop ended with %d", code)
+			s.operations.addViolation("a replica stopped by SIGTERM ended with exit code %d", code)
 		}
 		return func() { s.start(leader) }
 	}},
 }
 
+// regionCut returns a fault that disconnects a region from the others.
 func regionCut(region string) func(*faultScenario) func() {
 	return func(s *faultScenario) func() {
 		s.cutRegion(region, faultnet.Conditions{Blocked: true})
@@ -230,7 +242,7 @@
 	}
 }
 
-// oneWay cuts what goes to the leader, or what comes from it.
+// oneWayCut returns a fault that blocks all data sent to the leader, or all data sent by it.
 func oneWayCut(toLeader bool) func(*faultScenario) func() {
 	return func(s *faultScenario) func() {
 		leader := s.awaitLeader(s.operator)
@@ -241,7 +253,7 @@
 				}
 				open := faultnet.Conditions{Delay: regionDelaySeconds}
 				to, from := s.replicaLinks[[2]int{i, leader}], s.replicaLinks[[2]int{leader, i}]
-				if toLeader { // also what answers on connections that the leader made
+				if toLeader { // including responses on connections that the leader opened
 					to.SetConditions(blocked, open)
 					from.SetConditions(open, blocked)
 				} else {
@@ -256,7 +268,8 @@
 	}
 }
 
-// tearFile kills a replica, cuts its file off and sees that it says so and ends; healed, the file is whole again.
+// truncateFile kills a replica and truncates its storage file. The restarted replica must end with an error that names the
+// file. Healing restores the file.
 func (s *faultScenario) truncateFile() func() {
 	victim := s.random.IntN(len(s.replicas))
 	s.kill(victim)
@@ -277,7 +290,7 @@
 	}
 }
 
-// fillDisk lets nothing more be saved at the leader: it says so and ends.
+// fillDisk makes saving fail at the leader as on a full disk. The leader must end with that error.
 func (s *faultScenario) fillDisk() func() {
 	leader := s.awaitLeader(s.operator)
 	fullFile := filepath.Join(s.replicas[leader].folder, diskFullFileName)
@@ -292,7 +305,8 @@
 	}
 }
 
-// mustEnd waits until a replica has ended with exit code 1 and an error line that has the words.
+// expectFailure triggers a failure and checks that the replica ends with exit code 1 and a last line that is an error
+// containing want.
 func (s *faultScenario) expectFailure(i int, want string, trigger func()) {
 	replica := s.replicas[i]
 	outputStart := len(replica.output.String())
@@ -300,7 +314,7 @@
 	select {
 	case <-replica.ended:
 	case <-time.After(electionTimeout):
-		s.operations.addViolation("%s goes on: %s", replica.name, want)
+		s.operations.addViolation("%s keeps running, expected it to end with: %s", replica.name, want)
 		s.kill(i)
 		return
 	}
@@ -308,11 +322,11 @@
 	last := text[strings.LastIndexByte(text, '\n')+1:]
 	code := replica.command.ProcessState.ExitCode()
 	if code != 1 || !strings.HasPrefix(last, "sandpass: ") || !strings.Contains(last, want) {
-		s.operations.addViolation("%s ended with %d and %q, wanted %q", replica.name, code, last, want)
+		s.operations.addViolation("%s ended with exit code %d and %q, want %q", replica.name, code, last, want)
 	}
 }
 
-// wantedSeeds says how many seeds to run, and whether in the long form.
+// seedCount returns the number of seeds to run, and whether the long form of faults is used.
 func seedCount(t *testing.T) (count int, long bool) {
 	text := os.Getenv(seedsVariable)
 	if text == "" {
@@ -325,6 +339,8 @@
 	return count, true
 }
 
+// While replicas crash, stop, lose their disk or are disconnected, no accepted revision may be lost or made twice, reads
+// must not be stale, and all proxies must converge after each fault.
 func TestNoRevisionLostUnderFaults(t *testing.T) {
 	seeds, long := seedCount(t)
 	for seed := range uint64(seeds) {
@@ -332,7 +348,7 @@
 	}
 }
 
-// playFaults plays some faults one after the other while operators change configurations.
+// runFaultScenario injects the faults of a seed one after the other while operators change configurations.
 func runFaultScenario(t *testing.T, seed uint64, long bool) {
 	c := startCluster(t, seed, "")
 	c.delayRegions(regionDelaySeconds)
@@ -347,7 +363,8 @@
 	s.checkHistories()
 }
 
-// chooseFaults draws faults; the seeds begin with one kind after the other.
+// chooseFaults chooses the faults of a seed at random, except the first one: consecutive seeds begin with consecutive
+// faults of the catalog.
 func (s *faultScenario) chooseFaults(seed uint64) (chosen []fault) {
 	chosen = []fault{faultCatalog[int(seed-1)%len(faultCatalog)]}
 	for len(chosen) < faultsPerSeed {
@@ -356,7 +373,7 @@
 	return chosen
 }
 
-// underFault plays one fault among changes and reads, heals it, and waits until all proxies are equal.
+// runUnderFault injects one fault during changes and reads, heals it, and waits until all proxies are up to date.
 func (s *faultScenario) runUnderFault(kind fault, seed uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var workers sync.WaitGroup
@@ -373,7 +390,7 @@
 	healed := time.Now()
 	cancel()
 	lastReason := ""
-	took := await(s.t, 2*electionTimeout, kind.name+": all are equal", func() (string, bool) {
+	took := await(s.t, 2*electionTimeout, kind.name+": all proxies are up to date", func() (string, bool) {
 		why, equal := allInForce(s.operator, s.fleet.proxies)()
 		if !equal {
 			lastReason = fmt.Sprintf("%v: %s", time.Since(healed).Round(time.Millisecond), why)
@@ -381,14 +398,15 @@
 		return why, equal
 	})
 	workers.Wait()
-	s.t.Logf("%s: %d revisions accepted meanwhile, all equal %v after the healing", kind.name, s.operations.acceptedCount()-accepted,
+	s.t.Logf("%s: %d revisions accepted, all proxies up to date %v after healing", kind.name, s.operations.acceptedCount()-accepted,
 		took.Round(time.Millisecond))
 	if took > convergenceLimit {
-		s.t.Errorf("%s: all are equal only %v after the healing; last %s", kind.name, took.Round(time.Millisecond), lastReason)
+		s.t.Errorf("%s: all proxies up to date only %v after healing; last reason %s", kind.name,
+			took.Round(time.Millisecond), lastReason)
 	}
 }
 
-// check compares what operators were told with what all replicas know.
+// checkHistories compares the operation log with the history, and the history with that of each replica.
 func (s *faultScenario) checkHistories() {
 	history, err := historyOf(s.operator)
 	if err != nil {
@@ -396,7 +414,7 @@
 	}
 	s.operations.compare(history)
 	for _, replica := range s.replicas {
-		await(s.t, electionTimeout, replica.name+" knows all", func() (string, bool) {
+		await(s.t, electionTimeout, replica.name+" has all revisions", func() (string, bool) {
 			client := newClient(s.t, replica.address)
 			client.AllowStale = true
 			local, err := historyOf(client)
--- a/internal/controlserver/join_test.go
+++ b/internal/controlserver/join_test.go
@@ -12,14 +12,15 @@
 	"sandpass/internal/revision"
 )
 
-// awaitJoined waits until a replica says that it has joined.
+// awaitJoined waits until a replica has removed its joining file.
 func (c *cluster) awaitJoined(i int) {
 	c.t.Helper()
 	await(c.t, 2*electionTimeout, c.replicas[i].name+" joins", func() (string, bool) {
-		return "it has not", !mustJoin(c.replicas[i].folder)
+		return "the joining file exists", !mustJoin(c.replicas[i].folder)
 	})
 }
 
+// A replica whose folder was deleted must rejoin while changes are made, and receive all revisions.
 func TestReplicaWithLostFolderRejoins(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 8, "")
@@ -40,13 +41,14 @@
 	c.awaitJoined(lost)
 	localClient := newClient(t, c.replicas[lost].address)
 	localClient.AllowStale = true
-	await(t, electionTimeout, "it knows all", func() (string, bool) {
+	await(t, electionTimeout, "the replica has all revisions", func() (string, bool) {
 		local, err := historyOf(localClient)
 		return fmt.Sprint(len(local), err), len(local) == 5
 	})
 }
 
-// One disk is lost where only two others have the newest revision: the replica must not elect those that lack it.
+// One replica loses its disk when only two others have the newest revision. If it voted, it could elect a replica that
+// lacks that revision.
 func TestReplicaWithLostLogDoesNotVote(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 9, "")
@@ -71,20 +73,21 @@
 	for _, i := range append(behind, lost) {
 		c.start(i)
 	}
-	time.Sleep(electionTimeout / 2) // several elections would fit
+	time.Sleep(electionTimeout / 2) // long enough for several elections
 	for _, i := range append(behind, lost) {
 		if strings.Contains(c.replicas[i].output.String(), "msg=control_leading leads=true") && i != leader {
-			t.Errorf("%s leads, without revision %d", c.replicas[i].name, newest)
+			t.Errorf("%s became the leader without revision %d", c.replicas[i].name, newest)
 		}
 	}
 	c.start(leader)
 	c.awaitLeader(client)
 	if history, err := historyOf(client); err != nil || len(history) != 2 {
-		t.Errorf("%v, %v", history, err)
+		t.Errorf("got history %v, error %v; want 2 revisions", history, err)
 	}
 	c.awaitJoined(lost)
 }
 
+// A storage file of size 0 has no log, so that its replica must join before it votes, like one without a file.
 func TestEmptyStorageFileRequiresJoin(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
@@ -94,13 +97,13 @@
 	}
 	openStorage(t, folder).Close()
 	if mustJoin(folder) {
-		t.Error("a replica with a log joins again")
+		t.Error("a replica with a log must join")
 	}
 	if err := syscall.Truncate(filepath.Join(folder, storageFileName), 0); err != nil {
 		t.Fatal(err)
 	}
 	openStorage(t, folder).Close()
 	if !mustJoin(folder) {
-		t.Error("a replica without a log votes")
+		t.Error("a replica without a log need not join")
 	}
 }
--- a/internal/controlserver/process_test.go
+++ b/internal/controlserver/process_test.go
@@ -21,16 +21,16 @@
 	"sandpass/internal/revision"
 )
 
-// The test binary is a control replica too, when it is started with the file of one.
+// The test binary runs a control replica instead of tests if configVariable is set.
 const (
-	configVariable   = "SANDPASS_TEST_CONTROL" // path of a replica's file
-	defectVariable   = "SANDPASS_TEST_DEFECT"  // a seeded defect
-	diskFullFileName = "full"                  // a file in the replica's folder: the disk is full from then on
+	configVariable   = "SANDPASS_TEST_CONTROL" // path of the replica's configuration file
+	defectVariable   = "SANDPASS_TEST_DEFECT"  // seeded defect, one of the constants below
+	diskFullFileName = "full"                  // file in the replica's folder; while it exists, saving fails as on a full disk
 )
 
-// The seeded defects.
+// Seeded defects. Tests check that they are detected.
 const (
-	ackBeforeSync = "ack_before_sync" // Save returns before anything is on the disk
+	ackBeforeSync = "ack_before_sync" // Save returns before anything is on disk
 	noCheck       = "no_check"        // revisions are not checked
 )
 
@@ -45,7 +45,7 @@
 	os.Exit(m.Run())
 }
 
-// runReplica is `sandpass control serve` on a storage that can fail.
+// runReplica does what `sandpass control serve` does, with a storage that can fail.
 func runReplica(path, defect string) error {
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
 	config, err := ReadConfig(path)
@@ -80,7 +80,7 @@
 	return server.Run()
 }
 
-// fullableStorage fails as a full disk does once the mark is there.
+// diskFullStorage fails with ENOSPC, like a full disk, while fullFile exists.
 type diskFullStorage struct {
 	Storage
 	fullFile string
@@ -93,7 +93,7 @@
 	return f.Storage.Save(work)
 }
 
-// lazyStorage is the defect of an acknowledgement before the sync.
+// delayedStorage is the defect ackBeforeSync: it saves records some time after Save has returned.
 type delayedStorage struct {
 	Storage
 	mu      sync.Mutex
@@ -116,7 +116,7 @@
 	l.pending = l.pending[1:]
 }
 
-// replicaProcess is one replica as a process of its own.
+// replicaProcess is a replica that runs in its own process.
 type replicaProcess struct {
 	name, region, address string
 	config, folder        string
@@ -126,7 +126,7 @@
 	ended                 chan struct{} // closed once the process has ended
 }
 
-// lockedBuffer is written by a process and read by tests.
+// lockedBuffer is a buffer for the output of a process, safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -144,18 +144,19 @@
 	return b.text.String()
 }
 
-// cluster is five replicas over three regions, with a way between each two and one from the proxies to each.
+// cluster is five replicas in three regions. All connections between replicas, and from proxies to replicas, go through
+// forwarders that can delay or block them.
 type cluster struct {
 	t            *testing.T
 	replicas     []*replicaProcess
-	replicaLinks map[[2]int]*faultnet.StreamForwarder   // from a replica to another
-	proxyLinks   map[string][]*faultnet.StreamForwarder // from a region's proxies to the replicas
+	replicaLinks map[[2]int]*faultnet.StreamForwarder   // from one replica to another, by their indexes
+	proxyLinks   map[string][]*faultnet.StreamForwarder // from the proxies of a region to each replica
 }
 
 var replicaRegions = []string{"eu", "eu", "us", "us", "ap"}
 
-// freeAddress is an address that nobody listens at just now. Its port is below those that the system gives to others, so
-// that it stays free while its replica is down.
+// freeAddress returns an address on which nothing listens. Its port is below the system's ephemeral ports, so that it
+// stays free while its replica is down.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	const first, count, attempts = 12000, 18000, 100
@@ -166,11 +167,11 @@
 			return address
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatal("no free port was found")
 	return ""
 }
 
-// startCluster starts five replicas and ends them with the test.
+// startCluster starts five replicas and kills them at the end of the test.
 func startCluster(t *testing.T, seed uint64, defect string) *cluster {
 	t.Helper()
 	c := &cluster{t: t, replicaLinks: map[[2]int]*faultnet.StreamForwarder{}, proxyLinks: map[string][]*faultnet.StreamForwarder{}}
@@ -196,6 +197,7 @@
 	return c
 }
 
+// stream starts a forwarder to the target address.
 func (c *cluster) stream(target string, seed uint64) *faultnet.StreamForwarder {
 	forwarder, err := faultnet.NewStreamForwarder(target, seed)
 	if err != nil {
@@ -204,7 +206,7 @@
 	return forwarder
 }
 
-// writeConfig writes a replica's file; it reaches the others by the ways.
+// writeConfig writes a replica's configuration file, in which the addresses of the other replicas are those of forwarders.
 func (c *cluster) writeConfig(i int) {
 	base, err := filepath.Abs("../../example/config.json")
 	if err != nil {
@@ -242,19 +244,20 @@
 	}(replica.ended)
 }
 
-// signal sends a signal to a replica that runs.
+// signal sends a signal to a replica's process. It does nothing if the process has ended.
 func (c *cluster) signal(i int, signal syscall.Signal) {
 	if err := c.replicas[i].command.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		c.t.Error(err)
 	}
 }
 
-// kill ends a replica at once.
+// kill kills a replica's process and waits for its end.
 func (c *cluster) kill(i int) {
 	c.signal(i, syscall.SIGKILL)
 	<-c.replicas[i].ended
 }
 
+// running reports whether a replica's process is running.
 func (c *cluster) running(i int) bool {
 	select {
 	case <-c.replicas[i].ended:
@@ -264,6 +267,7 @@
 	}
 }
 
+// end kills all replicas, closes the forwarders and, if the test failed, logs the output of the replicas.
 func (c *cluster) end() {
 	for i := range c.replicas {
 		c.kill(i)
@@ -283,20 +287,20 @@
 	}
 }
 
-// setWays changes the weather between two replicas, in both directions.
+// setReplicaLinks sets the conditions between two replicas, for connections in both directions.
 func (c *cluster) setReplicaLinks(i, j int, conditions faultnet.Conditions) {
 	c.replicaLinks[[2]int{i, j}].SetConditions(conditions, conditions)
 	c.replicaLinks[[2]int{j, i}].SetConditions(conditions, conditions)
 }
 
-// delayRegions puts a delay between the regions, in seconds one way.
+// delayRegions sets the delay between the regions, in seconds one way.
 func (c *cluster) delayRegions(delay float64) {
 	for _, region := range []string{"eu", "us", "ap"} {
 		c.cutRegion(region, faultnet.Conditions{Delay: delay})
 	}
 }
 
-// cutRegion changes the weather between a region and the others, for replicas and proxies.
+// cutRegion sets the conditions between a region and the others, for replicas and proxies.
 func (c *cluster) cutRegion(region string, conditions faultnet.Conditions) {
 	for i := range c.replicas {
 		for j := range i {
@@ -312,7 +316,7 @@
 	}
 }
 
-// addresses are where operators reach the replicas, whatever the ways between the regions are like.
+// addresses returns the addresses at which operators reach the replicas, without forwarders.
 func (c *cluster) addresses() (addresses []string) {
 	for _, replica := range c.replicas {
 		addresses = append(addresses, replica.address)
@@ -320,7 +324,7 @@
 	return addresses
 }
 
-// addressesFrom are where a region's proxies reach the replicas, those of their region first.
+// addressesFrom returns the addresses at which a region's proxies reach the replicas, those of their region first.
 func (c *cluster) addressesFrom(region string) (addresses []string) {
 	for _, near := range []bool{true, false} {
 		for i, replica := range c.replicas {
--- a/internal/controlserver/reports_test.go
+++ b/internal/controlserver/reports_test.go
@@ -8,7 +8,7 @@
 	"sandpass/internal/revision"
 )
 
-// watchOf is a session of proxy p1.
+// newSession returns a session of proxy p1.
 func newSession(t *testing.T) *control.Session {
 	t.Helper()
 	session, err := control.NewSession(revision.Hello{Protocol: revision.Protocol,
@@ -19,7 +19,7 @@
 	return session
 }
 
-// showsOpen says whether the server's view has p1's watch open at c1.
+// connectedAtC1 reports whether the server's fleet view has proxy p1 connected to replica c1.
 func connectedAtC1(server *Server) bool {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -27,19 +27,23 @@
 	return known && status.Connected && status.Replica == "c1"
 }
 
+// A proxy may open a new watch before its previous one is closed. The close of the previous one must not mark the proxy as
+// disconnected.
 func TestReopenedWatchSurvivesCloseOfPrevious(t *testing.T) {
 	server, _ := startSingleReplica(t, nil)
 	previous, current := newSession(t), newSession(t)
 	server.sessionOpened(previous)
 	server.sessionOpened(current)
 	if server.sessionClosed(previous); !connectedAtC1(server) {
-		t.Error("the end of the old watch counts for the new one")
+		t.Error("the proxy counts as disconnected after its previous watch was closed")
 	}
 	if server.sessionClosed(current); connectedAtC1(server) {
-		t.Error("the watch counts as open after its end")
+		t.Error("the proxy counts as connected after its current watch was closed")
 	}
 }
 
+// A proxy moves to this replica, and then a late report of its previous replica says that the watch there has ended. The
+// proxy must still count as connected.
 func TestLateReportFromOtherReplicaKeepsWatchOpen(t *testing.T) {
 	server, _ := startSingleReplica(t, nil)
 	session := newSession(t)
@@ -51,6 +55,6 @@
 	otherStatus.UpdatedAt = otherStatus.UpdatedAt.Add(time.Second)
 	server.mergeReports("c2", []control.ProxyStatus{otherStatus})
 	if !connectedAtC1(server) {
-		t.Error("the proxy counts as gone though its watch is open here")
+		t.Error("the proxy counts as disconnected although its watch at this replica is open")
 	}
 }
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -28,7 +28,8 @@
 	"sandpass/internal/revision"
 )
 
-// startAlone starts a fleet's only replica in the test's process; others may be named that do not run.
+// startSingleReplica starts one replica in the test's process. Its configuration may list other replicas, which do not
+// run. A nil storage stands for a new BoltStorage.
 func startSingleReplica(t *testing.T, storage Storage, others ...Peer) (*Server, *controlclient.Client) {
 	t.Helper()
 	check, err := newChecker("../../example/config.json")
@@ -55,6 +56,7 @@
 	return server, newClient(t, server.Address())
 }
 
+// awaitReadable waits until the replica answers a status request.
 func awaitReadable(t *testing.T, client *controlclient.Client) {
 	t.Helper()
 	await(t, electionTimeout, "a leader", func() (string, bool) {
@@ -63,8 +65,8 @@
 	})
 }
 
-// openWatch sends a first line to the watch and gives the answer.
-func openWatch(t *testing.T, server *Server, line string) (*http.Response, *io.PipeWriter) {
+// openWatch opens a watch with the given first line and returns the response and the request's body.
+func openWatch(t *testing.T, server *Server, firstLine string) (*http.Response, *io.PipeWriter) {
 	t.Helper()
 	body, out := io.Pipe()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*electionTimeout)
@@ -73,17 +75,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go io.WriteString(out, line)
-	answer, err := http.DefaultClient.Do(request)
+	go io.WriteString(out, firstLine)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		t.Fatalf("%.80s: %v", line, err)
+		t.Fatalf("%.80s: %v", firstLine, err)
 	}
-	t.Cleanup(func() { answer.Body.Close(); out.Close() })
-	return answer, out
+	t.Cleanup(func() { response.Body.Close(); out.Close() })
+	return response, out
 }
 
 const goodHello = `{"protocol":1,"identity":{"fleet":"shop","proxy":"p1","zone":"eu-1"},"revision":0,"news":true}` + "\n"
 
+// A malformed or foreign Hello must be refused with an error of one line and must not change the fleet view.
 func TestMalformedHelloIsRefused(t *testing.T) {
 	t.Parallel()
 	server, client := startSingleReplica(t, nil)
@@ -95,12 +98,13 @@
 		`{"protocol":1,"identity":{"fleet":"shop","proxy":"a b"}}` + "\n": "proxy",
 		`{"protocol":0,"identity":{"fleet":"shop","proxy":"p1"}}` + "\n":  "protocol",
 		strings.Repeat("x", maxLineBytes+1) + "\n":                        "too long",
-		`{"protocol":1`: "hello:", // it never ends
+		`{"protocol":1`: "hello:", // the line is not terminated
 	} {
-		answer, _ := openWatch(t, server, line)
-		text, _ := io.ReadAll(answer.Body)
-		if answer.StatusCode != http.StatusBadRequest || !strings.Contains(string(text), want) || bytes.Count(text, []byte("\n")) != 1 {
-			t.Errorf("%.60q: %s %q, wanted %q", line, answer.Status, text, want)
+		response, _ := openWatch(t, server, line)
+		text, _ := io.ReadAll(response.Body)
+		if response.StatusCode != http.StatusBadRequest || !strings.Contains(string(text), want) ||
+			bytes.Count(text, []byte("\n")) != 1 {
+			t.Errorf("hello %.60q: got status %s and body %q, want %q", line, response.Status, text, want)
 		}
 	}
 	status, err := client.Status(context.Background(), 0, true)
@@ -109,13 +113,14 @@
 	}
 }
 
+// A proxy with a newer protocol version must be served with the replica's version.
 func TestWatchOfNewerProtocolIsServed(t *testing.T) {
 	t.Parallel()
 	server, client := startSingleReplica(t, nil)
 	awaitReadable(t, client)
 	apply(t, client, revision.FleetScope, testDocument(1))
-	answer, _ := openWatch(t, server, strings.Replace(goodHello, `"protocol":1`, `"protocol":2`, 1))
-	lines := bufio.NewReader(answer.Body)
+	response, _ := openWatch(t, server, strings.Replace(goodHello, `"protocol":1`, `"protocol":2`, 1))
+	lines := bufio.NewReader(response.Body)
 	var update revision.Update
 	for update.Revision == 0 {
 		line, err := lines.ReadBytes('\n')
@@ -129,20 +134,21 @@
 		}
 	}
 	if update.Revision != 1 {
-		t.Errorf("%+v", update)
+		t.Errorf("got update %+v, want revision 1", update)
 	}
 }
 
+// A watch without updates must receive heartbeats, and must end properly soon after the replica is stopped.
 func TestIdleWatchGetsHeartbeatsAndEndsOnStop(t *testing.T) {
 	t.Parallel()
 	server, client := startSingleReplica(t, nil)
 	awaitReadable(t, client)
-	answer, _ := openWatch(t, server, goodHello)
-	lines := bufio.NewReader(answer.Body)
+	response, _ := openWatch(t, server, goodHello)
+	lines := bufio.NewReader(response.Body)
 	start := time.Now()
-	for range 2 { // the first one comes at once
+	for range 2 { // the first one is sent at once
 		if line, err := lines.ReadString('\n'); err != nil || line != "\n" {
-			t.Fatalf("%q, %v", line, err)
+			t.Fatalf("got line %q, error %v; want an empty line", line, err)
 		}
 	}
 	if took := time.Since(start); took > heartbeatInterval+time.Second {
@@ -151,13 +157,14 @@
 	start = time.Now()
 	server.Stop()
 	if _, err := io.Copy(io.Discard, lines); err != nil {
-		t.Errorf("the watch did not end well: %v", err)
+		t.Errorf("the watch did not end properly: %v", err)
 	}
 	if took := time.Since(start); took > drainDuration+time.Second {
-		t.Errorf("the watch ended %v after the replica was told to stop", took)
+		t.Errorf("the watch ended %v after Stop", took)
 	}
 }
 
+// A replica with MaxWatches watches must refuse another one.
 func TestReplicaAtWatchLimitRefusesWatch(t *testing.T) {
 	t.Parallel()
 	server, client := startSingleReplica(t, nil)
@@ -165,23 +172,24 @@
 	server.mu.Lock()
 	server.watchCount = MaxWatches
 	server.mu.Unlock()
-	if answer, _ := openWatch(t, server, goodHello); answer.StatusCode != http.StatusServiceUnavailable {
-		t.Error(answer.Status)
+	if response, _ := openWatch(t, server, goodHello); response.StatusCode != http.StatusServiceUnavailable {
+		t.Error(response.Status)
 	}
 }
 
+// A proxy that does not report on an update within reportTimeout must be disconnected.
 func TestProxyWithoutReportIsDisconnected(t *testing.T) {
 	t.Parallel()
 	server, client := startSingleReplica(t, nil)
 	awaitReadable(t, client)
 	apply(t, client, revision.FleetScope, testDocument(1))
-	answer, _ := openWatch(t, server, goodHello)
+	response, _ := openWatch(t, server, goodHello)
 	start := time.Now()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(start); took < reportTimeout/2 || took > reportTimeout+2*time.Second {
-		t.Errorf("it was dropped after %v", took)
+		t.Errorf("the proxy was disconnected after %v", took)
 	}
 	status, err := client.Status(context.Background(), 0, true)
 	if err != nil || len(status.Proxies) != 1 || status.Proxies[0].Connected {
@@ -189,14 +197,15 @@
 	}
 }
 
+// A report that belongs to no update must be ignored, and a malformed one must end its watch without other effects.
 func TestMalformedReportEndsOnlyItsWatch(t *testing.T) {
 	t.Parallel()
 	server, client := startSingleReplica(t, nil)
 	awaitReadable(t, client)
-	answer, out := openWatch(t, server, goodHello)
-	io.WriteString(out, `{"revision":7,"verdict":"in_force"}`+"\n") // it answers nothing
+	response, out := openWatch(t, server, goodHello)
+	io.WriteString(out, `{"revision":7,"verdict":"in_force"}`+"\n") // belongs to no update
 	io.WriteString(out, "no report\n")
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		t.Log(err)
 	}
 	status, err := client.Status(context.Background(), 0, true)
@@ -205,6 +214,7 @@
 	}
 }
 
+// Malformed messages, and messages from senders that are not replicas of the fleet, must not change the replica's state.
 func TestMalformedReplicaMessagesAreIgnored(t *testing.T) {
 	t.Parallel()
 	server, client := startSingleReplica(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
@@ -234,24 +244,25 @@
 		request.Header.Set(fleetHeader, message.fleet)
 		request.Header.Set(senderHeader, message.sender)
 		request.Close = true
-		answer, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Errorf("%+v: %v", message, err)
 			continue
 		}
-		text, _ := io.ReadAll(answer.Body)
-		answer.Body.Close()
-		if answer.StatusCode != message.status || message.status != http.StatusOK && bytes.Count(text, []byte("\n")) != 1 {
-			t.Errorf("%+v: %s %q", message, answer.Status, text)
+		text, _ := io.ReadAll(response.Body)
+		response.Body.Close()
+		if response.StatusCode != message.status || message.status != http.StatusOK && bytes.Count(text, []byte("\n")) != 1 {
+			t.Errorf("%+v: %s %q", message, response.Status, text)
 		}
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if leader, proxies := server.node.Leader(), server.view.Statuses(); leader != 0 || len(proxies) != 0 {
-		t.Errorf("leader %d, %v", leader, proxies)
+		t.Errorf("got leader %d and proxies %v, want none", leader, proxies)
 	}
 }
 
+// Invalid changes must be refused with an error of one line and must not become revisions.
 func TestInvalidApplyRequestsAreRefused(t *testing.T) {
 	t.Parallel()
 	server, client := startSingleReplica(t, nil)
@@ -270,24 +281,25 @@
 		strings.Replace(fmt.Sprintf(valid, "7", "{}"), `"base":0`, `"base":3`, 1):        controlapi.KindNotFound,
 		strings.Replace(fmt.Sprintf(valid, "8", "{}"), `"base":0`, `"rollback_of":3`, 1): controlapi.KindNotFound,
 	} {
-		answer, err := http.Post("http://"+server.Address()+controlapi.ApplyPath, "application/json", strings.NewReader(body))
+		response, err := http.Post("http://"+server.Address()+controlapi.ApplyPath, "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Errorf("%.80s: %v", body, err)
 			continue
 		}
 		var refusal controlapi.Error
-		err = json.NewDecoder(answer.Body).Decode(&refusal)
-		answer.Body.Close()
+		err = json.NewDecoder(response.Body).Decode(&refusal)
+		response.Body.Close()
 		if err != nil || refusal.Kind != want || refusal.Message == "" || strings.Contains(refusal.Message, "\n") {
-			t.Errorf("%.120q: %+v, %v; wanted %s", body, refusal, err, want)
+			t.Errorf("body %.120q: got %+v, error %v; want kind %s", body, refusal, err, want)
 		}
 	}
 	history, err := client.History(context.Background(), nil, 0)
 	if err != nil || len(history.Revisions) != 0 {
-		t.Errorf("%v, %v", history, err)
+		t.Errorf("got history %v, error %v; want no revisions", history, err)
 	}
 }
 
+// A repeated change with the same ID must return the first revision. A conflict must name the author of the other change.
 func TestRepeatedApplyIsIdempotentAndConflictNamesAuthor(t *testing.T) {
 	t.Parallel()
 	_, client := startSingleReplica(t, nil)
@@ -296,7 +308,7 @@
 		Reason: "more"}
 	for range 3 {
 		if accepted, err := client.Apply(context.Background(), request); err != nil || accepted.Number != 1 {
-			t.Fatalf("%+v, %v", accepted, err)
+			t.Fatalf("got %+v, error %v; want revision 1", accepted, err)
 		}
 	}
 	request.ID, request.Author, request.Document = "second", "bert", testDocument(2)
@@ -304,10 +316,11 @@
 	var conflict *controlapi.Error
 	if !errors.As(err, &conflict) || conflict.Kind != controlapi.KindConflict || len(conflict.Changed) != 1 ||
 		conflict.Changed[0].Author != "anna" {
-		t.Errorf("%+v", err)
+		t.Errorf("got error %+v, want a conflict with a change by anna", err)
 	}
 }
 
+// Without a quorum, changes must fail with KindNoQuorum, and stale reads must report the age of the state.
 func TestWithoutQuorumWritesFailAndStaleReadsReportAge(t *testing.T) {
 	t.Parallel()
 	_, client := startSingleReplica(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
@@ -315,7 +328,7 @@
 	defer cancel()
 	request := controlapi.ApplyRequest{Scope: revision.FleetScope, Document: testDocument(1), Author: "anna", Reason: "more"}
 	if _, err := client.Apply(ctx, request); errorKind(err) != controlapi.KindNoQuorum {
-		t.Errorf("%v", err)
+		t.Errorf("apply returned %v, want an error of kind no_quorum", err)
 	}
 	client.AllowStale = true
 	status, err := client.Status(context.Background(), 0, false)
@@ -324,7 +337,7 @@
 	}
 }
 
-// failingStorage fails from one operation on.
+// failingStorage fails with err after some successful saves.
 type failingStorage struct {
 	Storage
 	err                error
@@ -338,6 +351,7 @@
 	return f.Storage.Save(work)
 }
 
+// A replica whose disk fails must stop, and must not have accepted revisions that are not on disk, whichever save fails.
 func TestReplicaStopsWhenStorageFails(t *testing.T) {
 	t.Parallel()
 	for after := range 8 {
@@ -348,7 +362,7 @@
 	}
 }
 
-// checkFailingDisk lets the disk fail after some operations, and compares what was accepted with what lies on it.
+// checkFailingDisk makes the disk fail after some saves and compares the accepted revisions with those on disk.
 func checkFailingDisk(t *testing.T, saves int) {
 	folder := t.TempDir()
 	storage := &failingStorage{openStorage(t, folder), syscall.ENOSPC, saves}
@@ -362,7 +376,7 @@
 	go func() { ended <- server.Run() }()
 	accepted, runErr := applyUntilStopped(newClient(t, server.Address()), ended)
 	if !errors.Is(runErr, syscall.ENOSPC) || strings.Contains(runErr.Error(), "\n") {
-		t.Errorf("after %d: %v", saves, runErr)
+		t.Errorf("after %d saves: Run returned %v, want ENOSPC in one line", saves, runErr)
 	}
 	reopened, err := OpenStorage(folder, "shop", "c1")
 	if err != nil {
@@ -383,12 +397,12 @@
 		}
 	}
 	if newest := node.State().NewestNumber(); int(newest) < accepted {
-		t.Errorf("after %d: %d accepted, %d are on the disk", saves, accepted, newest)
+		t.Errorf("after %d saves: %d revisions accepted, %d are on disk", saves, accepted, newest)
 	}
 	reopened.Close()
 }
 
-// applyUntilItEnds makes changes until the replica ends, and says how many were accepted.
+// applyUntilStopped makes changes until the replica stops. It returns how many were accepted and the error of Run.
 func applyUntilStopped(client *controlclient.Client, ended <-chan error) (accepted int, runErr error) {
 	for n := 0; ; n++ {
 		select {
@@ -402,6 +416,7 @@
 	}
 }
 
+// Errors in a replica's file must be reported in one line that names the key or the position.
 func TestReadConfigRejectsInvalidFiles(t *testing.T) {
 	t.Parallel()
 	valid := "fleet = \"shop\"\nname = \"c1\"\nfolder = \"log\"\nlisten = \"127.0.0.1:0\"\n" +
@@ -422,11 +437,12 @@
 		}
 		_, err := ReadConfig(path)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, wanted %q", text, err, want)
+			t.Errorf("file %q: got error %v, want %q", text, err, want)
 		}
 	}
 }
 
+// Reading arbitrary bytes as messages must not panic.
 func FuzzMessage(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x02\x08\x01"))
 	f.Add([]byte("\xff\xff\xff\xff"))
@@ -440,6 +456,7 @@
 	})
 }
 
+// Validating an arbitrary request body must not panic and must return errors of one line.
 func FuzzApplyBody(f *testing.F) {
 	f.Add([]byte(`{"id":"1","scope":"fleet","author":"a","reason":"r","document":{}}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -455,6 +472,7 @@
 	})
 }
 
+// A connection that is closed twice must release its slot exactly once.
 func TestClosedConnectionReleasesSlotOnce(t *testing.T) {
 	t.Parallel()
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/controlserver/simproxy_test.go
+++ b/internal/controlserver/simproxy_test.go
@@ -16,33 +16,34 @@
 	"sandpass/internal/revision"
 )
 
-// simProxy is a proxy's control side for tests: it watches a replica, moves to another when that one is silent, applies
-// updates, and notes whether it was ever told to go back.
+// simProxy simulates the control client of a proxy. It watches a replica, moves to another one when that one is silent,
+// applies updates, and records violations such as an update to an older revision.
 type simProxy struct {
 	identity revision.Identity
 	replicas []string
-	refuse   func(effective revision.Document) string // why it refuses a configuration, empty: it takes it
+	refuse   func(effective revision.Document) string // returns why it refuses a configuration; empty to accept it
 
 	mu         sync.Mutex
 	documents  map[revision.Scope]revision.ScopeDocument
 	revision   revision.Number
 	checksum   string
 	refused    map[revision.Number]bool
-	violations []string // what must never happen
-	watches    int      // opened
+	violations []string // events that must never happen
+	watches    int      // number of watches opened
 }
 
 const (
-	simSilenceTimeout = 5 * time.Second        // of a replica, until the proxy moves
-	maxReconnectDelay = 300 * time.Millisecond // most between two attempts
+	simSilenceTimeout = 5 * time.Second        // without a line from the replica, until the proxy moves to the next one
+	maxReconnectDelay = 300 * time.Millisecond // before the next connection attempt
 )
 
+// newSimProxy returns a proxy without a configuration. It tries the replicas in the given order.
 func newSimProxy(identity revision.Identity, replicas []string) *simProxy {
 	return &simProxy{identity: identity, replicas: replicas, documents: map[revision.Scope]revision.ScopeDocument{},
 		checksum: revision.Checksum(revision.EmptyDocument), refused: map[revision.Number]bool{}}
 }
 
-// run watches until the context ends.
+// run watches one replica after the other until the context ends.
 func (p *simProxy) run(ctx context.Context) {
 	for at := 0; ctx.Err() == nil; at++ {
 		p.watch(ctx, p.replicas[at%len(p.replicas)])
@@ -53,6 +54,7 @@
 	}
 }
 
+// hello returns the first line of a watch.
 func (p *simProxy) hello() revision.Hello {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,8 +69,8 @@
 	return hello
 }
 
-// watch serves one watch until it breaks or is silent. It speaks HTTP on a bare connection: net/http's client holds a
-// request whose connection was reset until the request's body ends.
+// watch keeps one watch open until it breaks or is silent. It writes HTTP to a TCP connection, because net/http's client
+// does not return from a request whose connection was reset until the request's body ends.
 func (p *simProxy) watch(ctx context.Context, replica string) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", replica)
@@ -113,13 +115,14 @@
 	}
 }
 
+// addViolation records an event that must never happen.
 func (p *simProxy) addViolation(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.violations = append(p.violations, p.identity.Proxy+": "+fmt.Sprintf(format, args...))
 }
 
-// take applies an update and gives the report on it.
+// applyUpdate applies an update and returns the report on it.
 func (p *simProxy) applyUpdate(update revision.Update) revision.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,24 +139,25 @@
 			base := next[change.Scope]
 			patched, err := revision.ApplyPatch(base.Document, change.Patch)
 			if err != nil || base.Number != change.From {
-				report.Reason = "the change does not follow"
+				report.Reason = "the patch is not based on the current revision"
 				return report
 			}
 			document = patched
 		}
 		if change.Number < p.documents[change.Scope].Number {
-			p.violations = append(p.violations, fmt.Sprintf("%s: %s goes back from %d to %d", p.identity.Proxy, change.Scope,
-				p.documents[change.Scope].Number, change.Number))
+			p.violations = append(p.violations, fmt.Sprintf("%s: scope %s goes back from revision %d to %d",
+				p.identity.Proxy, change.Scope, p.documents[change.Scope].Number, change.Number))
 		}
 		next[change.Scope] = revision.ScopeDocument{Scope: change.Scope, Number: change.Number, Document: document}
 	}
 	if update.Revision < p.revision {
-		p.violations = append(p.violations, fmt.Sprintf("%s goes back from %d to %d", p.identity.Proxy, p.revision, update.Revision))
+		p.violations = append(p.violations, fmt.Sprintf("%s goes back from revision %d to %d",
+			p.identity.Proxy, p.revision, update.Revision))
 	}
 	return p.applyMerged(update, next, report)
 }
 
-// judge takes a configuration over, or says why not.
+// applyMerged merges the documents, verifies the checksum, and puts the configuration in force or refuses it.
 func (p *simProxy) applyMerged(update revision.Update, documents map[revision.Scope]revision.ScopeDocument,
 	report revision.Report) revision.Report {
 	var list []revision.ScopeDocument
@@ -162,8 +166,8 @@
 	}
 	effective, err := revision.EffectiveDocument(p.identity, list)
 	if err != nil || revision.Checksum(effective) != update.Checksum {
-		report.Reason = "the checksum is wrong"
-		p.violations = append(p.violations, fmt.Sprintf("%s: update %d gives %s, its checksum is another's (%v)",
+		report.Reason = "wrong checksum"
+		p.violations = append(p.violations, fmt.Sprintf("%s: update %d results in %s, which does not match its checksum (%v)",
 			p.identity.Proxy, update.Revision, effective, err))
 		return report
 	}
@@ -179,21 +183,21 @@
 	return report
 }
 
-// state gives what is in force.
+// state returns the revision and the checksum of the configuration in force.
 func (p *simProxy) state() (number revision.Number, checksum string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.revision, p.checksum
 }
 
-// simFleet is some proxies in all regions.
+// simFleet is a set of simulated proxies in all regions.
 type simFleet struct {
 	proxies []*simProxy
 	cancels []context.CancelFunc // of each proxy's run
 	done    sync.WaitGroup
 }
 
-// startProxies starts so many proxies, two zones to a region.
+// startProxies starts count proxies, spread over three regions with two zones each.
 func (c *cluster) startProxies(count int) *simFleet {
 	fleet := &simFleet{}
 	regions := []string{"eu", "us", "ap"}
@@ -208,6 +212,7 @@
 	return fleet
 }
 
+// start starts a proxy.
 func (f *simFleet) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancels[i] = cancel
@@ -215,12 +220,13 @@
 	f.done.Go(func() { proxy.run(ctx) })
 }
 
-// restart ends a proxy's watch and has it come back with what it holds.
+// restart ends a proxy's watch and starts the proxy again with the configuration that it has.
 func (f *simFleet) restart(i int) {
 	f.cancels[i]()
 	f.start(i)
 }
 
+// stop stops all proxies and waits for them.
 func (f *simFleet) stop() {
 	for _, cancel := range f.cancels {
 		cancel()
@@ -228,7 +234,7 @@
 	f.done.Wait()
 }
 
-// faults gives what must never happen and did.
+// violations returns the violations of all proxies, one per line.
 func (f *simFleet) violations() string {
 	var all []string
 	for _, proxy := range f.proxies {
