--- a/cmd/sandpass-control/client.go
+++ b/cmd/sandpass-control/client.go
@@ -270,16 +270,16 @@
 	var limit int
 	command := &cobra.Command{Use: "history", Short: "List the newest revisions", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var wanted *revision.Scope
+			var scopeFilter *revision.Scope
 			if scope != "" {
 				parsed, err := parseScope(scope)
 				if err != nil {
 					return err
 				}
-				wanted = &parsed
+				scopeFilter = &parsed
 			}
 			return runRead(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.HistoryResponse, error) {
-				return client.History(ctx, wanted, limit)
+				return client.History(ctx, scopeFilter, limit)
 			}, printHistory)
 		}}
 	command.Flags().StringVar(&scope, "scope", "", "list only revisions of this scope")
