--- a/internal/controlserver/faults_test.go
+++ b/internal/controlserver/faults_test.go
@@ -20,302 +20,317 @@
 )
 
 const (
-	seedsVariable = "SANDPASS_CONTROL_SEEDS" // how many seeds; the long form of each fault where it is set
-	usualSeeds    = 2
-	usualFaults   = 3 // of a seed
-	regionDelay   = 0.035
-	faultTime     = 1500 * time.Millisecond // that a fault lasts
-	stopTimeShort = 3 * time.Second         // that a leader stands still
-	stopTimeLong  = 10 * time.Second
-	healTime      = 3 * time.Second // until all are equal after a fault is healed
-	operatorPause = 100 * time.Millisecond
-	readPause     = 50 * time.Millisecond
+	seedsVariable      = "SANDPASS_CONTROL_SEEDS" // number of seeds to run; if set, faults have their long form
+	defaultSeeds       = 2
+	faultsPerSeed      = 3 // faults injected per seed
+	regionDelaySeconds = 0.035
+	faultDuration      = 1500 * time.Millisecond // of a fault; some last twice as long
+	shortPauseDuration = 3 * time.Second         // during which a leader is stopped by SIGSTOP
+	longPauseDuration  = 10 * time.Second
+	convergenceLimit   = 3 * time.Second // for all proxies to converge after a fault is healed
+	operatorInterval   = 100 * time.Millisecond
+	readInterval       = 50 * time.Millisecond
 )
 
-// journal is what operators were told, and what must hold of it.
-type journal struct {
-	mu       sync.Mutex
-	attempts map[string]bool            // checksums of documents that were asked for
-	accepted map[revision.Number]string // checksums of accepted documents
-	unknown  int
-	newest   revision.Number
-	faults   []string
+// operationLog records the changes that operators requested and their results, and finds violations: accepted revisions
+// that are lost, made twice or never requested.
+type operationLog struct {
+	mu         sync.Mutex
+	requested  map[string]bool            // checksums of requested documents
+	accepted   map[revision.Number]string // checksums of accepted documents
+	unknown    int
+	newest     revision.Number
+	violations []string
 }
 
-func newJournal() *journal {
-	return &journal{attempts: map[string]bool{}, accepted: map[revision.Number]string{}}
+// newOperationLog returns an empty operation log.
+func newOperationLog() *operationLog {
+	return &operationLog{requested: map[string]bool{}, accepted: map[revision.Number]string{}}
 }
 
-func (j *journal) fault(format string, args ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.faults = append(j.faults, fmt.Sprintf(format, args...))
+// addViolation records an event that must never happen.
+func (l *operationLog) addViolation(format string, args ...any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-func (j *journal) asked(sum string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.attempts[sum] = true
+// recordRequest records that a document was requested.
+func (l *operationLog) recordRequest(checksum string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requested[checksum] = true
 }
 
-func (j *journal) answered(number revision.Number, sum string, err error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// recordResult records the result of a request.
+func (l *operationLog) recordResult(number revision.Number, checksum string, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		if before, twice := j.accepted[number]; twice {
-			j.faults = append(j.faults, fmt.Sprintf("revision %d was accepted twice: %s, %s", number, before, sum))
+		if previous, known := l.accepted[number]; known {
+			l.violations = append(l.violations, fmt.Sprintf("revision %d was accepted twice: %s, %s", number, previous, checksum))
 		}
-		j.accepted[number] = sum
-		j.newest = max(j.newest, number)
-	case kindOf(err) == controlapi.KindUnknown:
-		j.unknown++
-	case kindOf(err) == controlapi.KindRefused, kindOf(err) == controlapi.KindBadRequest:
-		j.faults = append(j.faults, fmt.Sprintf("a good revision was refused: %v", err))
+		l.accepted[number] = checksum
+		l.newest = max(l.newest, number)
+	case errorKind(err) == controlapi.KindUnknown:
+		l.unknown++
+	case errorKind(err) == controlapi.KindRefused, errorKind(err) == controlapi.KindBadRequest:
+		l.violations = append(l.violations, fmt.Sprintf("a valid revision was refused: %v", err))
 	}
 }
 
-// count is how many revisions were accepted.
-func (j *journal) count() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return len(j.accepted)
+// acceptedCount returns the number of accepted revisions.
+func (l *operationLog) acceptedCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.accepted)
 }
 
-func (j *journal) newestAccepted() revision.Number {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.newest
+// newestAccepted returns the newest accepted revision, 0 for none.
+func (l *operationLog) newestAccepted() revision.Number {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.newest
 }
 
-// compare finds accepted revisions that a history lost, and revisions that nobody asked for or that are there twice.
-func (j *journal) compare(history []historyLine) {
+// compare compares a history with the log. Accepted revisions that are missing, and documents that were not requested or
+// occur twice, are violations.
+func (l *operationLog) compare(history []historyEntry) {
 	found := map[revision.Number]string{}
-	times := map[string]int{}
-	for _, line := range history {
-		found[line.number] = line.sum
-		times[line.sum]++
+	occurrencesByChecksum := map[string]int{}
+	for _, entry := range history {
+		found[entry.number] = entry.checksum
+		occurrencesByChecksum[entry.checksum]++
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for number, sum := range j.accepted {
-		if found[number] != sum {
-			j.faults = append(j.faults, fmt.Sprintf("accepted revision %d is lost: %s in its place", number, found[number]))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for number, checksum := range l.accepted {
+		if found[number] != checksum {
+			l.violations = append(l.violations, fmt.Sprintf("accepted revision %d is lost: the history has %s in its place",
+				number, found[number]))
 		}
 	}
-	for sum, count := range times {
-		if !j.attempts[sum] || count > 1 {
-			j.faults = append(j.faults, fmt.Sprintf("document %s is in the history %d times, asked for: %t", sum, count, j.attempts[sum]))
+	for checksum, occurrences := range occurrencesByChecksum {
+		if !l.requested[checksum] || occurrences > 1 {
+			l.violations = append(l.violations, fmt.Sprintf("document %s is in the history %d times, requested: %t",
+				checksum, occurrences, l.requested[checksum]))
 		}
 	}
 }
 
-// historyLine is a revision in a history.
-type historyLine struct {
-	number revision.Number
-	sum    string
+// historyEntry is a revision in a history.
+type historyEntry struct {
+	number   revision.Number
+	checksum string
 }
 
-func historyOf(client *controlclient.Client) (lines []historyLine, err error) {
+// historyOf returns all revisions that a client reads.
+func historyOf(client *controlclient.Client) (lines []historyEntry, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	history, err := client.History(ctx, nil, 0)
 	for _, entry := range history.Revisions {
-		lines = append(lines, historyLine{entry.Number, entry.Checksum})
+		lines = append(lines, historyEntry{entry.Number, entry.Checksum})
 	}
 	return lines, err
 }
 
-// operate changes configurations until the context ends. Every document is another.
-func (j *journal) operate(ctx context.Context, client *controlclient.Client, seed uint64, operator int) {
-	chance := rand.New(rand.NewPCG(seed, uint64(operator)))
+// runOperator changes random scopes until the context ends, each time with a different document.
+func (l *operationLog) runOperator(ctx context.Context, client *controlclient.Client, seed uint64, operator int) {
+	random := rand.New(rand.NewPCG(seed, uint64(operator)))
 	scopes := []revision.Scope{revision.FleetScope, {Kind: revision.RegionKind, Name: "us"}, {Kind: revision.ZoneKind, Name: "eu-0"},
 		{Kind: revision.ServiceKind, Name: "s1"}, {Kind: revision.ProxyKind, Name: "p3"}}
 	for n := 0; ctx.Err() == nil; n++ {
-		document := utility(100000*operator + n)
-		sum := revision.Checksum(document)
-		j.asked(sum)
-		number, err := tryApply(client, scopes[chance.IntN(len(scopes))], document, 8*time.Second)
-		j.answered(number, sum, err)
+		document := testDocument(100000*operator + n)
+		checksum := revision.Checksum(document)
+		l.recordRequest(checksum)
+		number, err := tryApply(client, scopes[random.IntN(len(scopes))], document, 8*time.Second)
+		l.recordResult(number, checksum, err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(operatorPause):
+		case <-time.After(operatorInterval):
 		}
 	}
 }
 
-// read looks at the fleet through one replica until the context ends: what was accepted before must be told.
-func (j *journal) read(ctx context.Context, name string, client *controlclient.Client) {
+// runReader reads the newest revision from one replica until the context ends. A read must return at least the newest
+// revision that was accepted before the read began.
+func (l *operationLog) runReader(ctx context.Context, name string, client *controlclient.Client) {
 	for ctx.Err() == nil {
-		before := j.newestAccepted()
+		newest := l.newestAccepted()
 		history, err := client.History(ctx, nil, 1)
-		if err == nil && before > 0 && (len(history.Revisions) == 0 || history.Revisions[0].Number < before) {
-			j.fault("%s told %v as newest after revision %d was accepted", name, history.Revisions, before)
+		if err == nil && newest > 0 && (len(history.Revisions) == 0 || history.Revisions[0].Number < newest) {
+			l.addViolation("%s returned %v as the newest revision after revision %d was accepted", name, history.Revisions, newest)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(readPause):
+		case <-time.After(readInterval):
 		}
 	}
 }
 
-// scene is a cluster with proxies, operators and readers on which faults are played.
-type scene struct {
+// faultScenario is a cluster with proxies, operators and readers into which faults are injected.
+type faultScenario struct {
 	*cluster
-	chance   *rand.Rand
-	operator *controlclient.Client
-	fleet    *simFleet
-	journal  *journal
-	long     bool
+	random     *rand.Rand
+	operator   *controlclient.Client
+	fleet      *simFleet
+	operations *operationLog
+	longRun    bool
 }
 
-// fault is something that is done to a scene; heal undoes it.
+// fault is a failure that can be injected into a scenario. The function heal undoes it.
 type fault struct {
-	name string
-	play func(s *scene) (heal func())
+	name   string
+	inject func(s *faultScenario) (heal func())
 }
 
-var faultKinds = []fault{
-	{"leader killed", func(s *scene) func() {
+// faultCatalog lists the faults that seeds choose from.
+var faultCatalog = []fault{
+	{"leader killed", func(s *faultScenario) func() {
 		leader := s.awaitLeader(s.operator)
 		s.kill(leader)
-		time.Sleep(faultTime)
+		time.Sleep(faultDuration)
 		return func() { s.start(leader) }
 	}},
-	{"two of five killed", func(s *scene) func() {
+	{"two of five killed", func(s *faultScenario) func() {
 		leader := s.awaitLeader(s.operator)
-		other := (leader + 1 + s.chance.IntN(len(s.replicas)-1)) % len(s.replicas)
+		other := (leader + 1 + s.random.IntN(len(s.replicas)-1)) % len(s.replicas)
 		s.kill(leader)
 		s.kill(other)
-		time.Sleep(faultTime)
+		time.Sleep(faultDuration)
 		return func() { s.start(leader); s.start(other) }
 	}},
-	{"leader stands still", func(s *scene) func() {
+	{"leader stopped by SIGSTOP", func(s *faultScenario) func() {
 		leader := s.awaitLeader(s.operator)
 		s.signal(leader, syscall.SIGSTOP)
-		time.Sleep(map[bool]time.Duration{false: stopTimeShort, true: stopTimeLong}[s.long])
+		time.Sleep(map[bool]time.Duration{false: shortPauseDuration, true: longPauseDuration}[s.longRun])
 		return func() { s.signal(leader, syscall.SIGCONT) }
 	}},
-	{"region eu cut", cutting("eu")},
-	{"region us cut", cutting("us")},
-	{"region ap cut", cutting("ap")},
-	{"leader hears nobody", oneWay(true)},
-	{"nobody hears the leader", oneWay(false)},
-	{"torn file", func(s *scene) func() { return s.tearFile() }},
-	{"disk full", func(s *scene) func() { return s.fillDisk() }},
-	{"proxy restarted", func(s *scene) func() {
+	{"region eu disconnected", regionCut("eu")},
+	{"region us disconnected", regionCut("us")},
+	{"region ap disconnected", regionCut("ap")},
+	{"leader receives nothing", oneWayCut(true)},
+	{"leader's messages are lost", oneWayCut(false)},
+	{"storage file truncated", func(s *faultScenario) func() { return s.truncateFile() }},
+	{"disk full", func(s *faultScenario) func() { return s.fillDisk() }},
+	{"proxies restarted", func(s *faultScenario) func() {
 		for range 10 {
-			s.fleet.restart(s.chance.IntN(len(s.fleet.proxies)))
-			time.Sleep(faultTime / 10)
+			s.fleet.restart(s.random.IntN(len(s.fleet.proxies)))
+			time.Sleep(faultDuration / 10)
 		}
 		return func() {}
 	}},
-	{"replica stops as told", func(s *scene) func() {
+	{"leader stopped by SIGTERM", func(s *faultScenario) func() {
 		leader := s.awaitLeader(s.operator)
 		s.signal(leader, syscall.SIGTERM)
 		<-s.replicas[leader].ended
 		if code := s.replicas[leader].command.ProcessState.ExitCode(); code != 0 {
-			s.journal.fault("a replica that was told to stop ended with %d", code)
+			s.operations.addViolation("a replica stopped by SIGTERM ended with exit code %d", code)
 		}
 		return func() { s.start(leader) }
 	}},
 }
 
-func cutting(region string) func(*scene) func() {
-	return func(s *scene) func() {
+// regionCut returns a fault that disconnects a region from the others.
+func regionCut(region string) func(*faultScenario) func() {
+	return func(s *faultScenario) func() {
 		s.cutRegion(region, faultnet.Conditions{Blocked: true})
-		time.Sleep(2 * faultTime)
-		return func() { s.cutRegion(region, faultnet.Conditions{Delay: regionDelay}) }
+		time.Sleep(2 * faultDuration)
+		return func() { s.cutRegion(region, faultnet.Conditions{Delay: regionDelaySeconds}) }
 	}
 }
 
-// oneWay cuts what goes to the leader, or what comes from it.
-func oneWay(toLeader bool) func(*scene) func() {
-	return func(s *scene) func() {
+// oneWayCut returns a fault that blocks all data sent to the leader, or all data sent by it.
+func oneWayCut(toLeader bool) func(*faultScenario) func() {
+	return func(s *faultScenario) func() {
 		leader := s.awaitLeader(s.operator)
-		set := func(there faultnet.Conditions) {
+		setLeaderLinks := func(blocked faultnet.Conditions) {
 			for i := range s.replicas {
 				if i == leader {
 					continue
 				}
-				back := faultnet.Conditions{Delay: regionDelay}
-				to, from := s.ways[[2]int{i, leader}], s.ways[[2]int{leader, i}]
-				if toLeader { // also what answers on connections that the leader made
-					to.SetConditions(there, back)
-					from.SetConditions(back, there)
+				open := faultnet.Conditions{Delay: regionDelaySeconds}
+				to, from := s.replicaLinks[[2]int{i, leader}], s.replicaLinks[[2]int{leader, i}]
+				if toLeader { // including responses on connections that the leader opened
+					to.SetConditions(blocked, open)
+					from.SetConditions(open, blocked)
 				} else {
-					to.SetConditions(back, there)
-					from.SetConditions(there, back)
+					to.SetConditions(open, blocked)
+					from.SetConditions(blocked, open)
 				}
 			}
 		}
-		set(faultnet.Conditions{Blocked: true})
-		time.Sleep(2 * faultTime)
-		return func() { set(faultnet.Conditions{Delay: regionDelay}) }
+		setLeaderLinks(faultnet.Conditions{Blocked: true})
+		time.Sleep(2 * faultDuration)
+		return func() { setLeaderLinks(faultnet.Conditions{Delay: regionDelaySeconds}) }
 	}
 }
 
-// tearFile kills a replica, cuts its file off and sees that it says so and ends; healed, the file is whole again.
-func (s *scene) tearFile() func() {
-	torn := s.chance.IntN(len(s.replicas))
-	s.kill(torn)
-	path := filepath.Join(s.replicas[torn].folder, storageFile)
-	whole, err := os.ReadFile(path)
+// truncateFile kills a replica and truncates its storage file. The restarted replica must end with an error that names the
+// file. Healing restores the file.
+func (s *faultScenario) truncateFile() func() {
+	victim := s.random.IntN(len(s.replicas))
+	s.kill(victim)
+	path := filepath.Join(s.replicas[victim].folder, storageFileName)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if err := os.Truncate(path, int64(s.chance.IntN(len(whole)*3/4))); err != nil {
+	if err := os.Truncate(path, int64(s.random.IntN(len(content)*3/4))); err != nil {
 		s.t.Fatal(err)
 	}
-	s.mustEnd(torn, storageFile, func() { s.start(torn) })
+	s.expectFailure(victim, storageFileName, func() { s.start(victim) })
 	return func() {
-		if err := os.WriteFile(path, whole, fileMode); err != nil {
+		if err := os.WriteFile(path, content, fileMode); err != nil {
 			s.t.Fatal(err)
 		}
-		s.start(torn)
+		s.start(victim)
 	}
 }
 
-// fillDisk lets nothing more be saved at the leader: it says so and ends.
-func (s *scene) fillDisk() func() {
+// fillDisk makes saving fail at the leader as on a full disk. The leader must end with that error.
+func (s *faultScenario) fillDisk() func() {
 	leader := s.awaitLeader(s.operator)
-	mark := filepath.Join(s.replicas[leader].folder, fullMark)
-	s.mustEnd(leader, syscall.ENOSPC.Error(), func() {
-		if err := os.WriteFile(mark, nil, fileMode); err != nil {
+	fullFile := filepath.Join(s.replicas[leader].folder, diskFullFileName)
+	s.expectFailure(leader, syscall.ENOSPC.Error(), func() {
+		if err := os.WriteFile(fullFile, nil, fileMode); err != nil {
 			s.t.Fatal(err)
 		}
 	})
 	return func() {
-		os.Remove(mark)
+		os.Remove(fullFile)
 		s.start(leader)
 	}
 }
 
-// mustEnd waits until a replica has ended with exit code 1 and an error line that has the words.
-func (s *scene) mustEnd(i int, words string, cause func()) {
+// expectFailure triggers a failure and checks that the replica ends with exit code 1 and a last line that is an error
+// containing want.
+func (s *faultScenario) expectFailure(i int, want string, trigger func()) {
 	replica := s.replicas[i]
-	before := len(replica.output.String())
-	cause()
+	outputStart := len(replica.output.String())
+	trigger()
 	select {
 	case <-replica.ended:
-	case <-time.After(electTime):
-		s.journal.fault("%s goes on: %s", replica.name, words)
+	case <-time.After(electionTimeout):
+		s.operations.addViolation("%s keeps running, expected it to end with: %s", replica.name, want)
 		s.kill(i)
 		return
 	}
-	text := strings.TrimSpace(replica.output.String()[before:])
+	text := strings.TrimSpace(replica.output.String()[outputStart:])
 	last := text[strings.LastIndexByte(text, '\n')+1:]
 	code := replica.command.ProcessState.ExitCode()
-	if code != 1 || !strings.HasPrefix(last, "sandpass: ") || !strings.Contains(last, words) {
-		s.journal.fault("%s ended with %d and %q, wanted %q", replica.name, code, last, words)
+	if code != 1 || !strings.HasPrefix(last, "sandpass: ") || !strings.Contains(last, want) {
+		s.operations.addViolation("%s ended with exit code %d and %q, want %q", replica.name, code, last, want)
 	}
 }
 
-// wantedSeeds says how many seeds to run, and whether in the long form.
-func wantedSeeds(t *testing.T) (count int, long bool) {
+// seedCount returns the number of seeds to run, and whether the long form of faults is used.
+func seedCount(t *testing.T) (count int, long bool) {
 	text := os.Getenv(seedsVariable)
 	if text == "" {
-		return usualSeeds, false
+		return defaultSeeds, false
 	}
 	count, err := strconv.Atoi(text)
 	if err != nil {
@@ -324,89 +339,93 @@
 	return count, true
 }
 
-func TestFaultsLoseNothing(t *testing.T) {
-	seeds, long := wantedSeeds(t)
+// While replicas crash, stop, lose their disk or are disconnected, no accepted revision may be lost or made twice, reads
+// must not be stale, and all proxies must converge after each fault.
+func TestNoRevisionLostUnderFaults(t *testing.T) {
+	seeds, long := seedCount(t)
 	for seed := range uint64(seeds) {
-		t.Run(fmt.Sprintf("seed %d", seed+1), func(t *testing.T) { playFaults(t, seed+1, long) })
+		t.Run(fmt.Sprintf("seed %d", seed+1), func(t *testing.T) { runFaultScenario(t, seed+1, long) })
 	}
 }
 
-// playFaults plays some faults one after the other while operators change configurations.
-func playFaults(t *testing.T, seed uint64, long bool) {
+// runFaultScenario injects the faults of a seed one after the other while operators change configurations.
+func runFaultScenario(t *testing.T, seed uint64, long bool) {
 	c := startCluster(t, seed, "")
-	c.delayRegions(regionDelay)
-	s := &scene{cluster: c, chance: rand.New(rand.NewPCG(seed, 0)), operator: operatorOf(t, c.addresses()...),
-		journal: newJournal(), long: long}
+	c.delayRegions(regionDelaySeconds)
+	s := &faultScenario{cluster: c, random: rand.New(rand.NewPCG(seed, 0)), operator: newClient(t, c.addresses()...),
+		operations: newOperationLog(), longRun: long}
 	s.awaitLeader(s.operator)
 	s.fleet = c.startProxies(24)
 	defer s.fleet.stop()
 	for _, kind := range s.chooseFaults(seed) {
-		s.underFault(kind, seed)
+		s.runUnderFault(kind, seed)
 	}
-	s.check()
+	s.checkHistories()
 }
 
-// chooseFaults draws faults; the seeds begin with one kind after the other.
-func (s *scene) chooseFaults(seed uint64) (chosen []fault) {
-	chosen = []fault{faultKinds[int(seed-1)%len(faultKinds)]}
-	for len(chosen) < usualFaults {
-		chosen = append(chosen, faultKinds[s.chance.IntN(len(faultKinds))])
+// chooseFaults chooses the faults of a seed at random, except the first one: consecutive seeds begin with consecutive
+// faults of the catalog.
+func (s *faultScenario) chooseFaults(seed uint64) (chosen []fault) {
+	chosen = []fault{faultCatalog[int(seed-1)%len(faultCatalog)]}
+	for len(chosen) < faultsPerSeed {
+		chosen = append(chosen, faultCatalog[s.random.IntN(len(faultCatalog))])
 	}
 	return chosen
 }
 
-// underFault plays one fault among changes and reads, heals it, and waits until all proxies are equal.
-func (s *scene) underFault(kind fault, seed uint64) {
+// runUnderFault injects one fault during changes and reads, heals it, and waits until all proxies are up to date.
+func (s *faultScenario) runUnderFault(kind fault, seed uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var busy sync.WaitGroup
+	var workers sync.WaitGroup
 	for operator := range 2 {
-		number := len(s.journal.attempts) + operator*50000
-		busy.Go(func() { s.journal.operate(ctx, s.operator, seed, number) })
+		number := len(s.operations.requested) + operator*50000
+		workers.Go(func() { s.operations.runOperator(ctx, s.operator, seed, number) })
 	}
 	for _, replica := range s.replicas {
-		busy.Go(func() { s.journal.read(ctx, replica.name, operatorOf(s.t, replica.address)) })
+		workers.Go(func() { s.operations.runReader(ctx, replica.name, newClient(s.t, replica.address)) })
 	}
-	accepted := s.journal.count()
-	heal := kind.play(s)
+	accepted := s.operations.acceptedCount()
+	heal := kind.inject(s)
 	heal()
 	healed := time.Now()
 	cancel()
-	last := ""
-	took := await(s.t, 2*electTime, kind.name+": all are equal", func() (string, bool) {
-		why, equal := allAt(s.operator, s.fleet.proxies)()
+	lastReason := ""
+	took := await(s.t, 2*electionTimeout, kind.name+": all proxies are up to date", func() (string, bool) {
+		why, equal := allInForce(s.operator, s.fleet.proxies)()
 		if !equal {
-			last = fmt.Sprintf("%v: %s", time.Since(healed).Round(time.Millisecond), why)
+			lastReason = fmt.Sprintf("%v: %s", time.Since(healed).Round(time.Millisecond), why)
 		}
 		return why, equal
 	})
-	busy.Wait()
-	s.t.Logf("%s: %d revisions accepted meanwhile, all equal %v after the healing", kind.name, s.journal.count()-accepted,
+	workers.Wait()
+	s.t.Logf("%s: %d revisions accepted, all proxies up to date %v after healing", kind.name, s.operations.acceptedCount()-accepted,
 		took.Round(time.Millisecond))
-	if took > healTime {
-		s.t.Errorf("%s: all are equal only %v after the healing; last %s", kind.name, took.Round(time.Millisecond), last)
+	if took > convergenceLimit {
+		s.t.Errorf("%s: all proxies up to date only %v after healing; last reason %s", kind.name,
+			took.Round(time.Millisecond), lastReason)
 	}
 }
 
-// check compares what operators were told with what all replicas know.
-func (s *scene) check() {
+// checkHistories compares the operation log with the history, and the history with that of each replica.
+func (s *faultScenario) checkHistories() {
 	history, err := historyOf(s.operator)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.journal.compare(history)
+	s.operations.compare(history)
 	for _, replica := range s.replicas {
-		await(s.t, electTime, replica.name+" knows all", func() (string, bool) {
-			client := operatorOf(s.t, replica.address)
+		await(s.t, electionTimeout, replica.name+" has all revisions", func() (string, bool) {
+			client := newClient(s.t, replica.address)
 			client.AllowStale = true
-			own, err := historyOf(client)
-			return fmt.Sprintf("%d of %d revisions, %v", len(own), len(history), err), fmt.Sprint(own) == fmt.Sprint(history)
+			local, err := historyOf(client)
+			return fmt.Sprintf("%d of %d revisions, %v", len(local), len(history), err), fmt.Sprint(local) == fmt.Sprint(history)
 		})
 	}
-	if faults := s.fleet.faults(); faults != "" {
+	if faults := s.fleet.violations(); faults != "" {
 		s.t.Error(faults)
 	}
-	for _, fault := range s.journal.faults {
+	for _, fault := range s.operations.violations {
 		s.t.Error(fault)
 	}
-	s.t.Logf("%d revisions accepted, %d with unknown outcome", len(s.journal.accepted), s.journal.unknown)
+	s.t.Logf("%d revisions accepted, %d with unknown outcome", len(s.operations.accepted), s.operations.unknown)
 }
--- a/internal/controlserver/join_test.go
+++ b/internal/controlserver/join_test.go
@@ -12,21 +12,22 @@
 	"sandpass/internal/revision"
 )
 
-// awaitJoined waits until a replica says that it has joined.
+// awaitJoined waits until a replica has removed its joining file.
 func (c *cluster) awaitJoined(i int) {
 	c.t.Helper()
-	await(c.t, 2*electTime, c.replicas[i].name+" joins", func() (string, bool) {
-		return "it has not", !mustJoin(c.replicas[i].folder)
+	await(c.t, 2*electionTimeout, c.replicas[i].name+" joins", func() (string, bool) {
+		return "the joining file exists", !mustJoin(c.replicas[i].folder)
 	})
 }
 
-func TestAReplicaThatLostItsFolderComesBackAndLosesNothing(t *testing.T) {
+// A replica whose folder was deleted must rejoin while changes are made, and receive all revisions.
+func TestReplicaWithLostFolderRejoins(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 8, "")
-	client := operatorOf(t, c.addresses()...)
+	client := newClient(t, c.addresses()...)
 	leader := c.awaitLeader(client)
 	for n := range 3 {
-		apply(t, client, revision.FleetScope, utility(n))
+		apply(t, client, revision.FleetScope, testDocument(n))
 	}
 	lost := (leader + 1) % len(c.replicas)
 	c.kill(lost)
@@ -35,32 +36,33 @@
 	}
 	c.start(lost)
 	for n := range 2 {
-		apply(t, client, revision.FleetScope, utility(10+n))
+		apply(t, client, revision.FleetScope, testDocument(10+n))
 	}
 	c.awaitJoined(lost)
-	own := operatorOf(t, c.replicas[lost].address)
-	own.AllowStale = true
-	await(t, electTime, "it knows all", func() (string, bool) {
-		mine, err := historyOf(own)
-		return fmt.Sprint(len(mine), err), len(mine) == 5
+	localClient := newClient(t, c.replicas[lost].address)
+	localClient.AllowStale = true
+	await(t, electionTimeout, "the replica has all revisions", func() (string, bool) {
+		local, err := historyOf(localClient)
+		return fmt.Sprint(len(local), err), len(local) == 5
 	})
 }
 
-// One disk is lost where only two others have the newest revision: the replica must not elect those that lack it.
-func TestAReplicaWithoutItsLogElectsNobody(t *testing.T) {
+// One replica loses its disk when only two others have the newest revision. If it voted, it could elect a replica that
+// lacks that revision.
+func TestReplicaWithLostLogDoesNotVote(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 9, "")
-	client := operatorOf(t, c.addresses()...)
+	client := newClient(t, c.addresses()...)
 	leader := c.awaitLeader(client)
 	for i := range c.replicas {
 		c.awaitJoined(i)
 	}
-	apply(t, client, revision.FleetScope, utility(0))
+	apply(t, client, revision.FleetScope, testDocument(0))
 	behind := []int{(leader + 1) % len(c.replicas), (leader + 2) % len(c.replicas)}
 	for _, i := range behind {
 		c.kill(i)
 	}
-	newest := apply(t, client, revision.FleetScope, utility(1))
+	newest := apply(t, client, revision.FleetScope, testDocument(1))
 	lost, other := (leader+3)%len(c.replicas), (leader+4)%len(c.replicas)
 	for _, i := range []int{leader, lost, other} {
 		c.kill(i)
@@ -71,36 +73,37 @@
 	for _, i := range append(behind, lost) {
 		c.start(i)
 	}
-	time.Sleep(electTime / 2) // several elections would fit
+	time.Sleep(electionTimeout / 2) // long enough for several elections
 	for _, i := range append(behind, lost) {
 		if strings.Contains(c.replicas[i].output.String(), "msg=control_leading leads=true") && i != leader {
-			t.Errorf("%s leads, without revision %d", c.replicas[i].name, newest)
+			t.Errorf("%s became the leader without revision %d", c.replicas[i].name, newest)
 		}
 	}
 	c.start(leader)
 	c.awaitLeader(client)
 	if history, err := historyOf(client); err != nil || len(history) != 2 {
-		t.Errorf("%v, %v", history, err)
+		t.Errorf("got history %v, error %v; want 2 revisions", history, err)
 	}
 	c.awaitJoined(lost)
 }
 
-func TestAnEmptyStorageFileMeansJoining(t *testing.T) {
+// A storage file of size 0 has no log, so that its replica must join before it votes, like one without a file.
+func TestEmptyStorageFileRequiresJoin(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	openStorage(t, folder).Close()
-	if err := os.Remove(filepath.Join(folder, joinMark)); err != nil {
+	if err := os.Remove(filepath.Join(folder, joiningFileName)); err != nil {
 		t.Fatal(err)
 	}
 	openStorage(t, folder).Close()
 	if mustJoin(folder) {
-		t.Error("a replica with a log joins again")
+		t.Error("a replica with a log must join")
 	}
-	if err := syscall.Truncate(filepath.Join(folder, storageFile), 0); err != nil {
+	if err := syscall.Truncate(filepath.Join(folder, storageFileName), 0); err != nil {
 		t.Fatal(err)
 	}
 	openStorage(t, folder).Close()
 	if !mustJoin(folder) {
-		t.Error("a replica without a log votes")
+		t.Error("a replica without a log need not join")
 	}
 }
--- a/internal/controlserver/process_test.go
+++ b/internal/controlserver/process_test.go
@@ -21,16 +21,16 @@
 	"sandpass/internal/revision"
 )
 
-// The test binary is a control replica too, when it is started with the file of one.
+// The test binary runs a control replica instead of tests if configVariable is set.
 const (
-	configVariable = "SANDPASS_TEST_CONTROL" // path of a replica's file
-	defectVariable = "SANDPASS_TEST_DEFECT"  // a seeded defect
-	fullMark       = "full"                  // a file in the replica's folder: the disk is full from then on
+	configVariable   = "SANDPASS_TEST_CONTROL" // path of the replica's configuration file
+	defectVariable   = "SANDPASS_TEST_DEFECT"  // seeded defect, one of the constants below
+	diskFullFileName = "full"                  // file in the replica's folder; while it exists, saving fails as on a full disk
 )
 
-// The seeded defects.
+// Seeded defects. Tests check that they are detected.
 const (
-	ackBeforeSync = "ack_before_sync" // Save returns before anything is on the disk
+	ackBeforeSync = "ack_before_sync" // Save returns before anything is on disk
 	noCheck       = "no_check"        // revisions are not checked
 )
 
@@ -45,7 +45,7 @@
 	os.Exit(m.Run())
 }
 
-// runReplica is `sandpass control serve` on a storage that can fail.
+// runReplica does what `sandpass control serve` does, with a storage that can fail.
 func runReplica(path, defect string) error {
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
 	config, err := ReadConfig(path)
@@ -59,64 +59,64 @@
 	if defect == noCheck {
 		check = func(revision.Document) error { return nil }
 	}
-	opened, err := OpenStorage(config.Folder, config.Fleet, config.Name)
+	boltStorage, err := OpenStorage(config.Folder, config.Fleet, config.Name)
 	if err != nil {
 		return err
 	}
-	var storage Storage = &fullableStorage{opened, filepath.Join(config.Folder, fullMark)}
+	var storage Storage = &diskFullStorage{boltStorage, filepath.Join(config.Folder, diskFullFileName)}
 	if defect == ackBeforeSync {
-		storage = &lazyStorage{Storage: storage}
+		storage = &delayedStorage{Storage: storage}
 	}
 	server, err := newServer(config, storage, check)
 	if err != nil {
 		return err
 	}
-	ends := make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM)
 	go func() {
-		<-ends
+		<-signals
 		server.Stop()
 	}()
 	return server.Run()
 }
 
-// fullableStorage fails as a full disk does once the mark is there.
-type fullableStorage struct {
+// diskFullStorage fails with ENOSPC, like a full disk, while fullFile exists.
+type diskFullStorage struct {
 	Storage
-	mark string
+	fullFile string
 }
 
-func (f *fullableStorage) Save(work control.Work) error {
-	if _, err := os.Stat(f.mark); err == nil {
+func (f *diskFullStorage) Save(work control.Work) error {
+	if _, err := os.Stat(f.fullFile); err == nil {
 		return syscall.ENOSPC
 	}
 	return f.Storage.Save(work)
 }
 
-// lazyStorage is the defect of an acknowledgement before the sync.
-type lazyStorage struct {
+// delayedStorage is the defect ackBeforeSync: it saves records some time after Save has returned.
+type delayedStorage struct {
 	Storage
 	mu      sync.Mutex
-	waiting []control.Work
+	pending []control.Work
 }
 
-func (l *lazyStorage) Save(work control.Work) error {
-	const later = 5 * time.Second
+func (l *delayedStorage) Save(work control.Work) error {
+	const saveDelay = 5 * time.Second
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = append(l.waiting, work)
-	time.AfterFunc(later, l.saveOldest)
+	l.pending = append(l.pending, work)
+	time.AfterFunc(saveDelay, l.saveOldest)
 	return nil
 }
 
-func (l *lazyStorage) saveOldest() {
+func (l *delayedStorage) saveOldest() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Storage.Save(l.waiting[0])
-	l.waiting = l.waiting[1:]
+	l.Storage.Save(l.pending[0])
+	l.pending = l.pending[1:]
 }
 
-// replicaProcess is one replica as a process of its own.
+// replicaProcess is a replica that runs in its own process.
 type replicaProcess struct {
 	name, region, address string
 	config, folder        string
@@ -126,7 +126,7 @@
 	ended                 chan struct{} // closed once the process has ended
 }
 
-// lockedBuffer is written by a process and read by tests.
+// lockedBuffer is a buffer for the output of a process, safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -144,18 +144,19 @@
 	return b.text.String()
 }
 
-// cluster is five replicas over three regions, with a way between each two and one from the proxies to each.
+// cluster is five replicas in three regions. All connections between replicas, and from proxies to replicas, go through
+// forwarders that can delay or block them.
 type cluster struct {
-	t        *testing.T
-	replicas []*replicaProcess
-	ways     map[[2]int]*faultnet.StreamForwarder   // from a replica to another
-	doors    map[string][]*faultnet.StreamForwarder // from a region's proxies to the replicas
+	t            *testing.T
+	replicas     []*replicaProcess
+	replicaLinks map[[2]int]*faultnet.StreamForwarder   // from one replica to another, by their indexes
+	proxyLinks   map[string][]*faultnet.StreamForwarder // from the proxies of a region to each replica
 }
 
 var replicaRegions = []string{"eu", "eu", "us", "us", "ap"}
 
-// freeAddress is an address that nobody listens at just now. Its port is below those that the system gives to others, so
-// that it stays free while its replica is down.
+// freeAddress returns an address on which nothing listens. Its port is below the system's ephemeral ports, so that it
+// stays free while its replica is down.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	const first, count, attempts = 12000, 18000, 100
@@ -166,14 +167,14 @@
 			return address
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatal("no free port was found")
 	return ""
 }
 
-// startCluster starts five replicas and ends them with the test.
+// startCluster starts five replicas and kills them at the end of the test.
 func startCluster(t *testing.T, seed uint64, defect string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, ways: map[[2]int]*faultnet.StreamForwarder{}, doors: map[string][]*faultnet.StreamForwarder{}}
+	c := &cluster{t: t, replicaLinks: map[[2]int]*faultnet.StreamForwarder{}, proxyLinks: map[string][]*faultnet.StreamForwarder{}}
 	folder := t.TempDir()
 	for i, region := range replicaRegions {
 		name := fmt.Sprintf("c%d", i+1)
@@ -182,11 +183,11 @@
 	}
 	for i, replica := range c.replicas {
 		for _, region := range []string{"eu", "us", "ap"} {
-			c.doors[region] = append(c.doors[region], c.stream(replica.address, seed+uint64(i)))
+			c.proxyLinks[region] = append(c.proxyLinks[region], c.stream(replica.address, seed+uint64(i)))
 		}
 		for j, other := range c.replicas {
 			if i != j {
-				c.ways[[2]int{i, j}] = c.stream(other.address, seed+uint64(10*i+j))
+				c.replicaLinks[[2]int{i, j}] = c.stream(other.address, seed+uint64(10*i+j))
 			}
 		}
 		c.writeConfig(i)
@@ -196,15 +197,16 @@
 	return c
 }
 
+// stream starts a forwarder to the target address.
 func (c *cluster) stream(target string, seed uint64) *faultnet.StreamForwarder {
-	stream, err := faultnet.NewStreamForwarder(target, seed)
+	forwarder, err := faultnet.NewStreamForwarder(target, seed)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return stream
+	return forwarder
 }
 
-// writeConfig writes a replica's file; it reaches the others by the ways.
+// writeConfig writes a replica's configuration file, in which the addresses of the other replicas are those of forwarders.
 func (c *cluster) writeConfig(i int) {
 	base, err := filepath.Abs("../../example/config.json")
 	if err != nil {
@@ -215,8 +217,8 @@
 		replica.name, replica.folder, replica.address, base)
 	for j, other := range c.replicas {
 		address := other.address
-		if way := c.ways[[2]int{i, j}]; way != nil {
-			address = way.Addr()
+		if link := c.replicaLinks[[2]int{i, j}]; link != nil {
+			address = link.Addr()
 		}
 		text += fmt.Sprintf("[[replica]]\nname = %q\naddress = %q\nregion = %q\n", other.name, address, other.region)
 	}
@@ -242,19 +244,20 @@
 	}(replica.ended)
 }
 
-// signal sends a signal to a replica that runs.
+// signal sends a signal to a replica's process. It does nothing if the process has ended.
 func (c *cluster) signal(i int, signal syscall.Signal) {
 	if err := c.replicas[i].command.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		c.t.Error(err)
 	}
 }
 
-// kill ends a replica at once.
+// kill kills a replica's process and waits for its end.
 func (c *cluster) kill(i int) {
 	c.signal(i, syscall.SIGKILL)
 	<-c.replicas[i].ended
 }
 
+// running reports whether a replica's process is running.
 func (c *cluster) running(i int) bool {
 	select {
 	case <-c.replicas[i].ended:
@@ -264,16 +267,17 @@
 	}
 }
 
+// end kills all replicas, closes the forwarders and, if the test failed, logs the output of the replicas.
 func (c *cluster) end() {
 	for i := range c.replicas {
 		c.kill(i)
 	}
-	for _, way := range c.ways {
-		way.Close()
+	for _, link := range c.replicaLinks {
+		link.Close()
 	}
-	for _, doors := range c.doors {
-		for _, door := range doors {
-			door.Close()
+	for _, links := range c.proxyLinks {
+		for _, link := range links {
+			link.Close()
 		}
 	}
 	if c.t.Failed() {
@@ -283,36 +287,36 @@
 	}
 }
 
-// setWays changes the weather between two replicas, in both directions.
-func (c *cluster) setWays(i, j int, weather faultnet.Conditions) {
-	c.ways[[2]int{i, j}].SetConditions(weather, weather)
-	c.ways[[2]int{j, i}].SetConditions(weather, weather)
+// setReplicaLinks sets the conditions between two replicas, for connections in both directions.
+func (c *cluster) setReplicaLinks(i, j int, conditions faultnet.Conditions) {
+	c.replicaLinks[[2]int{i, j}].SetConditions(conditions, conditions)
+	c.replicaLinks[[2]int{j, i}].SetConditions(conditions, conditions)
 }
 
-// delayRegions puts a delay between the regions, in seconds one way.
+// delayRegions sets the delay between the regions, in seconds one way.
 func (c *cluster) delayRegions(delay float64) {
 	for _, region := range []string{"eu", "us", "ap"} {
 		c.cutRegion(region, faultnet.Conditions{Delay: delay})
 	}
 }
 
-// cutRegion changes the weather between a region and the others, for replicas and proxies.
-func (c *cluster) cutRegion(region string, weather faultnet.Conditions) {
+// cutRegion sets the conditions between a region and the others, for replicas and proxies.
+func (c *cluster) cutRegion(region string, conditions faultnet.Conditions) {
 	for i := range c.replicas {
 		for j := range i {
 			if (c.replicas[i].region == region) != (c.replicas[j].region == region) {
-				c.setWays(i, j, weather)
+				c.setReplicaLinks(i, j, conditions)
 			}
 		}
-		for from, doors := range c.doors {
+		for from, links := range c.proxyLinks {
 			if (c.replicas[i].region == region) != (from == region) {
-				doors[i].SetConditions(weather, weather)
+				links[i].SetConditions(conditions, conditions)
 			}
 		}
 	}
 }
 
-// addresses are where operators reach the replicas, whatever the ways between the regions are like.
+// addresses returns the addresses at which operators reach the replicas, without forwarders.
 func (c *cluster) addresses() (addresses []string) {
 	for _, replica := range c.replicas {
 		addresses = append(addresses, replica.address)
@@ -320,12 +324,12 @@
 	return addresses
 }
 
-// addressesFrom are where a region's proxies reach the replicas, those of their region first.
+// addressesFrom returns the addresses at which a region's proxies reach the replicas, those of their region first.
 func (c *cluster) addressesFrom(region string) (addresses []string) {
 	for _, near := range []bool{true, false} {
 		for i, replica := range c.replicas {
 			if (replica.region == region) == near {
-				addresses = append(addresses, c.doors[region][i].Addr())
+				addresses = append(addresses, c.proxyLinks[region][i].Addr())
 			}
 		}
 	}
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -28,8 +28,9 @@
 	"sandpass/internal/revision"
 )
 
-// startAlone starts a fleet's only replica in the test's process; others may be named that do not run.
-func startAlone(t *testing.T, storage Storage, others ...Peer) (*Server, *controlclient.Client) {
+// startSingleReplica starts one replica in the test's process. Its configuration may list other replicas, which do not
+// run. A nil storage stands for a new BoltStorage.
+func startSingleReplica(t *testing.T, storage Storage, others ...Peer) (*Server, *controlclient.Client) {
 	t.Helper()
 	check, err := newChecker("../../example/config.json")
 	if err != nil {
@@ -52,55 +53,58 @@
 			t.Log("ended with:", err)
 		}
 	})
-	return server, operatorOf(t, server.Address())
+	return server, newClient(t, server.Address())
 }
 
-func awaitReady(t *testing.T, client *controlclient.Client) {
+// awaitReadable waits until the replica answers a status request.
+func awaitReadable(t *testing.T, client *controlclient.Client) {
 	t.Helper()
-	await(t, electTime, "a leader", func() (string, bool) {
+	await(t, electionTimeout, "a leader", func() (string, bool) {
 		_, err := client.Status(context.Background(), 0, false)
 		return fmt.Sprint(err), err == nil
 	})
 }
 
-// openWatch sends a first line to the watch and gives the answer.
-func openWatch(t *testing.T, server *Server, line string) (*http.Response, *io.PipeWriter) {
+// openWatch opens a watch with the given first line and returns the response and the request's body.
+func openWatch(t *testing.T, server *Server, firstLine string) (*http.Response, *io.PipeWriter) {
 	t.Helper()
 	body, out := io.Pipe()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*electTime)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*electionTimeout)
 	t.Cleanup(cancel)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+server.Address()+revision.WatchPath, body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go io.WriteString(out, line)
-	answer, err := http.DefaultClient.Do(request)
+	go io.WriteString(out, firstLine)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		t.Fatalf("%.80s: %v", line, err)
+		t.Fatalf("%.80s: %v", firstLine, err)
 	}
-	t.Cleanup(func() { answer.Body.Close(); out.Close() })
-	return answer, out
+	t.Cleanup(func() { response.Body.Close(); out.Close() })
+	return response, out
 }
 
 const goodHello = `{"protocol":1,"identity":{"fleet":"shop","proxy":"p1","zone":"eu-1"},"revision":0,"news":true}` + "\n"
 
-func TestABadHelloIsRefusedInOneLine(t *testing.T) {
+// A malformed or foreign Hello must be refused with an error of one line and must not change the fleet view.
+func TestMalformedHelloIsRefused(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
 	for line, want := range map[string]string{
 		"{\n":  "hello:",
 		"[]\n": "hello:",
 		`{"protocol":1,"identity":{"fleet":"other","proxy":"p1"}}` + "\n": `fleet "other" is not "shop"`,
 		`{"protocol":1,"identity":{"fleet":"shop","proxy":"a b"}}` + "\n": "proxy",
 		`{"protocol":0,"identity":{"fleet":"shop","proxy":"p1"}}` + "\n":  "protocol",
-		strings.Repeat("x", lineMost+1) + "\n":                            "too long",
-		`{"protocol":1`:                                                   "hello:", // it never ends
+		strings.Repeat("x", maxLineBytes+1) + "\n":                        "too long",
+		`{"protocol":1`: "hello:", // the line is not terminated
 	} {
-		answer, _ := openWatch(t, server, line)
-		text, _ := io.ReadAll(answer.Body)
-		if answer.StatusCode != http.StatusBadRequest || !strings.Contains(string(text), want) || bytes.Count(text, []byte("\n")) != 1 {
-			t.Errorf("%.60q: %s %q, wanted %q", line, answer.Status, text, want)
+		response, _ := openWatch(t, server, line)
+		text, _ := io.ReadAll(response.Body)
+		if response.StatusCode != http.StatusBadRequest || !strings.Contains(string(text), want) ||
+			bytes.Count(text, []byte("\n")) != 1 {
+			t.Errorf("hello %.60q: got status %s and body %q, want %q", line, response.Status, text, want)
 		}
 	}
 	status, err := client.Status(context.Background(), 0, true)
@@ -109,13 +113,14 @@
 	}
 }
 
-func TestAWatchOfANewerProtocolIsServed(t *testing.T) {
+// A proxy with a newer protocol version must be served with the replica's version.
+func TestWatchOfNewerProtocolIsServed(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
-	apply(t, client, revision.FleetScope, utility(1))
-	answer, _ := openWatch(t, server, strings.Replace(goodHello, `"protocol":1`, `"protocol":2`, 1))
-	lines := bufio.NewReader(answer.Body)
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	apply(t, client, revision.FleetScope, testDocument(1))
+	response, _ := openWatch(t, server, strings.Replace(goodHello, `"protocol":1`, `"protocol":2`, 1))
+	lines := bufio.NewReader(response.Body)
 	var update revision.Update
 	for update.Revision == 0 {
 		line, err := lines.ReadBytes('\n')
@@ -129,59 +134,62 @@
 		}
 	}
 	if update.Revision != 1 {
-		t.Errorf("%+v", update)
+		t.Errorf("got update %+v, want revision 1", update)
 	}
 }
 
-func TestAQuietWatchHasHeartbeatsAndEndsWithTheReplica(t *testing.T) {
+// A watch without updates must receive heartbeats, and must end properly soon after the replica is stopped.
+func TestIdleWatchGetsHeartbeatsAndEndsOnStop(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
-	answer, _ := openWatch(t, server, goodHello)
-	lines := bufio.NewReader(answer.Body)
-	begin := time.Now()
-	for range 2 { // the first one comes at once
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	response, _ := openWatch(t, server, goodHello)
+	lines := bufio.NewReader(response.Body)
+	start := time.Now()
+	for range 2 { // the first one is sent at once
 		if line, err := lines.ReadString('\n'); err != nil || line != "\n" {
-			t.Fatalf("%q, %v", line, err)
+			t.Fatalf("got line %q, error %v; want an empty line", line, err)
 		}
 	}
-	if took := time.Since(begin); took > heartbeatTime+time.Second {
+	if took := time.Since(start); took > heartbeatInterval+time.Second {
 		t.Errorf("the heartbeat took %v", took)
 	}
-	begin = time.Now()
+	start = time.Now()
 	server.Stop()
 	if _, err := io.Copy(io.Discard, lines); err != nil {
-		t.Errorf("the watch did not end well: %v", err)
+		t.Errorf("the watch did not end properly: %v", err)
 	}
-	if took := time.Since(begin); took > drainTime+time.Second {
-		t.Errorf("the watch ended %v after the replica was told to stop", took)
+	if took := time.Since(start); took > drainDuration+time.Second {
+		t.Errorf("the watch ended %v after Stop", took)
 	}
 }
 
-func TestAFullReplicaTakesNoWatch(t *testing.T) {
+// A replica with MaxWatches watches must refuse another one.
+func TestReplicaAtWatchLimitRefusesWatch(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
 	server.mu.Lock()
-	server.watches = MaxWatches
+	server.watchCount = MaxWatches
 	server.mu.Unlock()
-	if answer, _ := openWatch(t, server, goodHello); answer.StatusCode != http.StatusServiceUnavailable {
-		t.Error(answer.Status)
+	if response, _ := openWatch(t, server, goodHello); response.StatusCode != http.StatusServiceUnavailable {
+		t.Error(response.Status)
 	}
 }
 
-func TestAProxyThatDoesNotReportIsDropped(t *testing.T) {
+// A proxy that does not report on an update within reportTimeout must be disconnected.
+func TestProxyWithoutReportIsDisconnected(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
-	apply(t, client, revision.FleetScope, utility(1))
-	answer, _ := openWatch(t, server, goodHello)
-	begin := time.Now()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	apply(t, client, revision.FleetScope, testDocument(1))
+	response, _ := openWatch(t, server, goodHello)
+	start := time.Now()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(begin); took < reportTime/2 || took > reportTime+2*time.Second {
-		t.Errorf("it was dropped after %v", took)
+	if took := time.Since(start); took < reportTimeout/2 || took > reportTimeout+2*time.Second {
+		t.Errorf("the proxy was disconnected after %v", took)
 	}
 	status, err := client.Status(context.Background(), 0, true)
 	if err != nil || len(status.Proxies) != 1 || status.Proxies[0].Connected {
@@ -189,14 +197,15 @@
 	}
 }
 
-func TestABadReportEndsItsWatchAlone(t *testing.T) {
+// A report that belongs to no update must be ignored, and a malformed one must end its watch without other effects.
+func TestMalformedReportEndsOnlyItsWatch(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
-	answer, out := openWatch(t, server, goodHello)
-	io.WriteString(out, `{"revision":7,"verdict":"in_force"}`+"\n") // it answers nothing
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	response, out := openWatch(t, server, goodHello)
+	io.WriteString(out, `{"revision":7,"verdict":"in_force"}`+"\n") // belongs to no update
 	io.WriteString(out, "no report\n")
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		t.Log(err)
 	}
 	status, err := client.Status(context.Background(), 0, true)
@@ -205,16 +214,17 @@
 	}
 }
 
-func TestBadMessagesBetweenReplicasChangeNothing(t *testing.T) {
+// Malformed messages, and messages from senders that are not replicas of the fleet, must not change the replica's state.
+func TestMalformedReplicaMessagesAreIgnored(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
+	server, client := startSingleReplica(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
 	client.AllowStale = true
-	awaitReady(t, client)
-	stranger, err := proto.Marshal(&raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: proto.Uint64(99), Term: proto.Uint64(9)})
+	awaitReadable(t, client)
+	foreign, err := proto.Marshal(&raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: proto.Uint64(99), Term: proto.Uint64(9)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	framed := append(binary.BigEndian.AppendUint32(nil, uint32(len(stranger))), stranger...)
+	framed := append(binary.BigEndian.AppendUint32(nil, uint32(len(foreign))), foreign...)
 	for _, message := range []struct {
 		path, fleet, sender, body string
 		status                    int
@@ -234,87 +244,91 @@
 		request.Header.Set(fleetHeader, message.fleet)
 		request.Header.Set(senderHeader, message.sender)
 		request.Close = true
-		answer, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Errorf("%+v: %v", message, err)
 			continue
 		}
-		text, _ := io.ReadAll(answer.Body)
-		answer.Body.Close()
-		if answer.StatusCode != message.status || message.status != http.StatusOK && bytes.Count(text, []byte("\n")) != 1 {
-			t.Errorf("%+v: %s %q", message, answer.Status, text)
+		text, _ := io.ReadAll(response.Body)
+		response.Body.Close()
+		if response.StatusCode != message.status || message.status != http.StatusOK && bytes.Count(text, []byte("\n")) != 1 {
+			t.Errorf("%+v: %s %q", message, response.Status, text)
 		}
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if leader, proxies := server.node.Leader(), server.view.Statuses(); leader != 0 || len(proxies) != 0 {
-		t.Errorf("leader %d, %v", leader, proxies)
+		t.Errorf("got leader %d and proxies %v, want none", leader, proxies)
 	}
 }
 
-func TestBadChangesAreRefusedInOneLine(t *testing.T) {
+// Invalid changes must be refused with an error of one line and must not become revisions.
+func TestInvalidApplyRequestsAreRefused(t *testing.T) {
 	t.Parallel()
-	server, client := startAlone(t, nil)
-	awaitReady(t, client)
-	good := `{"id":"%s","scope":"fleet","base":0,"author":"a","reason":"r","document":%s}`
+	server, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	valid := `{"id":"%s","scope":"fleet","base":0,"author":"a","reason":"r","document":%s}`
 	for body, want := range map[string]controlapi.Kind{
-		"{":                                  controlapi.KindBadRequest,
-		fmt.Sprintf(good, "", "{}"):          controlapi.KindBadRequest,
-		fmt.Sprintf(good, "1", `{"a":null}`): controlapi.KindBadRequest,
-		fmt.Sprintf(good, "2", `[]`):         controlapi.KindBadRequest,
-		strings.Replace(fmt.Sprintf(good, "3", "{}"), "fleet", "rack:1", 1):             controlapi.KindBadRequest,
-		strings.Replace(fmt.Sprintf(good, "4", "{}"), `"r"`, `"r\nr"`, 1):               controlapi.KindBadRequest,
-		strings.Repeat(" ", controlapi.MaxBodyBytes+1) + "{}":                           controlapi.KindBadRequest,
-		fmt.Sprintf(good, "5", `{"listen":"127.0.0.1:1"}`):                              controlapi.KindRefused,
-		fmt.Sprintf(good, "6", `{"settings":{"tick_ms":"soon"}}`):                       controlapi.KindRefused,
-		strings.Replace(fmt.Sprintf(good, "7", "{}"), `"base":0`, `"base":3`, 1):        controlapi.KindNotFound,
-		strings.Replace(fmt.Sprintf(good, "8", "{}"), `"base":0`, `"rollback_of":3`, 1): controlapi.KindNotFound,
+		"{":                                   controlapi.KindBadRequest,
+		fmt.Sprintf(valid, "", "{}"):          controlapi.KindBadRequest,
+		fmt.Sprintf(valid, "1", `{"a":null}`): controlapi.KindBadRequest,
+		fmt.Sprintf(valid, "2", `[]`):         controlapi.KindBadRequest,
+		strings.Replace(fmt.Sprintf(valid, "3", "{}"), "fleet", "rack:1", 1):             controlapi.KindBadRequest,
+		strings.Replace(fmt.Sprintf(valid, "4", "{}"), `"r"`, `"r\nr"`, 1):               controlapi.KindBadRequest,
+		strings.Repeat(" ", controlapi.MaxBodyBytes+1) + "{}":                            controlapi.KindBadRequest,
+		fmt.Sprintf(valid, "5", `{"listen":"127.0.0.1:1"}`):                              controlapi.KindRefused,
+		fmt.Sprintf(valid, "6", `{"settings":{"tick_ms":"soon"}}`):                       controlapi.KindRefused,
+		strings.Replace(fmt.Sprintf(valid, "7", "{}"), `"base":0`, `"base":3`, 1):        controlapi.KindNotFound,
+		strings.Replace(fmt.Sprintf(valid, "8", "{}"), `"base":0`, `"rollback_of":3`, 1): controlapi.KindNotFound,
 	} {
-		answer, err := http.Post("http://"+server.Address()+controlapi.ApplyPath, "application/json", strings.NewReader(body))
+		response, err := http.Post("http://"+server.Address()+controlapi.ApplyPath, "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Errorf("%.80s: %v", body, err)
 			continue
 		}
 		var refusal controlapi.Error
-		err = json.NewDecoder(answer.Body).Decode(&refusal)
-		answer.Body.Close()
+		err = json.NewDecoder(response.Body).Decode(&refusal)
+		response.Body.Close()
 		if err != nil || refusal.Kind != want || refusal.Message == "" || strings.Contains(refusal.Message, "\n") {
-			t.Errorf("%.120q: %+v, %v; wanted %s", body, refusal, err, want)
+			t.Errorf("body %.120q: got %+v, error %v; want kind %s", body, refusal, err, want)
 		}
 	}
 	history, err := client.History(context.Background(), nil, 0)
 	if err != nil || len(history.Revisions) != 0 {
-		t.Errorf("%v, %v", history, err)
+		t.Errorf("got history %v, error %v; want no revisions", history, err)
 	}
 }
 
-func TestARepeatedChangeIsMadeOnceAndAConflictNamesTheOther(t *testing.T) {
+// A repeated change with the same ID must return the first revision. A conflict must name the author of the other change.
+func TestRepeatedApplyIsIdempotentAndConflictNamesAuthor(t *testing.T) {
 	t.Parallel()
-	_, client := startAlone(t, nil)
-	awaitReady(t, client)
-	request := controlapi.ApplyRequest{ID: "first", Scope: revision.FleetScope, Document: utility(1), Author: "anna", Reason: "more"}
+	_, client := startSingleReplica(t, nil)
+	awaitReadable(t, client)
+	request := controlapi.ApplyRequest{ID: "first", Scope: revision.FleetScope, Document: testDocument(1), Author: "anna",
+		Reason: "more"}
 	for range 3 {
 		if accepted, err := client.Apply(context.Background(), request); err != nil || accepted.Number != 1 {
-			t.Fatalf("%+v, %v", accepted, err)
+			t.Fatalf("got %+v, error %v; want revision 1", accepted, err)
 		}
 	}
-	request.ID, request.Author, request.Document = "second", "bert", utility(2)
+	request.ID, request.Author, request.Document = "second", "bert", testDocument(2)
 	_, err := client.Apply(context.Background(), request)
 	var conflict *controlapi.Error
 	if !errors.As(err, &conflict) || conflict.Kind != controlapi.KindConflict || len(conflict.Changed) != 1 ||
 		conflict.Changed[0].Author != "anna" {
-		t.Errorf("%+v", err)
+		t.Errorf("got error %+v, want a conflict with a change by anna", err)
 	}
 }
 
-func TestWithoutAQuorumWritesAreRefusedAndReadsSayHowOldTheyAre(t *testing.T) {
+// Without a quorum, changes must fail with KindNoQuorum, and stale reads must report the age of the state.
+func TestWithoutQuorumWritesFailAndStaleReadsReportAge(t *testing.T) {
 	t.Parallel()
-	_, client := startAlone(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
+	_, client := startSingleReplica(t, nil, Peer{Name: "c2", Address: "127.0.0.1:2"}, Peer{Name: "c3", Address: "127.0.0.1:3"})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	request := controlapi.ApplyRequest{Scope: revision.FleetScope, Document: utility(1), Author: "anna", Reason: "more"}
-	if _, err := client.Apply(ctx, request); kindOf(err) != controlapi.KindNoQuorum {
-		t.Errorf("%v", err)
+	request := controlapi.ApplyRequest{Scope: revision.FleetScope, Document: testDocument(1), Author: "anna", Reason: "more"}
+	if _, err := client.Apply(ctx, request); errorKind(err) != controlapi.KindNoQuorum {
+		t.Errorf("apply returned %v, want an error of kind no_quorum", err)
 	}
 	client.AllowStale = true
 	status, err := client.Status(context.Background(), 0, false)
@@ -323,21 +337,22 @@
 	}
 }
 
-// failingStorage fails from one operation on.
+// failingStorage fails with err after some successful saves.
 type failingStorage struct {
 	Storage
-	failure error
-	after   int
+	err                error
+	savesBeforeFailure int
 }
 
 func (f *failingStorage) Save(work control.Work) error {
-	if f.after--; f.after < 0 {
-		return f.failure
+	if f.savesBeforeFailure--; f.savesBeforeFailure < 0 {
+		return f.err
 	}
 	return f.Storage.Save(work)
 }
 
-func TestAReplicaThatCanNotSaveAcknowledgesNothingAndEnds(t *testing.T) {
+// A replica whose disk fails must stop, and must not have accepted revisions that are not on disk, whichever save fails.
+func TestReplicaStopsWhenStorageFails(t *testing.T) {
 	t.Parallel()
 	for after := range 8 {
 		t.Run(fmt.Sprintf("after %d", after), func(t *testing.T) {
@@ -347,10 +362,10 @@
 	}
 }
 
-// checkFailingDisk lets the disk fail after some operations, and compares what was accepted with what lies on it.
-func checkFailingDisk(t *testing.T, after int) {
+// checkFailingDisk makes the disk fail after some saves and compares the accepted revisions with those on disk.
+func checkFailingDisk(t *testing.T, saves int) {
 	folder := t.TempDir()
-	storage := &failingStorage{openStorage(t, folder), syscall.ENOSPC, after}
+	storage := &failingStorage{openStorage(t, folder), syscall.ENOSPC, saves}
 	config := &Config{Fleet: "shop", Name: "c1", Folder: folder, Listen: "127.0.0.1:0",
 		Replicas: []Peer{{Name: "c1", Address: "127.0.0.1:1"}}}
 	server, err := newServer(config, storage, func(revision.Document) error { return nil })
@@ -359,15 +374,15 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- server.Run() }()
-	accepted, end := applyUntilItEnds(operatorOf(t, server.Address()), ended)
-	if !errors.Is(end, syscall.ENOSPC) || strings.Contains(end.Error(), "\n") {
-		t.Errorf("after %d: %v", after, end)
+	accepted, runErr := applyUntilStopped(newClient(t, server.Address()), ended)
+	if !errors.Is(runErr, syscall.ENOSPC) || strings.Contains(runErr.Error(), "\n") {
+		t.Errorf("after %d saves: Run returned %v, want ENOSPC in one line", saves, runErr)
 	}
-	again, err := OpenStorage(folder, "shop", "c1")
+	reopened, err := OpenStorage(folder, "shop", "c1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	saved, err := again.Load()
+	saved, err := reopened.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -376,44 +391,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for work, any := node.Ready(); any; work, any = node.Ready() {
+	for work, hasWork := node.Ready(); hasWork; work, hasWork = node.Ready() {
 		if _, err := node.Advance(work); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if newest := node.State().NewestNumber(); int(newest) < accepted {
-		t.Errorf("after %d: %d accepted, %d are on the disk", after, accepted, newest)
+		t.Errorf("after %d saves: %d revisions accepted, %d are on disk", saves, accepted, newest)
 	}
-	again.Close()
+	reopened.Close()
 }
 
-// applyUntilItEnds makes changes until the replica ends, and says how many were accepted.
-func applyUntilItEnds(client *controlclient.Client, ended <-chan error) (accepted int, end error) {
+// applyUntilStopped makes changes until the replica stops. It returns how many were accepted and the error of Run.
+func applyUntilStopped(client *controlclient.Client, ended <-chan error) (accepted int, runErr error) {
 	for n := 0; ; n++ {
 		select {
-		case end = <-ended:
-			return accepted, end
+		case runErr = <-ended:
+			return accepted, runErr
 		default:
 		}
-		if _, err := tryApply(client, revision.FleetScope, utility(n), 300*time.Millisecond); err == nil {
+		if _, err := tryApply(client, revision.FleetScope, testDocument(n), 300*time.Millisecond); err == nil {
 			accepted++
 		}
 	}
 }
 
-func TestMistakesInAReplicasFile(t *testing.T) {
+// Errors in a replica's file must be reported in one line that names the key or the position.
+func TestReadConfigRejectsInvalidFiles(t *testing.T) {
 	t.Parallel()
-	good := "fleet = \"shop\"\nname = \"c1\"\nfolder = \"log\"\nlisten = \"127.0.0.1:0\"\n" +
+	valid := "fleet = \"shop\"\nname = \"c1\"\nfolder = \"log\"\nlisten = \"127.0.0.1:0\"\n" +
 		"[[replica]]\nname = \"c1\"\naddress = \"127.0.0.1:1\"\n"
 	for text, want := range map[string]string{
-		good + "colour = 1\n":                                    "line 8, column 1: key replica.colour is unknown",
-		"fleet = ":                                               "line 1",
-		strings.Replace(good, "shop", "a b", 1):                  "fleet",
-		strings.Replace(good, `"log"`, `""`, 1):                  "folder is missing",
-		strings.Replace(good, "127.0.0.1:0", "here", 1):          "listen",
-		strings.Replace(good, `name = "c1"`, `name = "c3"`, 1):   "c3 is not one of the replicas",
-		good + "[[replica]]\nname = \"c1\"\naddress = \"h:1\"\n": "twice",
-		good + "[[replica]]\nname = \"c2\"\naddress = \"h\"\n":   "replica c2: address",
+		valid + "colour = 1\n":                                    "line 8, column 1: key replica.colour is unknown",
+		"fleet = ":                                                "line 1",
+		strings.Replace(valid, "shop", "a b", 1):                  "fleet",
+		strings.Replace(valid, `"log"`, `""`, 1):                  "folder is missing",
+		strings.Replace(valid, "127.0.0.1:0", "here", 1):          "listen",
+		strings.Replace(valid, `name = "c1"`, `name = "c3"`, 1):   "c3 is not one of the replicas",
+		valid + "[[replica]]\nname = \"c1\"\naddress = \"h:1\"\n": "twice",
+		valid + "[[replica]]\nname = \"c2\"\naddress = \"h\"\n":   "replica c2: address",
 	} {
 		path := filepath.Join(t.TempDir(), "control.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -421,11 +437,12 @@
 		}
 		_, err := ReadConfig(path)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, wanted %q", text, err, want)
+			t.Errorf("file %q: got error %v, want %q", text, err, want)
 		}
 	}
 }
 
+// Reading arbitrary bytes as messages must not panic.
 func FuzzMessage(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x02\x08\x01"))
 	f.Add([]byte("\xff\xff\xff\xff"))
@@ -439,6 +456,7 @@
 	})
 }
 
+// Validating an arbitrary request body must not panic and must return errors of one line.
 func FuzzApplyBody(f *testing.F) {
 	f.Add([]byte(`{"id":"1","scope":"fleet","author":"a","reason":"r","document":{}}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -448,19 +466,20 @@
 		if err := readBody(recorder, post, &request); err != nil {
 			return
 		}
-		if err := checkRequest(&request); err != nil && strings.Contains(err.Error(), "\n") {
+		if err := validateRequest(&request); err != nil && strings.Contains(err.Error(), "\n") {
 			t.Fatalf("%q", err)
 		}
 	})
 }
 
-func TestAConnectionThatEndsGivesItsPlaceBack(t *testing.T) {
+// A connection that is closed twice must release its slot exactly once.
+func TestClosedConnectionReleasesSlotOnce(t *testing.T) {
 	t.Parallel()
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := boundListener(inner, 1)
+	listener := newLimitListener(inner, 1)
 	defer listener.Close()
 	for range 3 {
 		client, err := net.Dial("tcp", inner.Addr().String())
--- a/internal/controlserver/simproxy_test.go
+++ b/internal/controlserver/simproxy_test.go
@@ -16,43 +16,45 @@
 	"sandpass/internal/revision"
 )
 
-// simProxy is a proxy's control side for tests: it watches a replica, moves to another when that one is silent, applies
-// updates, and notes whether it was ever told to go back.
+// simProxy simulates the control client of a proxy. It watches a replica, moves to another one when that one is silent,
+// applies updates, and records violations such as an update to an older revision.
 type simProxy struct {
 	identity revision.Identity
 	replicas []string
-	refuse   func(effective revision.Document) string // why it refuses a configuration, empty: it takes it
-
-	mu       sync.Mutex
-	held     map[revision.Scope]revision.ScopeDocument
-	revision revision.Number
-	checksum string
-	refused  map[revision.Number]bool
-	faults   []string // what must never happen
-	watches  int      // opened
+	refuse   func(effective revision.Document) string // returns why it refuses a configuration; empty to accept it
+
+	mu         sync.Mutex
+	documents  map[revision.Scope]revision.ScopeDocument
+	revision   revision.Number
+	checksum   string
+	refused    map[revision.Number]bool
+	violations []string // events that must never happen
+	watches    int      // number of watches opened
 }
 
 const (
-	simSilence = 5 * time.Second        // of a replica, until the proxy moves
-	simPause   = 300 * time.Millisecond // most between two attempts
+	simSilenceTimeout = 5 * time.Second        // without a line from the replica, until the proxy moves to the next one
+	maxReconnectDelay = 300 * time.Millisecond // before the next connection attempt
 )
 
+// newSimProxy returns a proxy without a configuration. It tries the replicas in the given order.
 func newSimProxy(identity revision.Identity, replicas []string) *simProxy {
-	return &simProxy{identity: identity, replicas: replicas, held: map[revision.Scope]revision.ScopeDocument{},
+	return &simProxy{identity: identity, replicas: replicas, documents: map[revision.Scope]revision.ScopeDocument{},
 		checksum: revision.Checksum(revision.EmptyDocument), refused: map[revision.Number]bool{}}
 }
 
-// run watches until the context ends.
+// run watches one replica after the other until the context ends.
 func (p *simProxy) run(ctx context.Context) {
 	for at := 0; ctx.Err() == nil; at++ {
 		p.watch(ctx, p.replicas[at%len(p.replicas)])
 		select {
 		case <-ctx.Done():
-		case <-time.After(rand.N(simPause)):
+		case <-time.After(rand.N(maxReconnectDelay)):
 		}
 	}
 }
 
+// hello returns the first line of a watch.
 func (p *simProxy) hello() revision.Hello {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,108 +63,111 @@
 	if p.revision == 0 {
 		hello.Checksum = ""
 	}
-	for _, held := range p.held {
+	for _, held := range p.documents {
 		hello.Documents = append(hello.Documents, revision.ScopeDocument{Scope: held.Scope, Number: held.Number})
 	}
 	return hello
 }
 
-// watch serves one watch until it breaks or is silent. It speaks HTTP on a bare connection: net/http's client holds a
-// request whose connection was reset until the request's body ends.
+// watch keeps one watch open until it breaks or is silent. It writes HTTP to a TCP connection, because net/http's client
+// does not return from a request whose connection was reset until the request's body ends.
 func (p *simProxy) watch(ctx context.Context, replica string) {
-	dialer := net.Dialer{Timeout: dialTime}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", replica)
 	if err != nil {
 		return
 	}
 	defer connection.Close()
 	defer context.AfterFunc(ctx, func() { connection.Close() })()
-	silence := time.AfterFunc(simSilence, func() { connection.Close() })
-	defer silence.Stop()
+	watchdog := time.AfterFunc(simSilenceTimeout, func() { connection.Close() })
+	defer watchdog.Stop()
 	fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: %s\r\nTransfer-Encoding: chunked\r\n\r\n", revision.WatchPath, replica)
 	encoder := json.NewEncoder(httputil.NewChunkedWriter(connection))
 	if encoder.Encode(p.hello()) != nil {
 		return
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
+	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err != nil {
 		return
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
 		return
 	}
-	lines := bufio.NewReader(answer.Body)
+	lines := bufio.NewReader(response.Body)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		silence.Reset(simSilence)
+		watchdog.Reset(simSilenceTimeout)
 		if len(line) == 1 {
 			continue
 		}
 		var update revision.Update
 		if err := json.Unmarshal(line, &update); err != nil {
-			p.fault("update %s: %v", line, err)
+			p.addViolation("update %s: %v", line, err)
 			return
 		}
-		if encoder.Encode(p.take(update)) != nil {
+		if encoder.Encode(p.applyUpdate(update)) != nil {
 			return
 		}
 	}
 }
 
-func (p *simProxy) fault(format string, args ...any) {
+// addViolation records an event that must never happen.
+func (p *simProxy) addViolation(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faults = append(p.faults, p.identity.Proxy+": "+fmt.Sprintf(format, args...))
+	p.violations = append(p.violations, p.identity.Proxy+": "+fmt.Sprintf(format, args...))
 }
 
-// take applies an update and gives the report on it.
-func (p *simProxy) take(update revision.Update) revision.Report {
+// applyUpdate applies an update and returns the report on it.
+func (p *simProxy) applyUpdate(update revision.Update) revision.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	report := revision.Report{Revision: update.Revision, Verdict: revision.Unknown, Checksum: p.checksum}
 	next := map[revision.Scope]revision.ScopeDocument{}
 	if !update.Full {
-		for scope, held := range p.held {
+		for scope, held := range p.documents {
 			next[scope] = held
 		}
 	}
 	for _, change := range update.Scopes {
 		document := change.Document
 		if len(change.Patch) > 0 {
-			held := next[change.Scope]
-			patched, err := revision.ApplyPatch(held.Document, change.Patch)
-			if err != nil || held.Number != change.From {
-				report.Reason = "the change does not follow"
+			base := next[change.Scope]
+			patched, err := revision.ApplyPatch(base.Document, change.Patch)
+			if err != nil || base.Number != change.From {
+				report.Reason = "the patch is not based on the current revision"
 				return report
 			}
 			document = patched
 		}
-		if change.Number < p.held[change.Scope].Number {
-			p.faults = append(p.faults, fmt.Sprintf("%s: %s goes back from %d to %d", p.identity.Proxy, change.Scope,
-				p.held[change.Scope].Number, change.Number))
+		if change.Number < p.documents[change.Scope].Number {
+			p.violations = append(p.violations, fmt.Sprintf("%s: scope %s goes back from revision %d to %d",
+				p.identity.Proxy, change.Scope, p.documents[change.Scope].Number, change.Number))
 		}
 		next[change.Scope] = revision.ScopeDocument{Scope: change.Scope, Number: change.Number, Document: document}
 	}
 	if update.Revision < p.revision {
-		p.faults = append(p.faults, fmt.Sprintf("%s goes back from %d to %d", p.identity.Proxy, p.revision, update.Revision))
+		p.violations = append(p.violations, fmt.Sprintf("%s goes back from revision %d to %d",
+			p.identity.Proxy, p.revision, update.Revision))
 	}
-	return p.judge(update, next, report)
+	return p.applyMerged(update, next, report)
 }
 
-// judge takes a configuration over, or says why not.
-func (p *simProxy) judge(update revision.Update, next map[revision.Scope]revision.ScopeDocument, report revision.Report) revision.Report {
-	var held []revision.ScopeDocument
-	for _, one := range next {
-		held = append(held, one)
+// applyMerged merges the documents, verifies the checksum, and puts the configuration in force or refuses it.
+func (p *simProxy) applyMerged(update revision.Update, documents map[revision.Scope]revision.ScopeDocument,
+	report revision.Report) revision.Report {
+	var list []revision.ScopeDocument
+	for _, document := range documents {
+		list = append(list, document)
 	}
-	effective, err := revision.EffectiveDocument(p.identity, held)
+	effective, err := revision.EffectiveDocument(p.identity, list)
 	if err != nil || revision.Checksum(effective) != update.Checksum {
-		report.Reason = "the checksum is wrong"
-		p.faults = append(p.faults, fmt.Sprintf("%s: update %d gives %s, its checksum is another's (%v)",
+		report.Reason = "wrong checksum"
+		p.violations = append(p.violations, fmt.Sprintf("%s: update %d results in %s, which does not match its checksum (%v)",
 			p.identity.Proxy, update.Revision, effective, err))
 		return report
 	}
@@ -173,26 +178,26 @@
 			return report
 		}
 	}
-	p.held, p.revision, p.checksum = next, update.Revision, update.Checksum
+	p.documents, p.revision, p.checksum = documents, update.Revision, update.Checksum
 	report.Verdict, report.Checksum = revision.InForce, update.Checksum
 	return report
 }
 
-// state gives what is in force.
+// state returns the revision and the checksum of the configuration in force.
 func (p *simProxy) state() (number revision.Number, checksum string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.revision, p.checksum
 }
 
-// simFleet is some proxies in all regions.
+// simFleet is a set of simulated proxies in all regions.
 type simFleet struct {
 	proxies []*simProxy
 	cancels []context.CancelFunc // of each proxy's run
 	done    sync.WaitGroup
 }
 
-// startProxies starts so many proxies, two zones to a region.
+// startProxies starts count proxies, spread over three regions with two zones each.
 func (c *cluster) startProxies(count int) *simFleet {
 	fleet := &simFleet{}
 	regions := []string{"eu", "us", "ap"}
@@ -207,6 +212,7 @@
 	return fleet
 }
 
+// start starts a proxy.
 func (f *simFleet) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancels[i] = cancel
@@ -214,12 +220,13 @@
 	f.done.Go(func() { proxy.run(ctx) })
 }
 
-// restart ends a proxy's watch and has it come back with what it holds.
+// restart ends a proxy's watch and starts the proxy again with the configuration that it has.
 func (f *simFleet) restart(i int) {
 	f.cancels[i]()
 	f.start(i)
 }
 
+// stop stops all proxies and waits for them.
 func (f *simFleet) stop() {
 	for _, cancel := range f.cancels {
 		cancel()
@@ -227,12 +234,12 @@
 	f.done.Wait()
 }
 
-// faults gives what must never happen and did.
-func (f *simFleet) faults() string {
+// violations returns the violations of all proxies, one per line.
+func (f *simFleet) violations() string {
 	var all []string
 	for _, proxy := range f.proxies {
 		proxy.mu.Lock()
-		all = append(all, proxy.faults...)
+		all = append(all, proxy.violations...)
 		proxy.mu.Unlock()
 	}
 	return strings.Join(all, "\n")
