--- a/cmd/sandpass-control/client.go
+++ b/cmd/sandpass-control/client.go
@@ -31,10 +31,10 @@
 
 // addFlags defines the flags on a command.
 func (c *changeOptions) addFlags(command *cobra.Command) {
-	command.Flags().StringVar(&c.author, "author", os.Getenv("USER"), "author of the change")
-	command.Flags().StringVar(&c.reason, "reason", "", "reason for the change, in one line (required)")
-	command.Flags().BoolVar(&c.atOnce, "at-once", false, "send the change to all proxies at once, without canaries; for emergencies")
-	command.Flags().BoolVar(&c.wait, "wait", false, "wait until the change is in force at all connected proxies in its scope")
+	command.Flags().StringVar(&c.author, "author", os.Getenv("USER"), "who asks for it")
+	command.Flags().StringVar(&c.reason, "reason", "", "why, in one line (needed)")
+	command.Flags().BoolVar(&c.atOnce, "at-once", false, "send it to all proxies without a trial on few, for emergencies")
+	command.Flags().BoolVar(&c.wait, "wait", false, "end when it is in force at all connected proxies that it concerns")
 }
 
 // validate reports a missing reason or author.
@@ -86,7 +86,7 @@
 	var change changeOptions
 	var scope string
 	var base int64
-	command := &cobra.Command{Use: "apply FILE", Short: "Set a scope's configuration from a file", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{Use: "apply FILE", Short: "Make a file a scope's configuration", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			request, err := newApplyRequest(args[0], cmd.InOrStdin(), scope, change)
 			if err != nil {
@@ -95,8 +95,8 @@
 			return submit(cmd, options, request, change.wait, base)
 		}}
 	change.addFlags(command)
-	command.Flags().StringVar(&scope, "scope", "", "scope that the configuration applies to (required)")
-	command.Flags().Int64Var(&base, "base", -1, "the scope's revision that the file is based on (default: the newest)")
+	command.Flags().StringVar(&scope, "scope", "", "the proxies that it is for (needed)")
+	command.Flags().Int64Var(&base, "base", -1, "the scope's revision that it was made from; by default the newest")
 	return command
 }
 
@@ -120,7 +120,7 @@
 // rollbackCommand returns the command that restores a revision's document.
 func rollbackCommand(options *controlOptions) *cobra.Command {
 	var change changeOptions
-	command := &cobra.Command{Use: "rollback REVISION", Short: "Restore a revision's document as a new revision of its scope",
+	command := &cobra.Command{Use: "rollback REVISION", Short: "Bring back a revision's document as a new revision of its scope",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.ParseUint(args[0], 10, 63)
@@ -260,7 +260,7 @@
 				return client.Diff(ctx, controlapi.DiffRequest{Scope: parsed, Document: document})
 			}, printDiff)
 		}}
-	command.Flags().StringVar(&scope, "scope", "", "scope to compare the file with (required)")
+	command.Flags().StringVar(&scope, "scope", "", "the scope that it is compared with (needed)")
 	return command
 }
 
@@ -282,8 +282,8 @@
 				return client.History(ctx, scopeFilter, limit)
 			}, printHistory)
 		}}
-	command.Flags().StringVar(&scope, "scope", "", "list only revisions of this scope")
-	command.Flags().IntVar(&limit, "limit", 20, "largest number of revisions to list; 0 lists all that are stored")
+	command.Flags().StringVar(&scope, "scope", "", "only this scope's")
+	command.Flags().IntVar(&limit, "limit", 20, "at most so many, 0: all that are kept")
 	return command
 }
 
@@ -292,7 +292,7 @@
 	var scope string
 	var proxy revision.Identity
 	var origins bool
-	command := &cobra.Command{Use: "show", Short: "Show a scope's document, or the document merged for a proxy", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "show", Short: "Show a scope's document, or a proxy's merged one", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if (scope == "") == (proxy.Proxy == "") {
 				return usageError("exactly one of --scope and --proxy is required")
@@ -316,14 +316,14 @@
 	flags.StringVar(&proxy.Region, "region", "", "the proxy's region")
 	flags.StringVar(&proxy.Zone, "zone", "", "the proxy's zone")
 	flags.StringVar(&proxy.Service, "service", "", "the proxy's service")
-	flags.BoolVar(&origins, "origins", false, "with --proxy: show the scope and revision of each value")
+	flags.BoolVar(&origins, "origins", false, "with --proxy: say for each value which scope and revision it comes from")
 	return command
 }
 
 // statusCommand returns the command that shows the state of the fleet.
 func statusCommand(options *controlOptions) *cobra.Command {
 	var proxies bool
-	command := &cobra.Command{Use: "status", Short: "Show rollout progress and the state of the replicas", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "status", Short: "Show how far the fleet is and how the replicas stand", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runRead(cmd, options, func(ctx context.Context, client *controlclient.Client) (controlapi.StatusResponse, error) {
 				return client.Status(ctx, 0, proxies)
--- a/cmd/sandpass-control/main.go
+++ b/cmd/sandpass-control/main.go
@@ -117,10 +117,10 @@
 		}}
 	control.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &codedError{exitUsage, err} })
 	flags := control.PersistentFlags()
-	flags.StringVar(&options.replicas, "replicas", os.Getenv("SANDPASS_CONTROL"), "addresses of the replicas, tried in this order")
-	flags.BoolVar(&options.json, "json", false, "print JSON instead of text")
-	flags.BoolVar(&options.stale, "stale", false, "read one replica's local state without a quorum; it may be out of date")
-	flags.DurationVar(&options.timeout, "timeout", 10*time.Second, "time limit of the command, including --wait")
+	flags.StringVar(&options.replicas, "replicas", os.Getenv("SANDPASS_CONTROL"), "addresses of the replicas, asked in this order")
+	flags.BoolVar(&options.json, "json", false, "print JSON for scripts")
+	flags.BoolVar(&options.stale, "stale", false, "read what one replica knows, also without a quorum; it may be old")
+	flags.DurationVar(&options.timeout, "timeout", 10*time.Second, "how long to try, and to wait with --wait")
 	control.AddCommand(controlServeCommand(), applyCommand(options), diffCommand(options), historyCommand(options),
 		showCommand(options), rollbackCommand(options), statusCommand(options))
 	for _, command := range control.Commands() {
@@ -144,7 +144,7 @@
 	var path string
 	command := &cobra.Command{Use: "serve", Short: "Run a control replica", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return serveControl(path) }}
-	command.Flags().StringVar(&path, "config", "", "the replica's configuration file, TOML (required)")
+	command.Flags().StringVar(&path, "config", "", "the replica's file, TOML")
 	return command
 }
 
--- a/cmd/sandpass-control/tables.go
+++ b/cmd/sandpass-control/tables.go
@@ -67,7 +67,7 @@
 	var apiErr *controlapi.Error
 	if errors.As(err, &apiErr) && len(apiErr.Changed) > 0 {
 		table(out, func(out io.Writer) {
-			fmt.Fprintln(out, "CONFLICTING REVISION\tTIME\tAUTHOR\tREASON\tKEYS")
+			fmt.Fprintln(out, "CHANGED MEANWHILE\tTIME\tAUTHOR\tREASON\tKEYS")
 			for _, change := range apiErr.Changed {
 				fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%s\n", change.Number, change.Time.UTC().Format(time.DateTime),
 					change.Author, change.Reason, strings.Join(change.Keys, ", "))
@@ -132,12 +132,12 @@
 
 // printDiff prints the response of the diff command.
 func printDiff(out io.Writer, diff controlapi.DiffResponse) error {
-	fmt.Fprintf(out, "merge patch against revision %d:\n", diff.Base)
+	fmt.Fprintf(out, "against revision %d, as a merge patch:\n", diff.Base)
 	if err := printDocument(out, diff.Patch); err != nil {
 		return err
 	}
 	if diff.Refusal != "" {
-		fmt.Fprintf(out, "the document would be refused: %s\n", diff.Refusal)
+		fmt.Fprintf(out, "it would be refused: %s\n", diff.Refusal)
 	}
 	return printFreshness(out, diff.Freshness)
 }
@@ -168,7 +168,7 @@
 		status.Fleet, status.Newest, status.Summary.InForce, status.Summary.Targeted, status.Summary.Disconnected)
 	if len(status.Summary.Lagging) > 0 {
 		slowest := status.Summary.Lagging[0]
-		fmt.Fprintf(out, "slowest: %s at revision %d, expected %d; since %s\n", slowest.Proxy, slowest.InForce,
+		fmt.Fprintf(out, "slowest: %s at revision %d, %d is for it; since %s\n", slowest.Proxy, slowest.InForce,
 			slowest.Target, formatTime(slowest.InForceSince))
 	}
 	for _, proxy := range status.Refusing {
--- a/cmd/sandpass/main.go
+++ b/cmd/sandpass/main.go
@@ -136,11 +136,11 @@
 	root := &cobra.Command{Use: "sandpass", Short: "A load balancer for services that call services",
 		SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().StringVar(&path, "config", os.Getenv("NODE_CONFIG"), "the configuration, JSON")
-	root.PersistentFlags().StringVar(&operatorPath, "operator", "", "the operator file, TOML; see deploy/sandpass.toml")
+	root.PersistentFlags().StringVar(&operatorPath, "operator", "", "what the operators say beside it, TOML; see deploy/sandpass.toml")
 	root.AddCommand(
 		&cobra.Command{Use: "serve", Short: "Run the proxy", Args: cobra.NoArgs,
 			RunE: func(*cobra.Command, []string) error { return serve(path, operatorPath) }},
-		&cobra.Command{Use: "check", Short: "Validate a configuration", Args: cobra.NoArgs,
+		&cobra.Command{Use: "check", Short: "Tell whether a configuration is good", Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				restoreDefaultSignals()
 				config, err := readConfiguration(path, operatorPath)
