--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -17,25 +17,25 @@
 
 // Codes of the records from the bench, of the records to it, and limits.
 const (
-	inUpdateBackends     = 257
-	inCommandReceived    = 258
-	inStreamStarted      = 259
-	inRelayEnded         = 260
-	inClientDisconnected = 261
-	inTimerFired         = 262
-	inHealth             = 263
-	inMessageReceived    = 264
-	inDelete             = 265
-	inDefineList         = 266
-	inCreate             = 256
+	inTopology  = 257
+	inAccept    = 258
+	inStarted   = 259
+	inReply     = 260
+	inGone      = 261
+	inBell      = 262
+	inHealth    = 263
+	inNeighbour = 264
+	inShutdown  = 265
+	inManifest  = 266
+	inLaunch    = 256
 
-	outDecline       = 256
-	outRelay         = 258
-	outTerminate     = 261
-	outSendToPeer    = 263
-	outWatchBackends = 264
-	outStartTimer    = 265
-	outCancel        = 266
+	outBusy    = 256
+	outDeliver = 258
+	outDrop    = 261
+	outSignal  = 263
+	outStream  = 264
+	outDefer   = 265
+	outAbandon = 266
 
 	maxBatchBytes  = 1 << 30 // a longer batch is treated as corrupt
 	listEntryBytes = 25      // bytes of one backend in a list
@@ -67,42 +67,42 @@
 // The methods of balance.Host append one record each.
 
 func (h *host) Relay(cmd uint64, to balance.BackendID) {
-	h.record(outRelay, 22)
+	h.record(outDeliver, 22)
 	h.u64(cmd)
 	*h.reply = append(*h.reply, to[:]...)
 	h.f64(0)
 }
 
 func (h *host) Cancel(cmd uint64, relay int) {
-	h.record(outCancel, 10)
+	h.record(outAbandon, 10)
 	h.u64(cmd)
 	*h.reply = binary.LittleEndian.AppendUint16(*h.reply, uint16(relay))
 }
 
 func (h *host) Decline(cmd uint64, retryAfter float64) {
-	h.record(outDecline, 16)
+	h.record(outBusy, 16)
 	h.u64(cmd)
 	h.f64(retryAfter * 1000)
 }
 
 func (h *host) Terminate(cmd uint64) {
-	h.record(outTerminate, 8)
+	h.record(outDrop, 8)
 	h.u64(cmd)
 }
 
 func (h *host) StartTimer(seconds float64, token uint64) {
-	h.record(outStartTimer, 16)
+	h.record(outDefer, 16)
 	h.f64(seconds * 1000)
 	h.u64(token)
 }
 
 func (h *host) WatchBackends() {
-	h.record(outWatchBackends, 1)
+	h.record(outStream, 1)
 	*h.reply = append(*h.reply, 1)
 }
 
 func (h *host) SendToPeer(to int, text []byte) {
-	h.record(outSendToPeer, 6+len(text))
+	h.record(outSignal, 6+len(text))
 	*h.reply = binary.LittleEndian.AppendUint32(*h.reply, uint32(to))
 	*h.reply = binary.LittleEndian.AppendUint16(*h.reply, uint16(len(text)))
 	*h.reply = append(*h.reply, text...)
@@ -189,7 +189,7 @@
 
 // processRecord decodes a whole record before it calls an instance, so that a malformed record has no effect.
 func (s *session) processRecord(code uint16, r *recordReader, now float64) error {
-	if code == inDefineList {
+	if code == inManifest {
 		listNumber, entries := r.u8(), r.u32()
 		if listNumber >= 16 {
 			return fmt.Errorf("list number %d is not below 16", listNumber)
@@ -223,7 +223,7 @@
 	target := s.instances[instanceID]
 	var call func()
 	switch code {
-	case inCreate:
+	case inLaunch:
 		seed := r.u64()
 		text := r.bytes(int(r.u32()))
 		if r.truncated {
@@ -237,10 +237,10 @@
 		h.loadFields = fields
 		s.instances[instanceID] = instance{h, b}
 		return nil
-	case inDelete:
+	case inShutdown:
 		delete(s.instances, instanceID)
 		return nil
-	case inUpdateBackends:
+	case inTopology:
 		r.u32()
 		kind, listNumber := r.u8(), r.u8()
 		if kind > 3 {
@@ -254,7 +254,7 @@
 			return fmt.Errorf("list number %d is not defined", listNumber)
 		}
 		call = func() { target.UpdateBackends(now, kind != 0, s.lists[listNumber]) }
-	case inCommandReceived:
+	case inAccept:
 		cmd, expires, verb := r.u64(), r.seconds(), int(r.u16())
 		key := r.u64()
 		r.u64() // expected work, unused
@@ -264,12 +264,12 @@
 			return fmt.Errorf("verb %d is not in the settings", verb)
 		}
 		call = func() { target.CommandReceived(now, cmd, verb, customer, expires, key) }
-	case inStreamStarted:
+	case inStarted:
 		cmd, n := r.u64(), int(r.u16())
 		r.backend()
 		r.u64()
 		call = func() { target.StreamStarted(now, cmd, n) }
-	case inRelayEnded:
+	case inReply:
 		cmd, n := r.u64(), int(r.u16())
 		r.backend()
 		code, took, final, load := r.u16(), r.seconds(), r.u8() != 0, r.load(target.host)
@@ -278,10 +278,10 @@
 			return fmt.Errorf("outcome %d is unknown", code)
 		}
 		call = func() { target.RelayEnded(now, cmd, n, result, took, final, load) }
-	case inClientDisconnected:
+	case inGone:
 		cmd := r.u64()
 		call = func() { target.ClientDisconnected(now, cmd) }
-	case inTimerFired:
+	case inBell:
 		token := r.u64()
 		call = func() { target.TimerFired(now, token) }
 	case inHealth:
@@ -292,7 +292,7 @@
 		if _, ok := results[code]; !ok && !r.truncated {
 			return fmt.Errorf("outcome %d is unknown", code)
 		}
-	case inMessageReceived:
+	case inNeighbour:
 		from := int(r.u16())
 		text := r.bytes(int(r.u16()))
 		call = func() { target.MessageReceived(now, from, text) }
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -44,15 +44,15 @@
 }
 
 func createRecord(id uint32, text string) []byte {
-	return record(inCreate, id, uint64(7), uint32(len(text)), []byte(text))
+	return record(inLaunch, id, uint64(7), uint32(len(text)), []byte(text))
 }
 
 func updateBackendsRecord(id uint32, kind, ref uint8) []byte {
-	return record(inUpdateBackends, id, uint32(1), kind, ref)
+	return record(inTopology, id, uint32(1), kind, ref)
 }
 
 func commandReceivedRecord(id uint32, cmd uint64, now float64) []byte {
-	return record(inCommandReceived, id, cmd, now+6000, uint16(0), uint64(0), 0.0, uint16(0), uint16(0))
+	return record(inAccept, id, cmd, now+6000, uint16(0), uint64(0), 0.0, uint16(0), uint16(0))
 }
 
 // batch encodes a batch of records received at now, in milliseconds.
@@ -97,7 +97,7 @@
 	if err != nil || len(replies) != 3 || len(replies[0]) != 0 {
 		t.Fatalf("%d replies, error %v", len(replies), err)
 	}
-	sent := find(replies[2], outRelay)
+	sent := find(replies[2], outDeliver)
 	if len(sent) != 2 || len(sent[0]) != 26 {
 		t.Fatalf("relays %x", sent)
 	}
@@ -109,13 +109,13 @@
 		load := []any{uint8(2), float32(0.25), float32(120)}
 		reply := func(final uint8, l ...any) []byte {
 			fields := []any{uint32(3), uint64(0x4289b5d3a91c4), uint16(0), to, uint16(100), 18.5, final}
-			return record(inRelayEnded, append(fields, l...)...)
+			return record(inReply, append(fields, l...)...)
 		}
 		_, err := serve(
 			batch(1005, createRecord(3, testSettings), parseHex(t, listRecord), updateBackendsRecord(3, 2, 0)),
 			batch(1010, commandReceivedRecord(3, 0x4289b5d3a91c4, 1010)),
-			batch(1030, reply(1, load...), reply(1, uint8(0)), record(inClientDisconnected, uint32(3), uint64(0x4289b5d3a91c4)),
-				record(inTimerFired, uint32(3), uint64(1<<50)), record(inDelete, uint32(3)), reply(1, uint8(0))),
+			batch(1030, reply(1, load...), reply(1, uint8(0)), record(inGone, uint32(3), uint64(0x4289b5d3a91c4)),
+				record(inBell, uint32(3), uint64(1<<50)), record(inShutdown, uint32(3)), reply(1, uint8(0))),
 		)
 		if err != nil {
 			t.Error(err)
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent := find(replies[1], outRelay)
+	sent := find(replies[1], outDeliver)
 	if len(sent) != 2 || sent[0][15] != 1 || sent[1][15] != 2 {
 		t.Errorf("relays %x", sent)
 	}
@@ -160,7 +160,7 @@
 }
 
 func TestInvalidInput(t *testing.T) {
-	verb4 := record(inCommandReceived, uint32(3), uint64(1), 9.0, uint16(4), uint64(0), 0.0, uint32(0))
+	verb4 := record(inAccept, uint32(3), uint64(1), 9.0, uint16(4), uint64(0), 0.0, uint32(0))
 	good := batch(1010, createRecord(3, testSettings))
 	without := func(name string) string { return strings.Replace(testSettings, `"`+name+`"`, `"x_`+name+`"`, 1) }
 	for name, c := range map[string]struct {
