--- a/internal/faultnet/stream.go
+++ b/internal/faultnet/stream.go
@@ -1,6 +1,6 @@
-// This file owns a way for TCP connections. Each connection has two goroutines for each direction: one that takes bytes
-// in as long as there is room, one that lets them out when they are due. It must never drop a byte of a connection that
-// is not reset.
+// This file implements the forwarder for TCP connections. Each direction of a connection has two goroutines: one reads as
+// long as the buffer has room, one writes each chunk when it is due. No byte of a connection is dropped unless the
+// connection is reset.
 package faultnet
 
 import (
@@ -9,141 +9,145 @@
 	"time"
 )
 
-// Stream forwards what connects to its address.
+// StreamForwarder accepts TCP connections at its own address and forwards them to the target.
 type StreamForwarder struct {
-	listener net.Listener
-	target   string
-	ways     [2]*way // to the target, and back
-	mu       sync.Mutex
-	open     map[*joint]bool
-	known    map[string]*joint // by the address that the target sees
-	closed   bool
-	done     sync.WaitGroup
+	listener     net.Listener
+	target       string
+	directions   [2]*direction // to the target, back to the client
+	mu           sync.Mutex
+	connections  map[*connection]bool
+	byTargetAddr map[string]*connection // by the remote address that the target sees
+	closed       bool
+	tasks        sync.WaitGroup
 }
 
-// NewStream begins to forward connections to the target from an address of its own on loopback.
+// NewStreamForwarder starts to forward connections to the target from a loopback address of its own.
 func NewStreamForwarder(target string, seed uint64) (*StreamForwarder, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &StreamForwarder{listener: l, target: target, ways: [2]*way{newWay(seed, 0), newWay(seed, 1)}, open: map[*joint]bool{}, known: map[string]*joint{}}
-	s.done.Add(1)
+	s := &StreamForwarder{listener: l, target: target, directions: [2]*direction{newDirection(seed, 0), newDirection(seed, 1)},
+		connections: map[*connection]bool{}, byTargetAddr: map[string]*connection{}}
+	s.tasks.Add(1)
 	go s.accept()
 	return s, nil
 }
 
-// Addr is where to connect.
+// Addr returns the address that clients connect to.
 func (s *StreamForwarder) Addr() string { return s.listener.Addr().String() }
 
-// Set changes the weather towards the target and back, for connections that are open too.
-func (s *StreamForwarder) SetConditions(there, back Conditions) {
-	s.ways[0].set(there)
-	s.ways[1].set(back)
+// SetConditions replaces the conditions of both directions, for open connections too.
+func (s *StreamForwarder) SetConditions(toTarget, toClient Conditions) {
+	s.directions[0].setConditions(toTarget)
+	s.directions[1].setConditions(toClient)
 }
 
-// Carried is what arrived at the target, and back.
-func (s *StreamForwarder) Delivered() (there, back Traffic) {
-	return s.ways[0].carriedSoFar(), s.ways[1].carriedSoFar()
+// Delivered returns the traffic that arrived at the target and at the clients.
+func (s *StreamForwarder) Delivered() (toTarget, toClient Traffic) {
+	return s.directions[0].deliveredSoFar(), s.directions[1].deliveredSoFar()
 }
 
-// Reset breaks all connections, with what is under way on them.
+// Reset resets all open connections and drops their bytes in transit.
 func (s *StreamForwarder) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for j := range s.open {
-		j.end(true)
+	for conn := range s.connections {
+		conn.shutdown(true)
 	}
 }
 
-// Left tells the target when the first so many bytes of a connection had all come to the way, however long they were on it;
-// from is the connection's other end as the target sees it. What came before them is forgotten.
+// ReceivedAt returns when the forwarder had received the first bytes bytes of a connection from its client, however long they
+// were then in transit. The remote address from, as the target sees it, selects the connection. Records of earlier bytes are
+// discarded.
 func (s *StreamForwarder) ReceivedAt(from net.Addr, bytes int64) (time.Time, bool) {
 	s.mu.Lock()
-	j := s.known[from.String()]
+	conn := s.byTargetAddr[from.String()]
 	s.mu.Unlock()
-	if j == nil {
+	if conn == nil {
 		return time.Time{}, false
 	}
-	return j.left(bytes)
+	return conn.receivedAt(bytes)
 }
 
-// Close ends the way and all its connections, and waits for its goroutines.
+// Close stops the forwarder, resets all connections and waits for the goroutines.
 func (s *StreamForwarder) Close() {
 	s.mu.Lock()
 	s.closed = true
-	for j := range s.open {
-		j.end(true)
+	for conn := range s.connections {
+		conn.shutdown(true)
 	}
 	s.mu.Unlock()
 	s.listener.Close()
-	s.done.Wait()
+	s.tasks.Wait()
 }
 
+// accept handles incoming connections until the listener is closed.
 func (s *StreamForwarder) accept() {
-	defer s.done.Done()
+	defer s.tasks.Done()
 	for {
-		near, err := s.listener.Accept()
+		client, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		s.done.Add(1)
-		go s.join(near)
+		s.tasks.Add(1)
+		go s.handle(client)
 	}
 }
 
-// joint is one connection: its near end, its far end once there is one, and how it is ended.
-type joint struct {
-	mu    sync.Mutex
-	ends  [2]net.Conn
-	over  chan struct{}
-	ended bool
-	marks []mark // of what went towards the target and was not asked for yet
-	came  int64  // bytes
+// connection is one forwarded connection: the client side, the target side once it is dialed, and its shutdown state.
+type connection struct {
+	mu            sync.Mutex
+	ends          [2]net.Conn
+	done          chan struct{}
+	closed        bool
+	arrivals      []arrival // of bytes towards the target that receivedAt has not passed yet
+	receivedBytes int64     // from the client
 }
 
-// mark is when so many bytes of a connection had come to its way.
-type mark struct {
-	upTo int64
-	at   time.Time
+// arrival records when the first offset bytes of a connection had been received.
+type arrival struct {
+	offset int64
+	at     time.Time
 }
 
-const mostMarks = 4096 // of a connection whose far end never asks
+const maxArrivals = 4096 // bounds memory for a connection whose target never calls ReceivedAt
 
-// mark notes bytes that come to the way towards the target.
-func (j *joint) mark(n int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.came += int64(n)
-	if len(j.marks) < mostMarks {
-		j.marks = append(j.marks, mark{j.came, time.Now()})
+// recordArrival records that size more bytes towards the target were received.
+func (conn *connection) recordArrival(size int) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	conn.receivedBytes += int64(size)
+	if len(conn.arrivals) < maxArrivals {
+		conn.arrivals = append(conn.arrivals, arrival{conn.receivedBytes, time.Now()})
 	}
 }
 
-// left is when the last of so many bytes came, and forgets what came before it.
-func (j *joint) left(bytes int64) (time.Time, bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for i, m := range j.marks {
-		if m.upTo >= bytes {
-			j.marks = j.marks[i:]
-			return m.at, true
+// receivedAt returns when the first bytes bytes had been received, and discards the records of earlier ones.
+func (conn *connection) receivedAt(bytes int64) (time.Time, bool) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	for i, a := range conn.arrivals {
+		if a.offset >= bytes {
+			conn.arrivals = conn.arrivals[i:]
+			return a.at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-func (j *joint) end(reset bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.ended {
+// shutdown closes both sides once, with a TCP reset if asked for.
+func (conn *connection) shutdown(reset bool) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.closed {
 		return
 	}
-	j.ended = true
-	close(j.over)
-	for _, c := range j.ends {
+	conn.closed = true
+	close(conn.done)
+	for _, c := range conn.ends {
 		if t, ok := c.(*net.TCPConn); ok && reset {
-			_ = t.SetLinger(0) // fails only on what is closed
+			_ = t.SetLinger(0) // fails only on a closed connection
 		}
 		if c != nil {
 			c.Close()
@@ -151,79 +155,84 @@
 	}
 }
 
-// reach gives the connection its far end, unless it was ended meanwhile.
-func (j *joint) reach(far net.Conn) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.ended {
-		far.Close()
+// attachTarget sets the target side, unless the connection was shut down meanwhile.
+func (conn *connection) attachTarget(target net.Conn) bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.closed {
+		target.Close()
 		return false
 	}
-	j.ends[1] = far
+	conn.ends[1] = target
 	return true
 }
 
-func (s *StreamForwarder) join(near net.Conn) {
-	defer s.done.Done()
-	j := &joint{ends: [2]net.Conn{near, nil}, over: make(chan struct{})}
-	defer j.end(true) // nothing is left to reset where it has ended well
-	if !s.keep(j) {
+// handle dials the target for an accepted connection and forwards both directions until they end.
+func (s *StreamForwarder) handle(client net.Conn) {
+	defer s.tasks.Done()
+	conn := &connection{ends: [2]net.Conn{client, nil}, done: make(chan struct{})}
+	defer conn.shutdown(true) // no effect after an orderly end
+	if !s.track(conn) {
 		return
 	}
-	defer s.forget(j)
-	// The far end is asked for when word of the connection would be there: a cut way is silent until it heals.
-	if !s.wait(s.ways[0], j, 0) {
+	defer s.untrack(conn)
+	// The target is dialed after the delay of the link; a blocked link stays silent until it is unblocked.
+	if !s.awaitTransit(s.directions[0], conn, 0) {
 		return
 	}
-	far, err := net.Dial("tcp4", s.target)
-	if err != nil || !j.reach(far) {
+	target, err := net.Dial("tcp4", s.target)
+	if err != nil || !conn.attachTarget(target) {
 		return
 	}
 	s.mu.Lock()
-	s.known[far.LocalAddr().String()] = j
+	s.byTargetAddr[target.LocalAddr().String()] = conn
 	s.mu.Unlock()
 	var both sync.WaitGroup
-	for n := range 2 {
-		both.Go(func() { s.carry(j, n) })
+	for side := range 2 {
+		both.Go(func() { s.forward(conn, side) })
 	}
 	both.Wait()
-	j.end(false)
+	conn.shutdown(false)
 }
 
-func (s *StreamForwarder) keep(j *joint) bool {
+// track registers an open connection; it reports false if the forwarder is closed.
+func (s *StreamForwarder) track(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closed {
-		s.open[j] = true
+		s.connections[conn] = true
 	}
 	return !s.closed
 }
 
-func (s *StreamForwarder) forget(j *joint) {
+// untrack removes a finished connection.
+func (s *StreamForwarder) untrack(conn *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, j)
-	if j.ends[1] != nil {
-		delete(s.known, j.ends[1].LocalAddr().String())
+	delete(s.connections, conn)
+	if conn.ends[1] != nil {
+		delete(s.byTargetAddr, conn.ends[1].LocalAddr().String())
 	}
 }
 
-// wait lets the time pass that a piece takes, and all of a cut; it is false once the connection is over.
-func (s *StreamForwarder) wait(y *way, j *joint, size int) bool {
+// awaitTransit waits for the transit time of size bytes, and for the end of any block. It reports false if the connection
+// ends first.
+func (s *StreamForwarder) awaitTransit(d *direction, conn *connection, size int) bool {
 	for {
-		at, cut, change := y.due(time.Now(), size, true)
-		if !cut {
-			return sleep(time.Until(at), j.over)
+		at, blocked, changed := d.schedule(time.Now(), size, true)
+		if !blocked {
+			return sleep(time.Until(at), conn.done)
 		}
 		select {
-		case <-change:
-		case <-j.over:
+		case <-changed:
+		case <-conn.done:
 			return false
 		}
 	}
 }
 
-func sleep(d time.Duration, over chan struct{}) bool {
+// sleep waits for d; it reports false if the channel is closed first.
+func sleep(d time.Duration, done chan struct{}) bool {
 	if d <= 0 {
 		return true
 	}
@@ -232,35 +241,36 @@
 	select {
 	case <-t.C:
 		return true
-	case <-over:
+	case <-done:
 		return false
 	}
 }
 
-type piece struct {
-	bytes []byte
-	at    time.Time
-	cut   bool // the way was when it came: its time is drawn once it is not
+// chunk is the result of one read, in transit.
+type chunk struct {
+	bytes      []byte
+	dueAt      time.Time
+	wasBlocked bool // received while the direction was blocked: its delay is drawn once the block ends
 }
 
-// carry takes in what one end writes and lets it out at the other in order, each piece when it is due.
-func (s *StreamForwarder) carry(j *joint, n int) {
-	from, to, y := j.ends[n], j.ends[1-n], s.ways[n]
-	under := make(chan piece, mostHeld/pieceSize)
+// forward copies from one side to the other in order, each chunk when it is due.
+func (s *StreamForwarder) forward(conn *connection, side int) {
+	from, to, d := conn.ends[side], conn.ends[1-side], s.directions[side]
+	inTransit := make(chan chunk, maxBufferedBytes/readChunkBytes)
 	go func() {
-		defer close(under)
+		defer close(inTransit)
 		for {
-			text := make([]byte, pieceSize)
-			k, err := from.Read(text)
-			if k > 0 {
-				if n == 0 {
-					j.mark(k)
+			buf := make([]byte, readChunkBytes)
+			size, err := from.Read(buf)
+			if size > 0 {
+				if side == 0 {
+					conn.recordArrival(size)
 				}
-				p := piece{bytes: text[:k]}
-				p.at, p.cut, _ = y.due(time.Now(), k, true)
+				c := chunk{bytes: buf[:size]}
+				c.dueAt, c.wasBlocked, _ = d.schedule(time.Now(), size, true)
 				select {
-				case under <- p:
-				case <-j.over:
+				case inTransit <- c:
+				case <-conn.done:
 					return
 				}
 			}
@@ -269,36 +279,38 @@
 			}
 		}
 	}()
-	for p := range under {
-		if p.cut && !s.wait(y, j, len(p.bytes)) || !sleep(time.Until(p.at), j.over) || !s.healed(y, j) {
+	for c := range inTransit {
+		if c.wasBlocked && !s.awaitTransit(d, conn, len(c.bytes)) || !sleep(time.Until(c.dueAt), conn.done) ||
+			!s.awaitUnblocked(d, conn) {
 			return
 		}
-		if _, err := to.Write(p.bytes); err != nil {
-			j.end(true)
+		if _, err := to.Write(c.bytes); err != nil {
+			conn.shutdown(true)
 			return
 		}
-		y.count(len(p.bytes))
+		d.recordDelivery(len(c.bytes))
 	}
-	// Word of the end takes the way as well; a half that is closed leaves the other open.
-	if s.wait(y, j, 0) {
+	// The end of the stream has the delay of the link too; closing one direction leaves the other open.
+	if s.awaitTransit(d, conn, 0) {
 		if t, ok := to.(*net.TCPConn); ok {
-			_ = t.CloseWrite() // fails only where the other end is gone
+			_ = t.CloseWrite() // fails only if the other side is gone
 		}
 	}
 }
 
-// healed holds what was under way when the way was cut: nothing passes a cut.
-func (s *StreamForwarder) healed(y *way, j *joint) bool {
+// awaitUnblocked holds chunks that were in transit when the direction was blocked, until the block ends. It reports false if
+// the connection ends first.
+func (s *StreamForwarder) awaitUnblocked(d *direction, conn *connection) bool {
 	for {
-		y.mu.Lock()
-		cut, change := y.weather.Blocked, y.changed
-		y.mu.Unlock()
-		if !cut {
+		d.mu.Lock()
+		blocked, changed := d.conditions.Blocked, d.changed
+		d.mu.Unlock()
+		if !blocked {
 			return true
 		}
 		select {
-		case <-change:
-		case <-j.over:
+		case <-changed:
+		case <-conn.done:
 			return false
 		}
 	}
