--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -1,5 +1,5 @@
-// Command knownfailures runs go test on packages, passing over exactly the tests that KNOWN-RED.txt names, which it prints. It
-// must never pass over anything else, nor let a line stand that is malformed, names no test, or names one that passes.
+// Command knownfailures runs go test on packages and skips exactly the tests that KNOWN-RED.txt lists. It prints each skipped
+// test. It fails if a line of the list is malformed, names no test, or names a test that passes.
 //
 //	go run ./internal/knownfailures [FLAGS OF GO TEST --] PACKAGE...
 package main
@@ -16,25 +16,25 @@
 )
 
 const (
-	file = "KNOWN-RED.txt"
-	most = 3 // lines: more red than that is to be mended, not listed
+	listFile   = "KNOWN-RED.txt"
+	maxEntries = 3 // lines in the list; any further failing test has to be fixed
 )
 
-// red is one line: PACKAGE TEST, CAUSE, issue N.
-type red struct{ pkg, test, cause, issue string }
+// knownFailure is one line of the list: PACKAGE TEST, CAUSE, issue N.
+type knownFailure struct{ pkg, test, cause, issue string }
 
-var form = regexp.MustCompile(`^(\S+) (Test[^\s,]*), (\S.*), issue (\d+)$`)
+var linePattern = regexp.MustCompile(`^(\S+) (Test[^\s,]*), (\S.*), issue (\d+)$`)
 
 func main() {
 	if err := run(os.Args[1:], os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "knownred: %v\n", err)
+		fmt.Fprintf(os.Stderr, "knownfailures: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// read gives the lines of the file; a missing one is empty.
-func read() (list []red, err error) {
-	text, err := os.ReadFile(file)
+// readList parses the list; a missing file is an empty list.
+func readList() (list []knownFailure, err error) {
+	text, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
@@ -42,21 +42,23 @@
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		m := form.FindStringSubmatch(line)
-		if m == nil {
-			return nil, fmt.Errorf("%s:%d: not PACKAGE TEST, CAUSE, issue N: %q", file, i+1, line)
+		match := linePattern.FindStringSubmatch(line)
+		if match == nil {
+			return nil, fmt.Errorf("%s:%d: not PACKAGE TEST, CAUSE, issue N: %q", listFile, i+1, line)
 		}
-		r := red{m[1], m[2], m[3], m[4]}
-		if slices.ContainsFunc(list, func(x red) bool { return x.pkg == r.pkg && x.test == r.test }) {
-			return nil, fmt.Errorf("%s:%d: %s %s is named twice", file, i+1, r.pkg, r.test)
+		entry := knownFailure{match[1], match[2], match[3], match[4]}
+		if slices.ContainsFunc(list, func(other knownFailure) bool { return other.pkg == entry.pkg && other.test == entry.test }) {
+			return nil, fmt.Errorf("%s:%d: %s %s is named twice", listFile, i+1, entry.pkg, entry.test)
 		}
-		if list = append(list, r); len(list) > most {
-			return nil, fmt.Errorf("%s:%d: more than %d lines", file, i+1, most)
+		if list = append(list, entry); len(list) > maxEntries {
+			return nil, fmt.Errorf("%s:%d: more than %d lines", listFile, i+1, maxEntries)
 		}
 	}
 	return list, nil
 }
 
+// run confirms each listed failure, then tests the packages in args without the listed tests. Flags for go test may stand
+// before "--".
 func run(args []string, out io.Writer) error {
 	var flags []string
 	if i := slices.Index(args, "--"); i >= 0 {
@@ -65,18 +67,18 @@
 	if len(args) == 0 {
 		return errors.New("no packages")
 	}
-	list, err := read()
+	list, err := readList()
 	if err != nil {
 		return err
 	}
-	for _, r := range list {
-		if err := goes(r, flags, out); err != nil {
+	for _, entry := range list {
+		if err := confirmFailure(entry, flags, out); err != nil {
 			return err
 		}
 	}
 	var failed error
 	rest := slices.DeleteFunc(slices.Clone(args), func(p string) bool {
-		return slices.ContainsFunc(list, func(r red) bool { return r.pkg == p })
+		return slices.ContainsFunc(list, func(entry knownFailure) bool { return entry.pkg == p })
 	})
 	if len(rest) > 0 {
 		failed = goTest(out, append(slices.Clone(flags), rest...)...)
@@ -86,9 +88,9 @@
 			continue
 		}
 		var skip []string
-		for _, r := range list {
-			if r.pkg == p {
-				skip = append(skip, exactly(r.test))
+		for _, entry := range list {
+			if entry.pkg == p {
+				skip = append(skip, exactPattern(entry.test))
 			}
 		}
 		failed = errors.Join(failed, goTest(out, append(slices.Clone(flags), "-skip", strings.Join(skip, "|"), p)...))
@@ -96,24 +98,25 @@
 	return failed
 }
 
-// goes runs one named test and tells it; an error says that it may not be named.
-func goes(r red, flags []string, out io.Writer) error {
-	cmd := exec.Command("go", slices.Concat([]string{"test"}, flags, []string{"-count=1", "-v", "-run", exactly(r.test), r.pkg})...)
+// confirmFailure runs one listed test and prints its line. It returns an error if the test may not be listed.
+func confirmFailure(entry knownFailure, flags []string, out io.Writer) error {
+	cmd := exec.Command("go", slices.Concat([]string{"test"}, flags,
+		[]string{"-count=1", "-v", "-run", exactPattern(entry.test), entry.pkg})...)
 	text, err := cmd.CombinedOutput()
 	switch {
 	case strings.Contains(string(text), "[build failed]"):
-		return fmt.Errorf("%s: %s does not build", file, r.pkg)
-	case !regexp.MustCompile(`(?m)^=== RUN\s+` + regexp.QuoteMeta(r.test) + `$`).Match(text):
-		return fmt.Errorf("%s: no test is called %s in %s", file, r.test, r.pkg)
+		return fmt.Errorf("%s: %s does not build", listFile, entry.pkg)
+	case !regexp.MustCompile(`(?m)^=== RUN\s+` + regexp.QuoteMeta(entry.test) + `$`).Match(text):
+		return fmt.Errorf("%s: no test is called %s in %s", listFile, entry.test, entry.pkg)
 	case err == nil:
-		return fmt.Errorf("%s: %s %s passes: its line is to be taken out", file, r.pkg, r.test)
+		return fmt.Errorf("%s: %s %s passes: remove its line", listFile, entry.pkg, entry.test)
 	}
-	fmt.Fprintf(out, "known red: %s %s: %s (issue %s)\n", r.pkg, r.test, r.cause, r.issue)
+	fmt.Fprintf(out, "known failure: %s %s: %s (issue %s)\n", entry.pkg, entry.test, entry.cause, entry.issue)
 	return nil
 }
 
-// exactly is the pattern that matches this test, or subtest, alone.
-func exactly(test string) string {
+// exactPattern returns the -run pattern that matches only this test or subtest.
+func exactPattern(test string) string {
 	parts := strings.Split(test, "/")
 	for i, p := range parts {
 		parts[i] = "^" + regexp.QuoteMeta(p) + "$"
@@ -121,6 +124,7 @@
 	return strings.Join(parts, "/")
 }
 
+// goTest runs go test with the given arguments and copies its output to out.
 func goTest(out io.Writer, args ...string) error {
 	cmd := exec.Command("go", append([]string{"test"}, args...)...)
 	cmd.Stdout, cmd.Stderr = out, out
