--- a/internal/lab/charts.go
+++ b/internal/lab/charts.go
@@ -1,4 +1,4 @@
-// This file owns the charts of a folder. It must never draw what is not in the rows and courses.
+// This file draws the charts of a result folder from its rows and time series only.
 
 package lab
 
@@ -18,62 +18,62 @@
 )
 
 const (
-	wide, high = 9 * vg.Inch, 5 * vg.Inch
-	smoothed   = 3 // seconds over which served is drawn, since one second has few commands
+	chartWidth, chartHeight = 9 * vg.Inch, 5 * vg.Inch
+	smoothingSeconds        = 3 // window of the served share, since one second has few commands
 )
 
-// Charts draws the folder's charts as PNG files and names them: latency curves and served over time of a cell (the
-// first), and the figure over each numeric axis with its spread over seeds.
-func DrawCharts(dir string, cell int, figure string) ([]string, error) {
+// DrawCharts draws the charts of a result folder as PNG files and returns their paths: the latency distribution and the served
+// share over time of one grid cell, and a metric over each numeric axis with its confidence interval over the seeds.
+func DrawCharts(dir string, cell int, metric string) ([]string, error) {
 	s, rows, err := LoadResults(dir)
 	if err != nil {
 		return nil, err
 	}
-	if !slices.Contains(Metrics(), figure) {
-		return nil, fmt.Errorf("figure %q is unknown; known are %s", figure, strings.Join(Metrics(), ", "))
+	if !slices.Contains(Metrics(), metric) {
+		return nil, fmt.Errorf("metric %q is unknown; known are %s", metric, strings.Join(Metrics(), ", "))
 	}
 	if cell < 0 || cell >= len(s.Cells) {
-		return nil, fmt.Errorf("cell %d is not one of %d", cell, len(s.Cells))
+		return nil, fmt.Errorf("cell %d does not exist; the grid has %d cells", cell, len(s.Cells))
 	}
-	courses, err := LoadTimeSeries(dir)
+	series, err := LoadTimeSeries(dir)
 	if err != nil {
 		return nil, err
 	}
-	var of []Row
+	var cellRows []Row
 	for _, r := range rows {
 		if slices.Equal(r.Cell, s.Cells[cell].Values) {
-			of = append(of, r)
+			cellRows = append(cellRows, r)
 		}
 	}
-	if len(of) == 0 {
-		return nil, fmt.Errorf("%s: no run of cell %d is done", filepath.Join(dir, rowsFile), cell)
+	if len(cellRows) == 0 {
+		return nil, fmt.Errorf("%s: no run of cell %d is complete", filepath.Join(dir, rowsFile), cell)
 	}
-	var made []string
+	var paths []string
 	save := func(name string, p *plot.Plot) error {
-		place := filepath.Join(dir, name)
-		made = append(made, place)
-		return p.Save(wide, high, place)
+		path := filepath.Join(dir, name)
+		paths = append(paths, path)
+		return p.Save(chartWidth, chartHeight, path)
 	}
-	p, err := latency(s, of, courses)
+	p, err := latencyChart(s, cellRows, series)
 	if err != nil {
-		return made, err
+		return paths, err
 	}
 	if err := save("latency.png", p); err != nil {
-		return made, err
+		return paths, err
 	}
-	if p, err = overTime(s, of, courses, s.Seeds[0]); err != nil {
-		return made, err
+	if p, err = servedChart(s, cellRows, series, s.Seeds[0]); err != nil {
+		return paths, err
 	}
 	if err := save("served.png", p); err != nil {
-		return made, err
+		return paths, err
 	}
 	for i, a := range s.Grid {
-		p, err := overAxis(s, rows, i, figure)
+		p, err := axisChart(s, rows, i, metric)
 		if err != nil {
-			return made, err
+			return paths, err
 		}
 		if p == nil {
-			continue // its values are no numbers
+			continue // its values are not numeric
 		}
 		name := strings.Map(func(r rune) rune {
 			if r == '.' || r == '[' || r == ']' {
@@ -81,18 +81,20 @@
 			}
 			return r
 		}, a.Path)
-		if err := save(figure+"-over-"+strings.Trim(name, "-")+".png", p); err != nil {
-			return made, err
+		if err := save(metric+"-over-"+strings.Trim(name, "-")+".png", p); err != nil {
+			return paths, err
 		}
 	}
-	return made, nil
+	return paths, nil
 }
 
-func style(l *plotter.Line, i int) {
+// styleLine sets the color, dashes and width of the i-th policy's line.
+func styleLine(l *plotter.Line, i int) {
 	l.Color, l.Dashes, l.Width = plotutil.Color(i), plotutil.Dashes(i/7), vg.Points(1.5)
 }
 
-func title(s *ExpandedExperiment, r Row) string {
+// chartTitle names the experiment and the axis values of a row.
+func chartTitle(s *ExpandedExperiment, r Row) string {
 	t := s.Name
 	for i, a := range s.Grid {
 		t += fmt.Sprintf(", %s = %s", a.Path, r.Cell[i])
@@ -100,32 +102,32 @@
 	return t + " (simulated)"
 }
 
-// latency is the share answered within a time, all seeds of a policy together.
-func latency(s *ExpandedExperiment, rows []Row, courses map[int]TimeSeries) (*plot.Plot, error) {
+// latencyChart draws the cumulative distribution of the latency, with all seeds of a policy together.
+func latencyChart(s *ExpandedExperiment, rows []Row, series map[int]TimeSeries) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = title(s, rows[0])
-	p.X.Label.Text, p.Y.Label.Text = "answered within, seconds", "share of what was answered"
+	p.Title.Text = chartTitle(s, rows[0])
+	p.X.Label.Text, p.Y.Label.Text = "answered within, seconds", "share of answered operations"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Add(plotter.NewGrid())
 	least, most := 1.0, 0.002
 	for i, policy := range s.Policies {
-		var all []float64
+		var latencies []float64
 		for _, r := range rows {
 			if r.Policy == policy {
-				all = append(all, courses[r.Run].Latency...)
+				latencies = append(latencies, series[r.Run].Latency...)
 			}
 		}
-		all = slices.DeleteFunc(all, func(x float64) bool { return x <= 0 })
-		if len(all) == 0 {
+		latencies = slices.DeleteFunc(latencies, func(x float64) bool { return x <= 0 })
+		if len(latencies) == 0 {
 			continue
 		}
-		slices.Sort(all)
-		var xy plotter.XYs
-		for k, x := range all {
-			xy = append(xy, plotter.XY{X: x, Y: (float64(k) + 0.5) / float64(len(all))})
+		slices.Sort(latencies)
+		var points plotter.XYs
+		for k, x := range latencies {
+			points = append(points, plotter.XY{X: x, Y: (float64(k) + 0.5) / float64(len(latencies))})
 		}
-		least, most = min(least, all[0]), max(most, all[len(all)-1])
-		if err := course(p, xy, policy, i); err != nil {
+		least, most = min(least, latencies[0]), max(most, latencies[len(latencies)-1])
+		if err := addLine(p, points, policy, i); err != nil {
 			return nil, err
 		}
 	}
@@ -133,36 +135,36 @@
 	return p, nil
 }
 
-// course adds one policy's line to a chart and its legend.
-func course(p *plot.Plot, xy plotter.XYs, policy string, i int) error {
-	l, err := plotter.NewLine(xy)
+// addLine adds one policy's line to a chart and its legend.
+func addLine(p *plot.Plot, points plotter.XYs, policy string, i int) error {
+	l, err := plotter.NewLine(points)
 	if err != nil {
 		return err
 	}
-	style(l, i)
+	styleLine(l, i)
 	p.Add(l)
 	p.Legend.Add(policy, l)
 	return nil
 }
 
-// overTime is the part served of what was asked, second by second, with the faults as bars below.
-func overTime(s *ExpandedExperiment, rows []Row, courses map[int]TimeSeries, seed uint64) (*plot.Plot, error) {
+// servedChart draws the served share of the offered utility by second for one seed, with the faults as bars below.
+func servedChart(s *ExpandedExperiment, rows []Row, allSeries map[int]TimeSeries, seed uint64) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s, seed %d", title(s, rows[0]), seed)
-	p.X.Label.Text, p.Y.Label.Text = "seconds of the day", fmt.Sprintf("served of worth asked, %d s", smoothed)
+	p.Title.Text = fmt.Sprintf("%s, seed %d", chartTitle(s, rows[0]), seed)
+	p.X.Label.Text, p.Y.Label.Text = "seconds of the run", fmt.Sprintf("share of offered utility served, %d s", smoothingSeconds)
 	p.Add(plotter.NewGrid())
 	p.Y.Min, p.Y.Max = -0.05, 1.05
 	p.Legend.YOffs, p.Legend.Left = vg.Points(4), true
-	n, drawn := 0, false
+	lines, faultsDrawn := 0, false
 	for i, policy := range s.Policies {
 		for _, r := range rows {
-			c, ok := courses[r.Run]
+			series, ok := allSeries[r.Run]
 			if r.Policy != policy || r.Seed != seed || !ok {
 				continue
 			}
-			if !drawn {
-				drawn = true
-				for k, f := range c.Plan {
+			if !faultsDrawn {
+				faultsDrawn = true
+				for k, f := range series.Plan {
 					y := -0.04 * float64(k+1)
 					bar, err := plotter.NewLine(plotter.XYs{{X: f.From, Y: y}, {X: f.From + f.For, Y: y}})
 					if err != nil {
@@ -180,80 +182,82 @@
 					p.Y.Min = min(p.Y.Min, y-0.04)
 				}
 			}
-			var xy plotter.XYs
-			for t := range c.Asked {
+			var points plotter.XYs
+			for t := range series.Asked {
 				asked, served := 0.0, 0.0
-				for k := max(0, t-smoothed+1); k <= t; k++ {
-					asked, served = asked+c.Asked[k], served+c.Served[k]
+				for k := max(0, t-smoothingSeconds+1); k <= t; k++ {
+					asked, served = asked+series.Asked[k], served+series.Served[k]
 				}
-				if asked > 0 && t < len(c.Asked)-1 {
-					xy = append(xy, plotter.XY{X: float64(t) + 0.5, Y: served / asked})
+				if asked > 0 && t < len(series.Asked)-1 {
+					points = append(points, plotter.XY{X: float64(t) + 0.5, Y: served / asked})
 				}
 			}
-			if len(xy) == 0 {
+			if len(points) == 0 {
 				continue
 			}
-			if err := course(p, xy, policy, i); err != nil {
+			if err := addLine(p, points, policy, i); err != nil {
 				return nil, err
 			}
-			n++
+			lines++
 		}
 	}
-	if n == 0 {
-		return nil, fmt.Errorf("no run of seed %d is done", seed)
+	if lines == 0 {
+		return nil, fmt.Errorf("no run of seed %d is complete", seed)
 	}
 	return p, nil
 }
 
-type points struct {
+// errorPoints are points with vertical error bars.
+type errorPoints struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// overAxis is a figure over one axis, the others at all their values; bars are the interval of the mean. nil if the
-// axis has no numbers.
-func overAxis(s *ExpandedExperiment, rows []Row, axis int, figure string) (*plot.Plot, error) {
+// axisChart draws the mean of a metric over one axis, across all values of the other axes; bars are the confidence interval of
+// the mean. It returns nil if the values of the axis are not numeric.
+func axisChart(s *ExpandedExperiment, rows []Row, axis int, metric string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name + " (simulated)"
-	p.X.Label.Text, p.Y.Label.Text = s.Grid[axis].Path, figure
+	p.X.Label.Text, p.Y.Label.Text = s.Grid[axis].Path, metric
 	p.Legend.Left = true
 	p.Add(plotter.NewGrid())
 	for i, policy := range s.Policies {
-		of := map[float64][]float64{}
-		var at []float64
+		valuesByX := map[float64][]float64{}
+		var xs []float64
 		for _, r := range rows {
 			x, err := strconv.ParseFloat(r.Cell[axis], 64)
 			if err != nil {
 				return nil, nil
 			}
 			if r.Policy == policy {
-				if _, ok := of[x]; !ok {
-					at = append(at, x)
+				if _, ok := valuesByX[x]; !ok {
+					xs = append(xs, x)
 				}
-				of[x] = append(of[x], r.Values[figure])
+				valuesByX[x] = append(valuesByX[x], r.Values[metric])
 			}
 		}
-		slices.Sort(at)
-		var pts points
-		for _, x := range at {
-			mean, low, top := interval(of[x])
-			pts.XYs, pts.YErrors = append(pts.XYs, plotter.XY{X: x, Y: mean}), append(pts.YErrors, struct{ Low, High float64 }{})
-			if e := &pts.YErrors[len(pts.YErrors)-1]; len(of[x]) > 1 {
-				e.Low, e.High = mean-low, top-mean
+		slices.Sort(xs)
+		var points errorPoints
+		for _, x := range xs {
+			mean, low, high := confidenceInterval(valuesByX[x])
+			points.XYs, points.YErrors = append(points.XYs, plotter.XY{X: x, Y: mean}),
+				append(points.YErrors, struct{ Low, High float64 }{})
+			if e := &points.YErrors[len(points.YErrors)-1]; len(valuesByX[x]) > 1 {
+				e.Low, e.High = mean-low, high-mean
 			}
 		}
-		if len(at) == 0 {
+		if len(xs) == 0 {
 			continue
 		}
-		l, dots, err := plotter.NewLinePoints(pts.XYs)
+		l, dots, err := plotter.NewLinePoints(points.XYs)
 		if err != nil {
 			return nil, err
 		}
-		bars, err := plotter.NewYErrorBars(pts)
+		bars, err := plotter.NewYErrorBars(points)
 		if err != nil {
 			return nil, err
 		}
-		style(l, i)
+		styleLine(l, i)
 		dots.Color, dots.Shape, bars.Color = plotutil.Color(i), draw.CircleGlyph{}, plotutil.Color(i)
 		p.Add(l, dots, bars)
 		p.Legend.Add(policy, l)
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -1,5 +1,5 @@
-// This file owns what a table says of policies: means with their spread, and paired differences with a confidence
-// interval. It must never call a difference one that chance may have made.
+// This file summarizes and compares policies: means with their spread, and paired differences with a confidence interval. A
+// difference that may be due to chance is not reported as one.
 
 package lab
 
@@ -15,20 +15,21 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-const confidence = 0.95
+const confidenceLevel = 0.95
 
-// Difference is that of one figure between two sides, on days that are the same for both.
+// Difference is the difference of a metric between two sets of rows, paired by identical runs.
 type Difference struct {
 	Cell      []string
 	Pairs     int
 	A, B      float64 // means
 	Mean      float64 // of A - B
-	Low, High float64 // ends of its confidence interval
+	Low, High float64 // bounds of the confidence interval of Mean
 }
 
-// Shown tells whether the interval leaves out 0.
+// Significant reports whether the confidence interval excludes 0.
 func (d Difference) Significant() bool { return d.Pairs > 1 && (d.Low > 0 || d.High < 0) }
 
+// String formats the means, the difference with its confidence interval, and a verdict.
 func (d Difference) String() string {
 	verdict := "no difference shown"
 	if d.Significant() {
@@ -38,81 +39,85 @@
 		}
 	}
 	return fmt.Sprintf("%d pairs, A %.4f, B %.4f, A - B %+.4f [%+.4f, %+.4f] at %.0f%%: %s",
-		d.Pairs, d.A, d.B, d.Mean, d.Low, d.High, 100*confidence, verdict)
+		d.Pairs, d.A, d.B, d.Mean, d.Low, d.High, 100*confidenceLevel, verdict)
 }
 
-// Side is one policy's rows in one table.
+// PolicyRows selects the rows of one policy in one table.
 type PolicyRows struct {
 	Rows   []Row
 	Policy string
 }
 
-// Compare pairs two sides by cell and seed, cell by cell and then all together.
-func Compare(a, b PolicyRows, figure string) ([]Difference, error) {
-	if !slices.Contains(Metrics(), figure) {
-		return nil, fmt.Errorf("figure %q is unknown; known are %s", figure, strings.Join(Metrics(), ", "))
+// Compare pairs the rows of a and b by cell and seed. It returns the difference of the metric for each cell if there are
+// several, and then for all cells together.
+func Compare(a, b PolicyRows, metric string) ([]Difference, error) {
+	if !slices.Contains(Metrics(), metric) {
+		return nil, fmt.Errorf("metric %q is unknown; known are %s", metric, strings.Join(Metrics(), ", "))
 	}
 	key := func(r Row) string { return fmt.Sprint(strings.Join(r.Cell, "\x00"), "\x00", r.Seed) }
-	of := map[string]Row{}
+	matching := map[string]Row{}
 	for _, r := range b.Rows {
 		if r.Policy == b.Policy {
-			of[key(r)] = r
+			matching[key(r)] = r
 		}
 	}
 	var order []string
 	cells := map[string][][2]float64{}
 	names := map[string][]string{}
-	var all [][2]float64
+	var values [][2]float64
 	for _, r := range a.Rows {
-		other, ok := of[key(r)]
+		other, ok := matching[key(r)]
 		if r.Policy != a.Policy || !ok {
 			continue
 		}
 		if r.Text["plan"] != other.Text["plan"] || r.Values["operations"] != other.Values["operations"] {
-			return nil, fmt.Errorf("run %d and run %d are not the same day: plan or operations differ", r.Run, other.Run)
+			return nil, fmt.Errorf("run %d and run %d are not comparable: their fault plan or number of operations differs",
+				r.Run, other.Run)
 		}
 		cell := strings.Join(r.Cell, ", ")
 		if _, ok := cells[cell]; !ok {
 			order, names[cell] = append(order, cell), r.Cell
 		}
-		p := [2]float64{r.Values[figure], other.Values[figure]}
-		cells[cell], all = append(cells[cell], p), append(all, p)
+		p := [2]float64{r.Values[metric], other.Values[metric]}
+		cells[cell], values = append(cells[cell], p), append(values, p)
 	}
-	if len(all) == 0 {
-		return nil, fmt.Errorf("no day is in both: %s and %s have no cell and seed in common", a.Policy, b.Policy)
+	if len(values) == 0 {
+		return nil, fmt.Errorf("nothing to compare: %s and %s have no cell and seed in common", a.Policy, b.Policy)
 	}
 	var out []Difference
 	if len(order) > 1 {
 		for _, c := range order {
-			out = append(out, differ(names[c], cells[c]))
+			out = append(out, difference(names[c], cells[c]))
 		}
 	}
-	return append(out, differ(nil, all)), nil
+	return append(out, difference(nil, values)), nil
 }
 
-func differ(cell []string, pairs [][2]float64) Difference {
+// difference returns the paired difference of one cell.
+func difference(cell []string, pairs [][2]float64) Difference {
 	var a, b, diff []float64
 	for _, p := range pairs {
 		a, b, diff = append(a, p[0]), append(b, p[1]), append(diff, p[0]-p[1])
 	}
 	d := Difference{Cell: cell, Pairs: len(pairs), A: stat.Mean(a, nil), B: stat.Mean(b, nil)}
-	d.Mean, d.Low, d.High = interval(diff)
+	d.Mean, d.Low, d.High = confidenceInterval(diff)
 	return d
 }
 
-// interval is the mean with its confidence interval by Student's t; of one value nothing is known.
-func interval(all []float64) (mean, low, top float64) {
-	mean = stat.Mean(all, nil)
-	if len(all) < 2 {
+// confidenceInterval returns the mean with its confidence interval by Student's t distribution. The interval of a single value
+// is unbounded.
+func confidenceInterval(values []float64) (mean, low, high float64) {
+	mean = stat.Mean(values, nil)
+	if len(values) < 2 {
 		return mean, math.Inf(-1), math.Inf(1)
 	}
-	_, dev := stat.MeanStdDev(all, nil)
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(all) - 1)}.Quantile(0.5 + confidence/2)
-	half := t * dev / math.Sqrt(float64(len(all)))
+	_, deviation := stat.MeanStdDev(values, nil)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(0.5 + confidenceLevel/2)
+	half := t * deviation / math.Sqrt(float64(len(values)))
 	return mean, mean - half, mean + half
 }
 
-// Summary writes the folder's table in Markdown and gives it.
+// WriteSummary writes the summary table of a result folder as Markdown and returns it.
 func WriteSummary(dir string) (string, error) {
 	s, rows, err := LoadResults(dir)
 	if err != nil {
@@ -120,7 +125,7 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\nSimulated. Means over seeds; G with its %.0f%% interval. %d of %d runs are in.\n\n", s.Name,
-		100*confidence, len(rows), len(s.Runs()))
+		100*confidenceLevel, len(rows), len(s.Runs()))
 	b.WriteString("|")
 	for _, a := range s.Grid {
 		fmt.Fprintf(&b, " %s |", a.Path)
@@ -129,41 +134,41 @@
 	b.WriteString(strings.Repeat(" --- |", len(s.Grid)+11) + "\n")
 	for _, cell := range s.Cells {
 		for _, p := range s.Policies {
-			var of []Row
+			var matching []Row
 			for _, r := range rows {
 				if r.Policy == p && slices.Equal(r.Cell, cell.Values) {
-					of = append(of, r)
+					matching = append(matching, r)
 				}
 			}
-			if len(of) == 0 {
+			if len(matching) == 0 {
 				continue
 			}
 			mean := func(name string) float64 {
 				sum := 0.0
-				for _, r := range of {
+				for _, r := range matching {
 					sum += r.Values[name]
 				}
-				return sum / float64(len(of))
+				return sum / float64(len(matching))
 			}
 			var gs []float64
 			broken := 0.0
-			for _, r := range of {
+			for _, r := range matching {
 				gs = append(gs, r.Values["g"])
 				broken += r.Values["rule1"] + r.Values["rule2"] + r.Values["rule3"] + r.Values["rule4"]
 			}
-			g, low, top := interval(gs)
+			g, low, high := confidenceInterval(gs)
 			spread := "one seed"
-			if len(of) > 1 {
-				spread = fmt.Sprintf("%.3f to %.3f", low, top)
+			if len(matching) > 1 {
+				spread = fmt.Sprintf("%.3f to %.3f", low, high)
 			}
 			b.WriteString("|")
 			for _, v := range cell.Values {
 				fmt.Fprintf(&b, " %s |", v)
 			}
-			lost, _, _ := strings.Cut(of[0].Text["losses"], ";")
-			fmt.Fprintf(&b, " %s | %d | %.3f | %s | %.3f | %.3f | %.0f ms | %.0f ms | %.1f%% | %.0f | %s |\n", p, len(of), g, spread,
+			lost, _, _ := strings.Cut(matching[0].Text["losses"], ";")
+			fmt.Fprintf(&b, " %s | %d | %.3f | %s | %.3f | %.3f | %.0f ms | %.0f ms | %.1f%% | %.0f | %s |\n", p, len(matching), g, spread,
 				mean("worst10"), mean("served"), 1000*mean("p50"), 1000*mean("p99"), 100*mean("further")/max(1, mean("relays")), broken, lost)
 		}
 	}
-	return b.String(), os.WriteFile(filepath.Join(dir, tableFile), []byte(b.String()), 0o644)
+	return b.String(), os.WriteFile(filepath.Join(dir, summaryFile), []byte(b.String()), 0o644)
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -1,8 +1,8 @@
-// Package lab plays experiments on the emulator: a file names a world, policies, a grid of parameters and seeds; each
-// combination is one run and one row of a table.
+// Package lab runs experiments on the emulator. An experiment file names a world, policies, a grid of parameters and seeds;
+// each combination is one run and one row of a result table.
 //
-// It owns the experiment's file, the runs side by side, the folder of results, what is compared and charted from it,
-// and the search for days on which a policy does badly. It must never change a figure after a run, nor leave one out.
+// The package parses experiment files, executes runs in parallel, maintains the result folder, compares and charts results,
+// and searches for runs in which a policy does badly. Every run is recorded, and no value is changed after its run.
 package lab
 
 import (
@@ -20,24 +20,25 @@
 	"sandpass/internal/tomlconfig"
 )
 
-// Experiment is what a file asks for.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Name         string         `toml:"name"`
 	Policies     []string       `toml:"policies"`
 	Seeds        []uint64       `toml:"seeds"`
-	RandomFaults int            `toml:"drawn"` // faults drawn anew for each seed, beside those of the plan
+	RandomFaults int            `toml:"drawn"` // number of faults drawn for each seed in addition to the plan
 	World        emulator.World `toml:"world"`
 	Plan         faults.Plan    `toml:"plan"`
 	Grid         []Axis         `toml:"grid"`
 }
 
-// Axis is one parameter of the grid, named by its path in the file: world.load, world.tiers[0].cores, plan[1].hard, drawn.
+// Axis is one parameter of the grid with its values. Path is the parameter's path in the file, such as world.load,
+// world.tiers[0].cores, plan[1].hard or drawn.
 type Axis struct {
 	Path   string `toml:"path"`
 	Values []any  `toml:"values"`
 }
 
-// Cell is one combination of the grid.
+// Cell is one combination of grid values, with the world and plan that result from it.
 type Cell struct {
 	Values       []string // one for each axis
 	World        emulator.World
@@ -45,14 +46,14 @@
 	RandomFaults int
 }
 
-// Sheet is an experiment that was read and checked, with its cells.
+// ExpandedExperiment is a validated experiment with all cells of its grid.
 type ExpandedExperiment struct {
 	Experiment
-	Text  []byte // as it stands in the file, with the axes added on the command line
+	Text  []byte // TOML text of the file, with the axes added on the command line
 	Cells []Cell
 }
 
-// Read reads an experiment's file; over are further axes as "path=value,value".
+// ReadExperiment reads an experiment file; over holds further axes in the form "path=value,value".
 func ReadExperiment(path string, over []string) (*ExpandedExperiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return s, nil
 }
 
-// Parse reads an experiment's text. An error names the line and column, or the key.
+// ParseExperiment parses and validates the text of an experiment file. An error names the line and column, or the key.
 func ParseExperiment(text []byte, over []string) (*ExpandedExperiment, error) {
 	if err := tomlconfig.Decode(text, &Experiment{}); err != nil {
 		return nil, err
@@ -74,7 +75,7 @@
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, tomlconfig.WithPosition(err)
 	}
-	axes, err := axesOf(tree, over)
+	axes, err := collectAxes(tree, over)
 	if err != nil {
 		return nil, err
 	}
@@ -88,13 +89,13 @@
 			return nil, err
 		}
 	}
-	base, err := defaults()
+	base, err := defaultTree()
 	if err != nil {
 		return nil, err
 	}
-	full := merge(base, tree, "").(map[string]any)
+	full := mergeDefaults(base, tree, "").(map[string]any)
 	s := &ExpandedExperiment{Text: text}
-	if s.Experiment, err = build(full); err != nil {
+	if s.Experiment, err = decodeExperiment(full); err != nil {
 		return nil, err
 	}
 	for i, p := range s.Policies {
@@ -105,13 +106,14 @@
 	if len(s.Policies) == 0 || len(s.Seeds) == 0 {
 		return nil, errors.New("policies and seeds must not be empty")
 	}
-	if err := s.fill(full, axes, nil); err != nil {
+	if err := s.addCells(full, axes, nil); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-func axesOf(tree map[string]any, over []string) ([]Axis, error) {
+// collectAxes returns the axes of the file, followed by those of the command line.
+func collectAxes(tree map[string]any, over []string) ([]Axis, error) {
 	var axes []Axis
 	grid, _ := tree["grid"].([]any)
 	for i, g := range grid {
@@ -123,21 +125,22 @@
 		}
 		axes = append(axes, Axis{path, values})
 	}
-	for _, o := range over {
-		path, list, ok := strings.Cut(o, "=")
+	for _, given := range over {
+		path, list, ok := strings.Cut(given, "=")
 		if !ok || path == "" || list == "" {
-			return nil, fmt.Errorf("--over %q is not path=value,value", o)
+			return nil, fmt.Errorf("--over %q is not path=value,value", given)
 		}
 		a := Axis{Path: path}
 		for _, v := range strings.Split(list, ",") {
-			a.Values = append(a.Values, literal(v))
+			a.Values = append(a.Values, parseLiteral(v))
 		}
 		axes = append(axes, a)
 	}
 	return axes, nil
 }
 
-func literal(v string) any {
+// parseLiteral parses a command line value as an integer, float or boolean; anything else is a string.
+func parseLiteral(v string) any {
 	if n, err := strconv.ParseInt(v, 10, 64); err == nil {
 		return n
 	}
@@ -150,8 +153,8 @@
 	return v
 }
 
-// defaults is the tree of what a file does not say.
-func defaults() (map[string]any, error) {
+// defaultTree returns the values for keys that a file omits, as a TOML tree.
+func defaultTree() (map[string]any, error) {
 	text, err := toml.Marshal(Experiment{Name: "unnamed", Policies: []string{"module", "two", "top"}, Seeds: []uint64{1, 2, 3},
 		World: emulator.Default(), Plan: faults.Plan{{Zone: -1, To: -1, Share: 1}}})
 	if err != nil {
@@ -161,51 +164,53 @@
 	return tree, toml.Unmarshal(text, &tree)
 }
 
-// merge lays what is said over what holds by default. Of a list of tables each is laid over its like, or the last.
-func merge(under, over any, path string) any {
-	switch o := over.(type) {
+// mergeDefaults merges the given values over the defaults. In a list of tables each table is merged over the default table at
+// its index, or over the last one.
+func mergeDefaults(base, over any, path string) any {
+	switch given := over.(type) {
 	case map[string]any:
-		u, ok := under.(map[string]any)
+		defaults, ok := base.(map[string]any)
 		if !ok {
 			return over
 		}
-		all := map[string]any{}
-		for k, v := range u {
-			all[k] = v
+		merged := map[string]any{}
+		for k, v := range defaults {
+			merged[k] = v
 		}
-		for k, v := range o {
-			if x, ok := all[k]; ok {
-				all[k] = merge(x, v, path+"."+k)
+		for k, v := range given {
+			if x, ok := merged[k]; ok {
+				merged[k] = mergeDefaults(x, v, path+"."+k)
 			} else {
-				all[k] = v
+				merged[k] = v
 			}
 		}
-		if _, said := o["plan"]; !said && path == "" {
-			delete(all, "plan") // the one by default is only the form of a fault
+		if _, hasPlan := given["plan"]; !hasPlan && path == "" {
+			delete(merged, "plan") // the default plan only holds the default values of a fault
 		}
-		return all
+		return merged
 	case []any:
-		u, ok := under.([]any)
-		if !ok || len(u) == 0 {
+		defaults, ok := base.([]any)
+		if !ok || len(defaults) == 0 {
 			return over
 		}
-		var all []any
-		for i, v := range o {
+		var merged []any
+		for i, v := range given {
 			if _, table := v.(map[string]any); table {
-				v = merge(u[min(i, len(u)-1)], v, path+"[]")
+				v = mergeDefaults(defaults[min(i, len(defaults)-1)], v, path+"[]")
 			}
-			all = append(all, v)
+			merged = append(merged, v)
 		}
-		return all
-	case int64: // a whole number where a figure with decimals stands
-		if _, ok := under.(float64); ok {
-			return float64(o)
+		return merged
+	case int64: // an integer given for a float value
+		if _, ok := base.(float64); ok {
+			return float64(given)
 		}
 	}
 	return over
 }
 
-func build(tree map[string]any) (Experiment, error) {
+// decodeExperiment decodes a merged tree; unknown keys are an error.
+func decodeExperiment(tree map[string]any) (Experiment, error) {
 	var x Experiment
 	text, err := toml.Marshal(tree)
 	if err != nil {
@@ -216,7 +221,7 @@
 	err = d.Decode(&x)
 	var strict *toml.StrictMissingError
 	var decode *toml.DecodeError
-	if errors.As(err, &strict) && len(strict.Errors) > 0 { // the place is not one in the file
+	if errors.As(err, &strict) && len(strict.Errors) > 0 { // the position does not refer to the file
 		return x, fmt.Errorf("key %s is unknown", strings.Join(strict.Errors[0].Key(), "."))
 	}
 	if errors.As(err, &decode) {
@@ -225,27 +230,27 @@
 	return x, err
 }
 
-// fill makes the cells, the last axis turning fastest.
-func (s *ExpandedExperiment) fill(tree map[string]any, axes []Axis, at []string) error {
-	if len(at) < len(axes) {
-		a := axes[len(at)]
+// addCells adds the cells of the grid; the last axis varies fastest.
+func (s *ExpandedExperiment) addCells(tree map[string]any, axes []Axis, values []string) error {
+	if len(values) < len(axes) {
+		a := axes[len(values)]
 		for i, v := range a.Values {
-			t, err := put(tree, a.Path, v)
+			t, err := withValue(tree, a.Path, v)
 			if err != nil {
 				return fmt.Errorf("grid: %s: %w", a.Path, err)
 			}
-			if err := s.fill(t.(map[string]any), axes, append(at[:len(at):len(at)], fmt.Sprint(a.Values[i]))); err != nil {
+			if err := s.addCells(t.(map[string]any), axes, append(values[:len(values):len(values)], fmt.Sprint(a.Values[i]))); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	x, err := build(tree)
+	x, err := decodeExperiment(tree)
 	if err != nil {
 		return err
 	}
 	where := ""
-	for i, v := range at {
+	for i, v := range values {
 		where += fmt.Sprintf("%s = %s: ", axes[i].Path, v)
 	}
 	if err := x.World.Check(); err != nil {
@@ -258,12 +263,12 @@
 		return fmt.Errorf("%sdrawn = %d is not between 0 and 100", where, x.RandomFaults)
 	}
 	s.Grid = axes
-	s.Cells = append(s.Cells, Cell{at, x.World, x.Plan, x.RandomFaults})
+	s.Cells = append(s.Cells, Cell{values, x.World, x.Plan, x.RandomFaults})
 	return nil
 }
 
-// put gives a tree with one value in it changed; the tree itself stays.
-func put(tree any, path string, v any) (any, error) {
+// withValue returns a copy of the tree with the value at path replaced. The tree itself is not changed.
+func withValue(tree any, path string, v any) (any, error) {
 	if path == "" {
 		if _, float := tree.(float64); float {
 			if n, ok := v.(int64); ok {
@@ -276,7 +281,7 @@
 	name, index, listed := strings.Cut(head, "[")
 	t, ok := tree.(map[string]any)
 	if !ok {
-		return nil, fmt.Errorf("nothing has a %q", name)
+		return nil, fmt.Errorf("the parent of %q is not a table", name)
 	}
 	old, ok := t[name]
 	if !ok {
@@ -286,9 +291,9 @@
 		list, ok := old.([]any)
 		n, err := strconv.Atoi(strings.TrimSuffix(index, "]"))
 		if err != nil || !ok || n < 0 || n >= len(list) {
-			return nil, fmt.Errorf("%s has no place %s", name, strings.TrimSuffix(index, "]"))
+			return nil, fmt.Errorf("%s has no index %s", name, strings.TrimSuffix(index, "]"))
 		}
-		inner, err := put(list[n], rest, v)
+		inner, err := withValue(list[n], rest, v)
 		if err != nil {
 			return nil, err
 		}
@@ -296,21 +301,21 @@
 		list[n], v = inner, list
 		v = list
 	} else {
-		inner, err := put(old, rest, v)
+		inner, err := withValue(old, rest, v)
 		if err != nil {
 			return nil, err
 		}
 		v = inner
 	}
-	all := map[string]any{}
+	changed := map[string]any{}
 	for k, x := range t {
-		all[k] = x
+		changed[k] = x
 	}
-	all[name] = v
-	return all, nil
+	changed[name] = v
+	return changed, nil
 }
 
-// PlanFor is the plan of a cell at a seed: what is written, and what is drawn.
+// PlanFor returns the faults of a cell for a seed: those of its plan, followed by the randomly drawn ones.
 func (c *Cell) PlanFor(seed uint64) faults.Plan {
 	return append(append(faults.Plan(nil), c.Plan...), faults.Random(seed, c.RandomFaults, c.World.Bounds())...)
 }
--- a/internal/lab/runs.go
+++ b/internal/lab/runs.go
@@ -1,4 +1,4 @@
-// This file owns the runs side by side: which are due, and that their rows come in one order on any number of cores.
+// This file executes runs in parallel and defines the columns of a row. Results come in the same order on any number of cores.
 
 package lab
 
@@ -16,7 +16,7 @@
 	"sandpass/internal/faults"
 )
 
-// Run is one day of an experiment.
+// Run identifies one run of an experiment: a grid cell, a policy and a seed.
 type Run struct {
 	Index  int
 	Cell   int
@@ -24,7 +24,7 @@
 	Seed   uint64
 }
 
-// Day is what came of it.
+// RunResult is the result of one run; Events counts the emulator's events.
 type RunResult struct {
 	Run
 	Plan    faults.Plan
@@ -32,7 +32,7 @@
 	Events  uint64
 }
 
-// Runs are all days of an experiment, in the order of their rows.
+// Runs returns all runs of an experiment in the order of their rows.
 func (s *ExpandedExperiment) Runs() []Run {
 	var all []Run
 	for c := range s.Cells {
@@ -45,7 +45,7 @@
 	return all
 }
 
-// Play plays one.
+// Run executes one run in the emulator.
 func (s *ExpandedExperiment) Run(r Run) (RunResult, error) {
 	m, err := baseline.Factory(r.Policy)
 	if err != nil {
@@ -57,18 +57,18 @@
 	return RunResult{r, plan, a, events}, nil
 }
 
-// workers is how many runs go side by side on so many cores, 0 for all there are.
-func workers(cores int) int {
+// workerCount returns how many runs to execute in parallel; 0 stands for all cores.
+func workerCount(cores int) int {
 	if cores <= 0 {
 		return runtime.GOMAXPROCS(0)
 	}
 	return cores
 }
 
-// Each plays the runs side by side on so many cores (0: all) and hands each day over in the order of the runs, one at a
-// time. When the context ends, what is being played is finished and handed over, and ctx.Err is given.
+// RunAll executes runs in parallel on the given number of cores (0: all) and passes each result to done in the order of the
+// runs, one at a time. When the context ends, runs in progress are finished and passed on, and ctx.Err is returned.
 func (s *ExpandedExperiment) RunAll(ctx context.Context, runs []Run, cores int, done func(RunResult) error) error {
-	cores = workers(cores)
+	cores = workerCount(cores)
 	var (
 		mu      sync.Mutex
 		next    int
@@ -121,42 +121,46 @@
 	return ctx.Err()
 }
 
-// figures are the columns of a row that can be compared and charted.
-var figures = []struct {
+// metrics are the numeric columns of a row, which can be compared and charted.
+var metrics = []struct {
 	name  string
 	about string
 	of    func(d *RunResult) float64
 }{
-	{"g", "worth served less prices, over worth asked; 0 where a rule broke", func(d *RunResult) float64 { return d.Account.Score(true) }},
-	{"served", "worth served over worth asked", func(d *RunResult) float64 { return d.Account.ServedUtility / max(d.Account.OfferedUtility, 1e-9) }},
-	{"worst10", "the same in the worst ten seconds", func(d *RunResult) float64 { return d.Account.WorstTenSeconds() }},
-	{"worst_customer", "the same of the customer that fared worst", func(d *RunResult) float64 { return d.Account.WorstCustomer() }},
-	{"prices", "prices over worth asked", func(d *RunResult) float64 { return d.Account.Costs / max(d.Account.OfferedUtility, 1e-9) }},
-	{"operations", "asked for", func(d *RunResult) float64 { return float64(d.Account.Operations) }},
-	{"answered", "of them", func(d *RunResult) float64 { return float64(d.Account.Answered) }},
-	{"relays", "sent", func(d *RunResult) float64 { return float64(d.Account.Relays) }},
+	{"g", "utility served minus costs, over utility offered; 0 if a rule was broken",
+		func(d *RunResult) float64 { return d.Account.Score(true) }},
+	{"served", "utility served over utility offered",
+		func(d *RunResult) float64 { return d.Account.ServedUtility / max(d.Account.OfferedUtility, 1e-9) }},
+	{"worst10", "served in the worst ten seconds", func(d *RunResult) float64 { return d.Account.WorstTenSeconds() }},
+	{"worst_customer", "served for the customer with the lowest share",
+		func(d *RunResult) float64 { return d.Account.WorstCustomer() }},
+	{"prices", "costs over utility offered",
+		func(d *RunResult) float64 { return d.Account.Costs / max(d.Account.OfferedUtility, 1e-9) }},
+	{"operations", "operations requested", func(d *RunResult) float64 { return float64(d.Account.Operations) }},
+	{"answered", "operations answered", func(d *RunResult) float64 { return float64(d.Account.Answered) }},
+	{"relays", "relays sent", func(d *RunResult) float64 { return float64(d.Account.Relays) }},
 	{"further", "relays beyond the first of a command", func(d *RunResult) float64 { return float64(d.Account.FurtherRelays) }},
-	{"messages", "between siblings", func(d *RunResult) float64 { return float64(d.Account.Messages) }},
-	{"p50", "seconds, answered", func(d *RunResult) float64 { return d.Account.Quantile(0.5) }},
-	{"p99", "seconds, answered", func(d *RunResult) float64 { return d.Account.Quantile(0.99) }},
-	{"p999", "seconds, answered", func(d *RunResult) float64 { return d.Account.Quantile(0.999) }},
-	{"rule1", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[1]) }},
-	{"rule2", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[2]) }},
-	{"rule3", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[3]) }},
-	{"rule4", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[4]) }},
-	{"events", "of the world", func(d *RunResult) float64 { return float64(d.Events) }},
+	{"messages", "messages between peers", func(d *RunResult) float64 { return float64(d.Account.Messages) }},
+	{"p50", "latency of answered operations in seconds", func(d *RunResult) float64 { return d.Account.Quantile(0.5) }},
+	{"p99", "latency of answered operations in seconds", func(d *RunResult) float64 { return d.Account.Quantile(0.99) }},
+	{"p999", "latency of answered operations in seconds", func(d *RunResult) float64 { return d.Account.Quantile(0.999) }},
+	{"rule1", "violations of rule 1", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[1]) }},
+	{"rule2", "violations of rule 2", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[2]) }},
+	{"rule3", "violations of rule 3", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[3]) }},
+	{"rule4", "violations of rule 4", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[4]) }},
+	{"events", "events of the emulator", func(d *RunResult) float64 { return float64(d.Events) }},
 }
 
-// Figures names what can be compared and charted.
+// Metrics returns the names of the metrics.
 func Metrics() []string {
 	var all []string
-	for _, f := range figures {
+	for _, f := range metrics {
 		all = append(all, f.name)
 	}
 	return all
 }
 
-// header is the first line of the table.
+// header returns the column names of the table.
 func (s *ExpandedExperiment) header() []string {
 	all := []string{"run"}
 	for _, a := range s.Grid {
@@ -167,17 +171,18 @@
 	return append(all, "losses", "first_broken", "plan")
 }
 
-// row is a day's line. Losses are the three largest, as a part of the worth asked for.
+// row returns the cells of a run's row. It has the three largest losses, as a share of the offered utility.
 func (s *ExpandedExperiment) row(d *RunResult) []string {
 	all := []string{strconv.Itoa(d.Index)}
 	all = append(all, s.Cells[d.Cell].Values...)
 	all = append(all, d.Policy, strconv.FormatUint(d.Seed, 10))
-	for _, f := range figures {
+	for _, f := range metrics {
 		all = append(all, strconv.FormatFloat(f.of(d), 'g', 6, 64))
 	}
 	var losses []string
 	for _, l := range d.Account.Losses[:min(3, len(d.Account.Losses))] {
-		losses = append(losses, fmt.Sprintf("%s at %s of tier %d %.4f", l.Cause, l.Place, l.Tier, l.Utility/max(d.Account.OfferedUtility, 1e-9)))
+		losses = append(losses, fmt.Sprintf("%s at %s of tier %d %.4f", l.Cause, l.Place, l.Tier,
+			l.Utility/max(d.Account.OfferedUtility, 1e-9)))
 	}
 	broken := ""
 	if len(d.Account.Violations) > 0 {
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -1,5 +1,5 @@
-// This file owns the search for days on which a policy does badly, and how such a day is cut down to what matters. It
-// must never decide by a figure that another core count would change.
+// This file searches for runs in which a policy does badly, and shrinks such a run to the faults that matter. The result does
+// not depend on the number of cores.
 
 package lab
 
@@ -20,25 +20,25 @@
 )
 
 const (
-	batch  = 32   // plans that are tried before the best are drawn from again
-	elite  = 8    // of them
-	fresh  = 0.5  // part of a batch that is drawn anew
-	mutate = 0.35 // part of a fault's figure that a step changes it by, at most
+	batchSize   = 32   // plans evaluated before the worst ones are selected again
+	eliteCount  = 8    // worst results that new plans are derived from
+	freshShare  = 0.5  // share of a batch that is drawn at random
+	maxMutation = 0.35 // maximum relative change of a fault parameter in one step
 )
 
-// Found is a day on which the policy loses much against the oracle, or breaks a rule.
+// SearchResult is a run in which the policy does much worse than the oracle, or breaks a rule.
 type SearchResult struct {
 	World     emulator.World
 	Plan      faults.Plan
 	Seed      uint64
 	Policy    string
-	Loss      float64 // the oracle's G less the policy's
-	Violation string  // the first broken rule, if one broke
+	Loss      float64 // the oracle's G minus the policy's
+	Violation string  // the first broken rule, empty if none
 	G, Oracle float64
 }
 
-// worse orders found days, the worst first: broken rules, then by loss.
-func worse(x, y SearchResult) int {
+// compareWorst orders results from worst to best: those with a broken rule first, then by loss.
+func compareWorst(x, y SearchResult) int {
 	switch {
 	case (x.Violation != "") != (y.Violation != ""):
 		if x.Violation != "" {
@@ -53,32 +53,32 @@
 	return 0
 }
 
-// weigh plays a day for the policy and for the oracle.
-func (f SearchResult) weigh() (SearchResult, error) {
+// evaluate runs the plan with the policy and with the oracle, and fills in their scores.
+func (f SearchResult) evaluate() (SearchResult, error) {
 	f.Violation = ""
-	var accounts [2]*checker.Report
+	var reports [2]*checker.Report
 	for i, name := range []string{f.Policy, baseline.Oracle} {
 		m, err := baseline.Factory(name)
 		if err != nil {
 			return f, err
 		}
-		accounts[i], _ = emulator.Run(f.World, f.Plan, m, f.Seed)
+		reports[i], _ = emulator.Run(f.World, f.Plan, m, f.Seed)
 	}
-	f.G, f.Oracle = accounts[0].Score(false), accounts[1].Score(false)
+	f.G, f.Oracle = reports[0].Score(false), reports[1].Score(false)
 	f.Loss = f.Oracle - f.G
-	if accounts[0].ViolationCount() > 0 {
-		f.Violation = accounts[0].Violations[0].String()
+	if reports[0].ViolationCount() > 0 {
+		f.Violation = reports[0].Violations[0].String()
 	}
 	return f, nil
 }
 
-// side does the same to each of a list side by side and gives what came of them in its order; ctx ends it early.
-func side[T, R any](ctx context.Context, all []T, cores int, do func(T) (R, error)) ([]R, error) {
-	out := make([]R, len(all))
-	errs := make([]error, len(all))
+// parallelMap applies do to each element in parallel and returns the results in order. It stops early when ctx ends.
+func parallelMap[T, R any](ctx context.Context, items []T, cores int, do func(T) (R, error)) ([]R, error) {
+	out := make([]R, len(items))
+	errs := make([]error, len(items))
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, cores)
-	for i, x := range all {
+	for i, x := range items {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -94,70 +94,72 @@
 	return out, errors.Join(errs...)
 }
 
-// Search plays so many plans in the first cell's world and gives the worst, each kind of fault set once. Half of each
-// batch is drawn anew, the rest from the worst so far with a change.
-func (s *ExpandedExperiment) Search(ctx context.Context, policy string, seed uint64, budget, cores int, told func(done int, worst SearchResult)) ([]SearchResult, error) {
-	cores = workers(cores)
+// Search runs budget plans in the world of the first cell and returns the worst results, one for each combination of fault
+// kinds. Half of each batch is drawn at random, the rest are mutations of the worst plans so far.
+func (s *ExpandedExperiment) Search(ctx context.Context, policy string, seed uint64, budget, cores int,
+	progress func(done int, worst SearchResult)) ([]SearchResult, error) {
+	cores = workerCount(cores)
 	c := &s.Cells[0]
 	e := c.World.Bounds()
 	r := rand.New(rand.NewPCG(seed, 0x736561726368))
 	var best []SearchResult
 	for done := 0; done < budget; {
-		var tries []SearchResult
-		for len(tries) < min(batch, budget-done) {
+		var candidates []SearchResult
+		for len(candidates) < min(batchSize, budget-done) {
 			f := SearchResult{World: c.World, Policy: policy, Seed: r.Uint64() >> 1}
-			if len(best) < elite || r.Float64() < fresh {
+			if len(best) < eliteCount || r.Float64() < freshShare {
 				f.Plan = append(slices.Clone(c.Plan), faults.Random(r.Uint64(), 1+r.IntN(max(1, c.RandomFaults)), e)...)
 			} else {
-				old := best[r.IntN(min(elite, len(best)))]
-				f.Plan, f.Seed = change(r, old.Plan, e), old.Seed
+				old := best[r.IntN(min(eliteCount, len(best)))]
+				f.Plan, f.Seed = mutatePlan(r, old.Plan, e), old.Seed
 			}
 			if f.Plan.Check(e) == nil {
-				tries = append(tries, f)
+				candidates = append(candidates, f)
 			}
 		}
-		got, err := side(ctx, tries, cores, SearchResult.weigh)
+		results, err := parallelMap(ctx, candidates, cores, SearchResult.evaluate)
 		if err != nil {
 			return best, err
 		}
-		done += len(got)
-		best = append(best, got...)
-		slices.SortStableFunc(best, worse)
-		best = distinct(best)
-		told(done, best[0])
+		done += len(results)
+		best = append(best, results...)
+		slices.SortStableFunc(best, compareWorst)
+		best = keepWorstPerKinds(best)
+		progress(done, best[0])
 	}
 	return best, nil
 }
 
-// distinct keeps the worst day of each set of kinds, so that one weakness does not crowd out the others.
-func distinct(all []SearchResult) []SearchResult {
+// keepWorstPerKinds keeps the worst result for each combination of fault kinds, so that one weakness does not crowd out the
+// others.
+func keepWorstPerKinds(results []SearchResult) []SearchResult {
 	seen := map[string]bool{}
-	return slices.DeleteFunc(all, func(f SearchResult) bool {
+	return slices.DeleteFunc(results, func(f SearchResult) bool {
 		var kinds []string
 		for _, x := range f.Plan {
 			kinds = append(kinds, string(x.Kind))
 		}
 		slices.Sort(kinds)
 		key := fmt.Sprint(kinds)
-		was := seen[key]
+		duplicate := seen[key]
 		seen[key] = true
-		return was
+		return duplicate
 	})
 }
 
-// change gives a plan with one figure of one fault moved, a fault more, or one less.
-func change(r *rand.Rand, p faults.Plan, e faults.Bounds) faults.Plan {
+// mutatePlan returns a copy of the plan with one parameter of one fault changed, a fault added, or a fault removed.
+func mutatePlan(r *rand.Rand, p faults.Plan, e faults.Bounds) faults.Plan {
 	q := slices.Clone(p)
-	move := func(x float64) float64 { return x * (1 + mutate*(2*r.Float64()-1)) }
+	vary := func(x float64) float64 { return x * (1 + maxMutation*(2*r.Float64()-1)) }
 	switch n := r.IntN(len(q)); r.IntN(6) {
 	case 0:
-		q[n].From = move(q[n].From)
+		q[n].From = vary(q[n].From)
 	case 1:
-		q[n].For = move(q[n].For)
+		q[n].For = vary(q[n].For)
 	case 2:
-		q[n].Share = min(1, move(q[n].Share))
+		q[n].Share = min(1, vary(q[n].Share))
 	case 3:
-		q[n].Hard = min(q[n].Kind.MaxSeverity(), move(q[n].Hard))
+		q[n].Hard = min(q[n].Kind.MaxSeverity(), vary(q[n].Hard))
 	case 4:
 		q = append(q, faults.Random(r.Uint64(), 1, e)...)
 	case 5:
@@ -168,57 +170,59 @@
 	return q
 }
 
-// Shrink cuts a found day down: fewer and milder faults, a smaller fleet, a shorter day, as long as it still breaks a
-// rule, or loses the part keep of what it lost.
-func Shrink(ctx context.Context, f SearchResult, keep float64, cores int, told func(SearchResult)) (SearchResult, error) {
-	cores = workers(cores)
-	f, err := f.weigh()
+// Shrink reduces a result to fewer and milder faults, a smaller fleet and a shorter run, as long as it still breaks a rule, or
+// still has the share keep of the original loss.
+func Shrink(ctx context.Context, f SearchResult, keep float64, cores int, progress func(SearchResult)) (SearchResult, error) {
+	cores = workerCount(cores)
+	f, err := f.evaluate()
 	if err != nil {
 		return f, err
 	}
 	rule, loss := f.Violation != "", f.Loss
 	if !rule && loss <= 0 {
-		return f, fmt.Errorf("nothing to shrink: no rule breaks, and the oracle is not ahead (G %.3f and %.3f)", f.G, f.Oracle)
+		return f, fmt.Errorf("nothing to shrink: no rule is broken, and the oracle is not better (G %.3f and %.3f)", f.G, f.Oracle)
 	}
 	for {
-		var tries []SearchResult
+		var candidates []SearchResult
 		for _, p := range f.Plan.Reductions() {
-			tries = append(tries, SearchResult{World: f.World, Plan: p, Seed: f.Seed, Policy: f.Policy})
+			candidates = append(candidates, SearchResult{World: f.World, Plan: p, Seed: f.Seed, Policy: f.Policy})
 		}
-		for _, w := range smaller(f.World) {
+		for _, w := range smallerWorlds(f.World) {
 			if w.Check() == nil && f.Plan.Check(w.Bounds()) == nil {
-				tries = append(tries, SearchResult{World: w, Plan: f.Plan, Seed: f.Seed, Policy: f.Policy})
+				candidates = append(candidates, SearchResult{World: w, Plan: f.Plan, Seed: f.Seed, Policy: f.Policy})
 			}
 		}
 		next := -1
-		for at := 0; at < len(tries) && next < 0; at += cores {
-			got, err := side(ctx, tries[at:min(at+cores, len(tries))], cores, SearchResult.weigh)
+		for at := 0; at < len(candidates) && next < 0; at += cores {
+			results, err := parallelMap(ctx, candidates[at:min(at+cores, len(candidates))], cores, SearchResult.evaluate)
 			if err != nil {
 				return f, err
 			}
-			// The first that will do, whatever the cores: those after it in the same go are not looked at.
-			next = slices.IndexFunc(got, func(x SearchResult) bool { return rule && x.Violation != "" || !rule && x.Loss >= keep*loss })
+			// Takes the first candidate that qualifies; later ones of the same round are ignored, whatever the number of cores.
+			next = slices.IndexFunc(results, func(x SearchResult) bool {
+				return rule && x.Violation != "" || !rule && x.Loss >= keep*loss
+			})
 			if next >= 0 {
-				f = got[next]
+				f = results[next]
 			}
 		}
 		if next < 0 {
 			return f, nil
 		}
-		told(f)
+		progress(f)
 	}
 }
 
-// smaller are worlds one step less: shorter, with fewer instances, backends, customers or verbs.
-func smaller(w emulator.World) []emulator.World {
-	var all []emulator.World
+// smallerWorlds returns the worlds that are one step smaller: shorter, or with fewer instances, backends, customers or verbs.
+func smallerWorlds(w emulator.World) []emulator.World {
+	var worlds []emulator.World
 	if x := w; w.Duration > 8 {
 		x.Duration = float64(int(w.Duration * 0.75))
-		all = append(all, x)
+		worlds = append(worlds, x)
 	}
 	if x := w; w.Instances > 2 {
 		x.Instances = w.Instances / 2
-		all = append(all, x)
+		worlds = append(worlds, x)
 	}
 	halved := false
 	x := w
@@ -229,23 +233,24 @@
 		}
 	}
 	if halved && w.Rate == 0 {
-		all = append(all, x)
+		worlds = append(worlds, x)
 	}
 	if x := w; len(w.Customers) > 0 {
 		x.Customers = nil
-		all = append(all, x)
+		worlds = append(worlds, x)
 	}
 	if len(w.Verbs) > 1 {
 		for i := range w.Verbs {
 			x := w
 			x.Verbs = slices.Delete(slices.Clone(w.Verbs), i, i+1)
-			all = append(all, x)
+			worlds = append(worlds, x)
 		}
 	}
-	return all
+	return worlds
 }
 
-// Sheet gives a found day as an experiment's text, to be read again.
+// ExperimentTOML returns the run as the text of an experiment file.
 func (f SearchResult) ExperimentTOML(name string) ([]byte, error) {
-	return toml.Marshal(Experiment{Name: name, Policies: []string{f.Policy, baseline.Oracle}, Seeds: []uint64{f.Seed}, World: f.World, Plan: f.Plan})
+	return toml.Marshal(Experiment{Name: name, Policies: []string{f.Policy, baseline.Oracle}, Seeds: []uint64{f.Seed},
+		World: f.World, Plan: f.Plan})
 }
