--- a/cmd/sandlab/scale.go
+++ b/cmd/sandlab/scale.go
@@ -1,4 +1,4 @@
-// This file owns the command line of the scale run. It must never hold a figure of its own beyond the defaults of flags.
+// This file implements the command line of scale runs. It holds no parameters beyond the defaults of flags.
 package main
 
 import (
@@ -18,16 +18,18 @@
 	"sandpass/internal/scale/fleet"
 )
 
-func scaling() *cobra.Command {
-	c := &cobra.Command{Use: "scale", Short: "measure how the control side of a fleet grows, and write docs/CAPACITY.md from it"}
-	c.AddCommand(scaleRun(), scaleReport())
+// scaleCommand returns the command "scale" with its subcommands.
+func scaleCommand() *cobra.Command {
+	c := &cobra.Command{Use: "scale",
+		Short: "measure how the control plane scales with the fleet, and generate docs/CAPACITY.md from it"}
+	c.AddCommand(scaleRunCommand(), scaleReportCommand())
 	return c
 }
 
-// scaleParts are the parts of a run, in their order.
+// scaleParts are the parts of a scale run in execution order.
 var scaleParts = []string{"likeness", "keepers", "slopes", "otherslopes", "events", "control", "controlslopes", "added"}
 
-// scaleOptions are the flags of a run.
+// scaleOptions are the flags of a scale run.
 type scaleOptions struct {
 	sizes, data, program string
 	parts, only          []string
@@ -35,40 +37,42 @@
 	real                 int
 }
 
-func scaleRun() *cobra.Command {
+// scaleRunCommand returns the command "scale run".
+func scaleRunCommand() *cobra.Command {
 	var o scaleOptions
-	c := &cobra.Command{Use: "run", Short: "measure, and put the figures into a data file",
-		Long: "Real proxies beside hollow ones, with stand-ins for discovery and backends, all on loopback. Each part puts its figures into\n" +
-			"the data file in place of those it had. A run stops where it would take over 12 GB or 300 processes.",
+	c := &cobra.Command{Use: "run", Short: "measure, and store the results in a data file",
+		Long: "Runs real proxies together with simulated ones, simulated discovery and simulated backends, all on loopback. Each\n" +
+			"part replaces its results in the data file. A run stops before it would use more than 12 GB or 300 processes.",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return runScale(c.Context(), o) }}
-	c.Flags().StringVar(&o.sizes, "sizes", "", "file of sizes, TOML; see example/scale.toml (the operators' size)")
-	c.Flags().StringVar(&o.data, "data", "capacity.json", "the data file")
+	c.Flags().StringVar(&o.sizes, "sizes", "", "TOML file with the sizes, see example/scale.toml (default: the operators' size)")
+	c.Flags().StringVar(&o.data, "data", "capacity.json", "data file")
 	c.Flags().StringVar(&o.program, "program", "",
-		"the proxy's program, called as PROGRAM serve (sandpass beside this one)")
-	c.Flags().StringSliceVar(&o.parts, "parts", scaleParts, "which")
-	c.Flags().StringArrayVar(&o.only, "event", nil, "of the part control: this event alone, may be given again")
+		"program of the proxy, called as PROGRAM serve (default: sandpass next to this program)")
+	c.Flags().StringSliceVar(&o.parts, "parts", scaleParts, "parts to run")
+	c.Flags().StringArrayVar(&o.only, "event", nil, "run only this event of the part control; may be repeated")
 	c.Flags().IntSliceVar(&o.counts, "counts", []int{35, 70, 140, 280, 560, 1120},
-		"numbers of proxies of the slopes; beyond the size they are predicted first")
-	c.Flags().IntVar(&o.real, "real", 10, "proxies that are real processes, in slopes and events")
+		"numbers of proxies for the slopes; beyond the size they are predicted first")
+	c.Flags().IntVar(&o.real, "real", 10, "number of proxies that are real processes, in slopes and events")
 	return c
 }
 
-// scalePrograms are what a run starts.
+// scalePrograms returns the programs that a scale run starts.
 func scalePrograms(program string) (scale.Programs, error) {
-	me, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return scale.Programs{}, err
 	}
 	if program == "" {
-		beside := filepath.Join(filepath.Dir(me), "sandpass")
-		if _, err := os.Stat(beside); err != nil {
-			return scale.Programs{}, errors.New("no sandpass beside this program: name one by --program")
+		sibling := filepath.Join(filepath.Dir(executable), "sandpass")
+		if _, err := os.Stat(sibling); err != nil {
+			return scale.Programs{}, errors.New("no sandpass next to this program: set --program")
 		}
-		program = beside
+		program = sibling
 	}
-	return scale.Programs{Proxy: []string{program, "serve"}, Helper: me}, nil
+	return scale.Programs{Proxy: []string{program, "serve"}, Helper: executable}, nil
 }
 
+// readSizes reads the file of sizes; without a path it returns the defaults.
 func readSizes(path string) (fleet.Sizes, error) {
 	if path == "" {
 		return fleet.Default(), nil
@@ -84,6 +88,7 @@
 	return s, nil
 }
 
+// runScale runs the selected parts and writes the data file after each.
 func runScale(ctx context.Context, o scaleOptions) error {
 	for _, part := range o.parts {
 		if !slices.Contains(scaleParts, part) {
@@ -105,17 +110,17 @@
 	if err != nil {
 		return err
 	}
-	data.Sizes, data.Cores, data.Program = sizes, runtime.NumCPU(), revisionOf()
+	data.Sizes, data.Cores, data.Program = sizes, runtime.NumCPU(), buildRevision()
 	for _, part := range scaleParts {
 		if !slices.Contains(o.parts, part) {
 			continue
 		}
-		b := bar(os.Stderr, -1, part)
+		b := newProgressBar(os.Stderr, -1, part)
 		measure := scale.Runner{Sizes: sizes, ProxyCounts: o.counts, RealProxies: o.real, Programs: programs, EventNames: o.only,
-			Progress: func(what string) { b.Describe(part + ": " + what); b.Add(1) }}
+			Progress: func(step string) { b.Describe(part + ": " + step); b.Add(1) }}
 		err := measure.MeasurePart(ctx, part, data)
 		b.Finish()
-		if e := data.Write(o.data); err == nil { // what was measured before a failure is kept
+		if e := data.Write(o.data); err == nil { // results measured before a failure are kept
 			err = e
 		}
 		if err != nil {
@@ -125,8 +130,8 @@
 	return nil
 }
 
-// revisionOf is the program's version.
-func revisionOf() string {
+// buildRevision returns the abbreviated VCS revision of this program, or its module version.
+func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
@@ -139,17 +144,18 @@
 	return info.Main.Version
 }
 
-func scaleReport() *cobra.Command {
+// scaleReportCommand returns the command "scale report".
+func scaleReportCommand() *cobra.Command {
 	var page, charts string
-	c := &cobra.Command{Use: "report DATA", Short: "write the tables of a data file into a page, and its charts",
+	c := &cobra.Command{Use: "report DATA", Short: "write the tables and charts of a data file",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			data, err := scale.ReadData(args[0])
 			if err != nil {
 				return err
 			}
 			if charts != "" {
-				made, err := data.Charts(charts)
-				for _, m := range made {
+				paths, err := data.Charts(charts)
+				for _, m := range paths {
 					fmt.Fprintln(c.OutOrStdout(), m)
 				}
 				if err != nil {
@@ -162,7 +168,7 @@
 			}
 			return data.WritePage(page)
 		}}
-	c.Flags().StringVar(&page, "page", "", "the page whose generated parts are written anew (none: to the output)")
-	c.Flags().StringVar(&charts, "charts", "", "folder for charts as PNG files")
+	c.Flags().StringVar(&page, "page", "", "page whose generated parts are replaced (default: print the tables)")
+	c.Flags().StringVar(&charts, "charts", "", "folder for the charts as PNG files")
 	return c
 }
