--- a/cmd/sandlab/main.go
+++ b/cmd/sandlab/main.go
@@ -360,8 +360,8 @@
 	var kind, state, program string
 	var live bool
 	c := &cobra.Command{Use: "back", Short: "measure how soon service recovers after most proxies failed at once",
-		Long: "In the emulator, proxies stand in front of twice as many backends in each of two tiers; a share of the proxies fails at\n" +
-			"12 s and is back at 16 s. The table has the share served by second from the failure on (means), the seconds from the\n" +
+		Long: "In the emulator, proxies stand in front of twice as many backends in each of two tiers; a share of the proxies fails\n" +
+			"at 12 s and is back at 16 s. The table has the share served by second from the failure on (means), the seconds from the\n" +
 			"return until 0.99 of the share served before is reached for 2 s, peaks at one backend relative to the highest before,\n" +
 			"and broken rules.",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
--- a/internal/testbed/backend.go
+++ b/internal/testbed/backend.go
@@ -1,5 +1,5 @@
-// This file owns the stand-in backend on sockets: HTTP/1.1 as the platform's protocol has it, queue, connection table
-// and what faults make of it. It must never answer a command that it has not run.
+// This file simulates a backend on sockets: HTTP/1.1 of the platform's protocol, the queue, the connection table and the effects
+// of faults. It never answers a command that it has not executed.
 
 package testbed
 
@@ -22,61 +22,63 @@
 	"sandpass/internal/loop"
 )
 
-// backend is one process of a tier.
+// backend is one simulated backend of a tier.
 type backend struct {
-	rig                     *Harness
-	serial, tier, place     int
+	harness                 *Harness
+	serial, tier, index     int
 	zone, cell              int
 	name, address           string
 	listener                net.Listener
 	machine                 *machine
 	slots                   chan struct{}
-	queue, most             int64
+	maxQueued, maxConns     int64
 	waiting, conns, working atomic.Int64
-	own                     *process // its proxy to the next tier
-	pool                    *pool    // its connections to that
+	proxy                   *process  // its proxy to the next tier
+	pool                    *connPool // its connections to that proxy
 	started                 time.Time
 	mu                      sync.Mutex
-	burden                  faults.Impairment
-	open                    map[net.Conn]bool
+	impairment              faults.Impairment
+	openConns               map[net.Conn]bool
 	dead                    chan struct{}
-	chance                  *rand.Rand
+	rng                     *rand.Rand
 }
 
-// startBackend takes an address and serves there: that and the name of the one it was, if it is one that starts again.
-func (r *Harness) startBackend(tier, place int, speed float64, was *backend, started time.Time) (*backend, error) {
-	t := &r.world.Tiers[tier]
+// startBackend starts a backend on a free address. A backend that restarts takes the address and name of the previous one. The
+// caller holds h.mu.
+func (h *Harness) startBackend(tier, index int, speed float64, previous *backend, started time.Time) (*backend, error) {
+	t := &h.world.Tiers[tier]
 	address := "127.0.0.1:0"
-	if was != nil {
-		address = was.address
+	if previous != nil {
+		address = previous.address
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	r.serial++
-	zone := place % r.world.Zones
-	b := &backend{rig: r, serial: r.serial, tier: tier, place: place, zone: zone,
-		cell: place/r.world.Zones/t.CellSize*r.world.Zones + zone, name: fmt.Sprintf("b-%d-%d", tier, r.serial),
-		address: l.Addr().String(), listener: l, started: started, open: map[net.Conn]bool{}, dead: make(chan struct{}),
-		machine: newMachine(t.Cores, speed, t.OverloadFrom, t.OverloadLoss, r.world.Rules.ColdShare, r.world.Rules.WarmUp),
-		slots:   make(chan struct{}, t.Slots), queue: int64(t.Queue), most: int64(t.Connections),
-		chance: rand.New(rand.NewPCG(r.seed, uint64(r.serial)))}
+	h.backendCount++
+	zone := index % h.world.Zones
+	b := &backend{harness: h, serial: h.backendCount, tier: tier, index: index, zone: zone,
+		cell: index/h.world.Zones/t.CellSize*h.world.Zones + zone, name: fmt.Sprintf("b-%d-%d", tier, h.backendCount),
+		address: l.Addr().String(), listener: l, started: started, openConns: map[net.Conn]bool{}, dead: make(chan struct{}),
+		machine: newMachine(t.Cores, speed, t.OverloadFrom, t.OverloadLoss, h.world.Rules.ColdShare, h.world.Rules.WarmUp),
+		slots:   make(chan struct{}, t.Slots), maxQueued: int64(t.Queue), maxConns: int64(t.Connections),
+		rng: rand.New(rand.NewPCG(h.seed, uint64(h.backendCount)))}
 	b.machine.started = started
-	if was != nil {
-		b.name, b.serial = was.name, was.serial
+	if previous != nil {
+		b.name, b.serial = previous.name, previous.serial
 	}
 	go b.accept()
 	return b, nil
 }
 
+// accept serves connections until the listener is closed, and resets those beyond the connection limit.
 func (b *backend) accept() {
 	for {
 		c, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
-		if b.conns.Add(1) > b.most {
+		if b.conns.Add(1) > b.maxConns {
 			b.conns.Add(-1)
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
@@ -90,13 +92,13 @@
 			continue
 		default:
 		}
-		b.open[c] = true
+		b.openConns[c] = true
 		b.mu.Unlock()
 		go b.serve(c)
 	}
 }
 
-// stop ends the process: its listener and all connections, at once.
+// stop closes the listener and resets all connections at once, as a crash does.
 func (b *backend) stop() {
 	b.mu.Lock()
 	select {
@@ -107,136 +109,141 @@
 	}
 	close(b.dead)
 	b.listener.Close()
-	for c := range b.open {
+	for c := range b.openConns {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
 	b.mu.Unlock()
 	b.machine.close()
-	if b.own != nil {
-		b.own.kill()
+	if b.proxy != nil {
+		b.proxy.kill()
 		b.pool.close()
 	}
 }
 
-func (b *backend) draw() float64 {
+// random returns the next number of the backend's random source.
+func (b *backend) random() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.chance.Float64()
+	return b.rng.Float64()
 }
 
-func (b *backend) bears() faults.Impairment {
+// currentImpairment returns the combined effect of the active faults.
+func (b *backend) currentImpairment() faults.Impairment {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.burden
+	return b.impairment
 }
 
+// serve handles the commands of one connection in turn.
 func (b *backend) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		b.conns.Add(-1)
 		b.mu.Lock()
-		delete(b.open, c)
+		delete(b.openConns, c)
 		b.mu.Unlock()
 	}()
-	count := &counted{Conn: c}
+	count := &countingConn{Conn: c}
 	in := bufio.NewReader(count)
 	for {
-		q, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, q.Body); err != nil {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		if !b.command(c, in, q, b.sent(c, count.bytes-int64(in.Buffered()))) {
+		if !b.command(c, in, request, b.sentAt(c, count.bytes-int64(in.Buffered()))) {
 			return
 		}
 	}
 }
 
-// counted counts what is read.
-type counted struct {
+// countingConn counts the bytes read from a connection.
+type countingConn struct {
 	net.Conn
 	bytes int64
 }
 
-func (c *counted) Read(text []byte) (int, error) {
+// Read reads from the connection and counts the bytes.
+func (c *countingConn) Read(text []byte) (int, error) {
 	n, err := c.Conn.Read(text)
 	c.bytes += int64(n)
 	return n, err
 }
 
-// sent is when the proxy sent what has been read of the connection so far.
-func (b *backend) sent(c net.Conn, bytes int64) float64 {
-	if at, known := b.rig.left(b, c.RemoteAddr(), bytes); known {
+// sentAt returns when the proxy sent the first bytes bytes of a connection, in seconds of the run.
+func (b *backend) sentAt(c net.Conn, bytes int64) float64 {
+	if at, known := b.harness.sentAt(b, c.RemoteAddr(), bytes); known {
 		return at
 	}
-	return b.rig.books.now() - age(c)
+	return b.harness.recorder.now() - receiveAge(c)
 }
 
-// age is for how many seconds the latest bytes of a connection have been with the kernel: this very process may be late.
-func age(c net.Conn) (seconds float64) {
+// receiveAge returns how many seconds ago the kernel received the latest bytes of a connection, since this process may read them
+// late.
+func receiveAge(c net.Conn) (seconds float64) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return 0
 	}
-	_ = raw.Control(func(fd uintptr) { seconds = loop.LastReceiveAge(int(fd)) }) // fails only on what is closed
+	_ = raw.Control(func(fd uintptr) { seconds = loop.LastReceiveAge(int(fd)) }) // fails only on a closed connection
 	return seconds
 }
 
-const declined = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
+const declinedResponse = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 
-// command does one and tells whether the connection goes on.
-func (b *backend) command(c net.Conn, in *bufio.Reader, q *http.Request, came float64) bool {
-	id, err := strconv.ParseUint(q.Header.Get("Req-Id"), 16, 64)
-	verb := b.rig.verbOf(q.URL.Path)
+// command executes or refuses one command. It reports whether the connection stays open.
+func (b *backend) command(c net.Conn, in *bufio.Reader, request *http.Request, sentAt float64) bool {
+	id, err := strconv.ParseUint(request.Header.Get("Req-Id"), 16, 64)
+	verb := b.harness.verbIndex(request.URL.Path)
 	if err != nil || verb < 0 {
 		io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	limit, _ := strconv.ParseFloat(q.Header.Get("Req-Deadline"), 64)
+	limit, _ := strconv.ParseFloat(request.Header.Get("Req-Deadline"), 64)
 	due := time.Now().Add(time.Duration(limit * float64(time.Second)))
-	relay, known := b.rig.books.reached(b, id, verb, came)
+	relay, known := b.harness.recorder.relayReceived(b, id, verb, sentAt)
 	if !known {
 		io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	bears := b.bears()
-	no := func() bool { // never ran
-		b.rig.books.told(id, relay, true)
-		_, err := io.WriteString(c, declined)
+	impairment := b.currentImpairment()
+	decline := func() bool { // the command never ran
+		b.harness.recorder.relayEnded(id, relay, true)
+		_, err := io.WriteString(c, declinedResponse)
 		return err == nil
 	}
-	if bears.Refuse > 0 && b.draw() < bears.Refuse {
-		return no()
+	if impairment.Refuse > 0 && b.random() < impairment.Refuse {
+		return decline()
 	}
-	if x := b.draw(); x < bears.Reset {
-		if x < bears.Reset/2 {
-			b.rig.books.told(id, relay, false)
+	if x := b.random(); x < impairment.Reset {
+		if x < impairment.Reset/2 {
+			b.harness.recorder.relayEnded(id, relay, false)
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		bears.LoseAnswers = 1
+		impairment.LoseAnswers = 1
 	}
-	if bears.Errors > 0 && b.draw() < bears.Errors {
-		if b.draw() < 0.5 {
-			b.rig.books.ran(b, id, verb, came)
+	if impairment.Errors > 0 && b.random() < impairment.Errors {
+		if b.random() < 0.5 {
+			b.harness.recorder.executed(b, id, verb, sentAt)
 		}
-		b.rig.books.told(id, relay, false)
+		b.harness.recorder.relayEnded(id, relay, false)
 		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
-	// The client's going away is word that nobody waits, which some backends don't heed.
+	// A disconnect of the client cancels the command. Some backends ignore it.
 	stop := make(chan struct{})
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		if _, err := in.Peek(1); err != nil && b.rig.world.Tiers[b.tier].CancelStops && !b.bears().IgnoresCancels {
+		if _, err := in.Peek(1); err != nil && b.harness.world.Tiers[b.tier].CancelStops && !b.currentImpairment().IgnoresCancels {
 			close(stop)
 		}
 	}()
-	leave := func() { // ends the watch without losing what it may have read: Peek leaves it in the buffer
+	stopWatching := func() { // loses no bytes, since Peek leaves them in the buffer
 		c.SetReadDeadline(time.Unix(1, 0))
 		<-watched
 		c.SetReadDeadline(time.Time{})
@@ -244,47 +251,47 @@
 	select {
 	case b.slots <- struct{}{}:
 	default:
-		if b.waiting.Add(1) > b.queue {
+		if b.waiting.Add(1) > b.maxQueued {
 			b.waiting.Add(-1)
-			leave()
-			return no()
+			stopWatching()
+			return decline()
 		}
-		b.machine.held(1)
-		got := false
+		b.machine.addHeld(1)
+		reply := false
 		select {
 		case b.slots <- struct{}{}:
-			got = true
+			reply = true
 		case <-stop:
 		case <-b.dead:
 		}
-		b.machine.held(-1)
+		b.machine.addHeld(-1)
 		b.waiting.Add(-1)
-		if !got {
+		if !reply {
 			<-watched
-			b.rig.books.told(id, relay, false)
+			b.harness.recorder.relayEnded(id, relay, false)
 			return false
 		}
 	}
-	if time.Now().After(due) && b.rig.world.Tiers[b.tier].RejectsExpired {
+	if time.Now().After(due) && b.harness.world.Tiers[b.tier].RejectsExpired {
 		<-b.slots
-		leave()
-		return no()
+		stopWatching()
+		return decline()
 	}
-	ok, answered := b.work(id, verb, came, due, stop)
+	ok, answered := b.work(id, verb, sentAt, due, stop)
 	<-b.slots
 	if !ok {
-		leave()
-		b.rig.books.told(id, relay, false)
+		stopWatching()
+		b.harness.recorder.relayEnded(id, relay, false)
 		return false
 	}
-	leave()
-	b.rig.books.told(id, relay, false)
+	stopWatching()
+	b.harness.recorder.relayEnded(id, relay, false)
 	if !answered {
 		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
-	body := b.rig.books.answer(id)
-	if bears.LoseAnswers > 0 && b.draw() < bears.LoseAnswers {
+	body := b.harness.recorder.expectedBody(id)
+	if impairment.LoseAnswers > 0 && b.random() < impairment.LoseAnswers {
 		c.(*net.TCPConn).SetLinger(0)
 		return false
 	}
@@ -292,28 +299,29 @@
 	return err == nil
 }
 
-// work does a command's parts and the calls between them. ok is false if it was stopped.
-func (b *backend) work(id uint64, verb int, came float64, due time.Time, stop chan struct{}) (ok, answered bool) {
-	w := &b.rig.world
-	seed := b.rig.books.seed(id)
+// work executes the parts of a command and the nested calls between them. ok is false if it was cancelled, answered is false if
+// a nested call failed or the time limit passed.
+func (b *backend) work(id uint64, verb int, sentAt float64, due time.Time, stop chan struct{}) (ok, answered bool) {
+	w := &b.harness.world
+	seed := b.harness.recorder.seed(id)
 	calls := 0
-	if b.own != nil {
+	if b.proxy != nil {
 		calls = w.Verbs[verb].Calls[b.tier]
 	}
 	part := emulator.DrawWork(&w.Verbs[verb], seed, b.tier) / float64(calls+1)
 	b.working.Add(1)
 	defer b.working.Add(-1)
-	halt := make(chan struct{})
+	cancelled := make(chan struct{})
 	go func() {
 		select {
 		case <-stop:
 		case <-b.dead:
-		case <-b.rig.over:
+		case <-b.harness.stopped:
 		}
-		close(halt)
+		close(cancelled)
 	}()
 	for n := range calls + 1 {
-		if !b.machine.run(part, halt) {
+		if !b.machine.run(part, cancelled) {
 			return false, false
 		}
 		if n < calls {
@@ -324,27 +332,28 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			go func() {
 				select {
-				case <-halt:
+				case <-cancelled:
 					cancel()
 				case <-ctx.Done():
 				}
 			}()
-			b.machine.held(1)
-			got := b.rig.ask(ctx, b.pool, want{verb: verb, customer: 0, seed: emulator.MixSeeds(seed, uint64(n+1)), limit: left.Seconds(),
-				tier: b.tier + 1, instance: b.own.serial})
-			b.machine.held(-1)
+			b.machine.addHeld(1)
+			reply := b.harness.send(ctx, b.pool, request{verb: verb, customer: 0, seed: emulator.MixSeeds(seed, uint64(n+1)),
+				limit: left.Seconds(),
+				tier:  b.tier + 1, instance: b.proxy.serial})
+			b.machine.addHeld(-1)
 			cancel()
-			if got.result != served {
+			if reply.result != resultServed {
 				return true, false
 			}
 		}
 	}
-	b.rig.books.ran(b, id, verb, came)
+	b.harness.recorder.executed(b, id, verb, sentAt)
 	return true, true
 }
 
-// ranAs is how the judge is told of effects.
-func ranAs(v *emulator.Verb) (checker.Effect, checker.Scope) {
+// checkerEffect converts the effect and key scope of a verb to the checker's types.
+func checkerEffect(v *emulator.Verb) (checker.Effect, checker.Scope) {
 	e, s := emulator.EffectAndScope(v)
 	return checker.Effect(e), checker.Scope(s)
 }
--- a/internal/testbed/books.go
+++ b/internal/testbed/books.go
@@ -1,5 +1,4 @@
-// This file owns what the stand-ins tell the judge: facts as they are seen at the ends of the sockets. It must never
-// take a proxy's word for anything.
+// This file records what clients and backends observe at their sockets for the checker. Nothing that a proxy reports is used.
 
 package testbed
 
@@ -12,129 +11,142 @@
 	"sandpass/internal/emulator"
 )
 
-type record struct {
-	seed     uint64
-	verb     int
-	instance int
-	op       uint64
-	relays   int
-	ended    float64 // when its client had the answer, or was gone, 0 before
-	gone     bool    // its client was gone
+// requestRecord is what the recorder knows of one request.
+type requestRecord struct {
+	seed       uint64
+	verb       int
+	instance   int
+	op         uint64
+	relays     int
+	endedAt    float64 // when its client had the answer or disconnected, 0 before
+	clientGone bool    // its client disconnected, or its connection broke
 }
 
 const (
-	crossing = 0.05 // seconds after a command's end in which a copy that was sent before may still arrive
-	unseen   = 2.0  // seconds in which a proxy on a busy machine may not have read yet that a client is gone
+	crossingSeconds         = 0.05 // a copy that was sent before a request ended may arrive this much later
+	unseenDisconnectSeconds = 2.0  // a proxy on a busy machine may notice a disconnect this much later
 )
 
-// books are the judge's, behind a lock. A command's record stays: a backend may run it long after its end.
-type books struct {
-	mu    sync.Mutex
-	judge *checker.Checker
-	world *emulator.World
-	start time.Time
-	all   map[uint64]*record
+// recorder passes events to the checker, one at a time. A request's record is kept after its end, since a backend may execute it
+// long after.
+type recorder struct {
+	mu       sync.Mutex
+	checker  *checker.Checker
+	world    *emulator.World
+	start    time.Time
+	requests map[uint64]*requestRecord
 }
 
-func (b *books) now() float64 { return time.Since(b.start).Seconds() }
+// now returns the time of the run in seconds.
+func (b *recorder) now() float64 { return time.Since(b.start).Seconds() }
 
-// taken is told before the first byte of a command leaves its client.
-func (b *books) taken(id uint64, r record, limit float64) {
+// requestAccepted records a request. It is called before the client sends the first byte.
+func (b *recorder) requestAccepted(id uint64, record requestRecord, limit float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.all[id] = &r
-	e, s := ranAs(&b.world.Verbs[r.verb])
-	b.judge.CommandAccepted(b.now(), checker.Command{ID: id, Operation: r.op, Instance: r.instance, Expires: b.now() + limit, Effect: e, Scope: s,
-		DedupWindow: b.world.Verbs[r.verb].DedupWindow})
+	b.requests[id] = &record
+	effect, scope := checkerEffect(&b.world.Verbs[record.verb])
+	b.checker.CommandAccepted(b.now(), checker.Command{ID: id, Operation: record.op, Instance: record.instance,
+		Expires: b.now() + limit, Effect: effect, Scope: scope,
+		DedupWindow: b.world.Verbs[record.verb].DedupWindow})
 }
 
-// reached is told when a backend has a command whole that was sent at a time; a command that no client sent is not known.
-// The rules go by when it was sent, and only what it does to a cold backend by when it came.
-func (b *books) reached(x *backend, id uint64, verb int, sent float64) (relay int, known bool) {
+// relayReceived records that a backend has received a complete command; known is false if no client sent it. The rules apply to
+// the time at which it was sent. Only the load on a warming backend counts from when it arrived.
+func (b *recorder) relayReceived(backend *backend, id uint64, verb int, sentAt float64) (relay int, known bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.all[id]
-	if r == nil {
+	record := b.requests[id]
+	if record == nil {
 		return 0, false
 	}
-	if r.ended > 0 && (sent < r.ended+crossing || r.gone && sent < r.ended+unseen) {
+	if record.endedAt > 0 && (sentAt < record.endedAt+crossingSeconds || record.clientGone &&
+		sentAt < record.endedAt+unseenDisconnectSeconds) {
 		return -1, true
 	}
-	relay = r.relays
-	r.relays++
-	b.judge.RelaySent(sent, id, x.serial, x.zone, x.cell, false)
-	if warm := x.machine.warmth(time.Now()); warm < 1 {
-		b.judge.ColdBackendReached(b.now(), x.serial, r.instance, b.world.Verbs[verb].Work[x.tier], x.machine.cores*x.machine.speed*warm,
-			x.started.Sub(b.start).Seconds())
+	relay = record.relays
+	record.relays++
+	b.checker.RelaySent(sentAt, id, backend.serial, backend.zone, backend.cell, false)
+	if warm := backend.machine.warmth(time.Now()); warm < 1 {
+		b.checker.ColdBackendReached(b.now(), backend.serial, record.instance, b.world.Verbs[verb].Work[backend.tier],
+			backend.machine.cores*backend.machine.speed*warm,
+			backend.started.Sub(b.start).Seconds())
 	}
 	return relay, true
 }
 
-// told is how a relay ended, before the proxy can know.
-func (b *books) told(id uint64, relay int, never bool) {
+// relayEnded records how a relay ended. It is called before the proxy can know.
+func (b *recorder) relayEnded(id uint64, relay int, neverRan bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if relay >= 0 {
-		b.judge.RelayEnded(id, relay, never)
+		b.checker.RelayEnded(id, relay, neverRan)
 	}
 }
 
-func (b *books) ran(x *backend, id uint64, verb int, sent float64) {
+// executed records that a backend has executed a command.
+func (b *recorder) executed(backend *backend, id uint64, verb int, sentAt float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, s := ranAs(&b.world.Verbs[verb])
-	b.judge.EffectExecuted(b.now(), sent, b.all[id].op, e, s, b.world.Verbs[verb].DedupWindow, x.zone, x.cell)
+	effect, scope := checkerEffect(&b.world.Verbs[verb])
+	b.checker.EffectExecuted(b.now(), sentAt, b.requests[id].op, effect, scope, b.world.Verbs[verb].DedupWindow, backend.zone,
+		backend.cell)
 }
 
-func (b *books) ended(id uint64, result result, made bool) {
+// requestEnded records the result that the client saw; valid tells whether the body was made by a backend.
+func (b *recorder) requestEnded(id uint64, result result, valid bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.all[id].ended = b.now()
+	b.requests[id].endedAt = b.now()
 	switch result {
-	case served, declinedThat, failed:
-		b.judge.CommandEnded(b.now(), id, result == declinedThat, result == served, made)
-	case broken, left, unreached:
-		b.all[id].gone = true
-		b.judge.ClientDisconnected(id) // its instance is gone, or its client is
+	case resultServed, resultDeclined, resultFailed:
+		b.checker.CommandEnded(b.now(), id, result == resultDeclined, result == resultServed, valid)
+	case resultBroken, resultLeft, resultUnreached:
+		b.requests[id].clientGone = true
+		b.checker.ClientDisconnected(id) // the instance or the client is gone
 	}
 }
 
-func (b *books) listed(instance int, x *backend, ready bool, started time.Time) {
+// endpointListed records that discovery has sent an endpoint to an instance.
+func (b *recorder) endpointListed(instance int, backend *backend, ready bool, started time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at := 0.0
 	if !started.IsZero() {
 		at = started.Sub(b.start).Seconds()
 	}
-	b.judge.BackendUpdateReceived(b.now(), instance, x.serial, ready, at)
+	b.checker.BackendUpdateReceived(b.now(), instance, backend.serial, ready, at)
 }
 
-func (b *books) killed(instance int) {
+// instanceKilled records that an instance has ended.
+func (b *recorder) instanceKilled(instance int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.judge.InstanceKilled(instance)
+	b.checker.InstanceKilled(instance)
 }
 
-func (b *books) client(what func(j *checker.Checker)) {
+// withChecker calls do with the checker locked.
+func (b *recorder) withChecker(do func(c *checker.Checker)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	what(b.judge)
+	do(b.checker)
 }
 
-// relayed is how often backends have had a command whole.
-func (b *books) relayed(id uint64) int {
+// relayCount returns how many times backends have received a complete command.
+func (b *recorder) relayCount(id uint64) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.all[id].relays
+	return b.requests[id].relays
 }
 
-// answer is the body that only a backend which has run the command makes.
-func (b *books) answer(id uint64) string {
+// expectedBody returns the answer body that only a backend which has executed the command can produce.
+func (b *recorder) expectedBody(id uint64) string {
 	return fmt.Sprintf("made %016x", emulator.MixSeeds(id, 0x616e73))
 }
 
-func (b *books) seed(id uint64) uint64 {
+// seed returns the random seed of a request.
+func (b *recorder) seed(id uint64) uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.all[id].seed
+	return b.requests[id].seed
 }
--- a/internal/testbed/calls.go
+++ b/internal/testbed/calls.go
@@ -1,4 +1,4 @@
-// This file owns what other measures may use of the load's clients. It must never pace or count differently from them.
+// This file exports the clients of the load test for other measurements, with the same pacing and counting.
 
 package testbed
 
@@ -7,26 +7,26 @@
 	"math/rand/v2"
 )
 
-// Caller is a client's connection that sends one call after another.
-type Caller struct{ counter counter }
+// Caller is a client connection that sends one command after another.
+type Caller struct{ loadConn loadConn }
 
-// NewCaller makes a caller of an address; it connects with its first call.
+// NewCaller returns a caller for an address. It connects with the first command.
 func NewCaller(address string) *Caller {
-	return &Caller{counter{at: address, base: rand.Uint64()}}
+	return &Caller{loadConn{addr: address, idBase: rand.Uint64()}}
 }
 
-// Once sends a call and waits for its answer.
-func (c *Caller) Once() error { return c.counter.once() }
+// Once sends a command and waits for its answer.
+func (c *Caller) Once() error { return c.loadConn.call() }
 
-// Close ends the connection, if there is one.
+// Close closes the connection, if there is one.
 func (c *Caller) Close() {
-	if c.counter.conn != nil {
-		c.counter.lost(nil)
+	if c.loadConn.conn != nil {
+		c.loadConn.disconnect(nil)
 	}
 }
 
-// OpenLoop has calls come to some addresses at a rate, whatever became of those before. It gives the median, 99 in 100 and
-// 99.9 in 100 of the seconds from when each was due, and how many failed.
-func OpenLoop(ctx context.Context, addresses []string, connections int, rate, seconds float64) (late [3]float64, failed int) {
-	return open(ctx, addresses, connections, "", rate, seconds)
+// OpenLoop sends commands to the addresses at a fixed rate, whatever became of earlier ones. It returns the median and the 99th
+// and 99.9th percentiles of the latency in seconds, counted from when each command was due, and the number of failures.
+func OpenLoop(ctx context.Context, addresses []string, connections int, rate, seconds float64) (latency [3]float64, failed int) {
+	return openLoop(ctx, addresses, connections, "", rate, seconds)
 }
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -1,5 +1,5 @@
-// This file owns clients on sockets: they send each command when it is due, keep connections, and try again by the
-// rules. It must never wait for one command before it sends another.
+// This file simulates clients on sockets. They send each command when it is due, without waiting for earlier ones, keep
+// connections open, and retry by the rules.
 
 package testbed
 
@@ -23,40 +23,43 @@
 	"sandpass/internal/faults"
 )
 
-// result is what came of one try.
+// result is the result of one attempt.
 type result int
 
 const (
-	served result = iota
-	declinedThat
-	failed
-	broken    // the connection broke, its proxy is gone
-	unreached // no connection came up
-	silent    // nothing came in time: its end was never told
-	left      // the client went
+	resultServed result = iota
+	resultDeclined
+	resultFailed
+	resultBroken    // the connection broke, the proxy is gone
+	resultUnreached // no connection could be opened
+	resultSilent    // no answer came in time, so the request never ended
+	resultLeft      // the client disconnected
 )
 
 const (
-	overdue  = 0.5 // seconds past its limit at which a client no longer listens
-	bodySize = 64  // bytes of a command that is not a GET
+	overdueSeconds   = 0.5 // a client waits this much longer than the time limit
+	requestBodyBytes = 64  // of a command that is not a GET
 )
 
-// pool keeps the connections to one address.
-type pool struct {
-	at   string
-	mu   sync.Mutex
-	idle []*clientConn
-	shut bool
+// connPool keeps idle connections to one address.
+type connPool struct {
+	addr   string
+	mu     sync.Mutex
+	idle   []*clientConn
+	closed bool
 }
 
+// clientConn is a client connection with its read buffer.
 type clientConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func newPool(at string) *pool { return &pool{at: at} }
+// newConnPool returns an empty pool for an address.
+func newConnPool(addr string) *connPool { return &connPool{addr: addr} }
 
-func (p *pool) take() *clientConn {
+// take returns the connection that was used last, or nil.
+func (p *connPool) take() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := len(p.idle); n > 0 {
@@ -67,157 +70,164 @@
 	return nil
 }
 
-func (p *pool) put(c *clientConn) {
+// put returns a connection to the pool.
+func (p *connPool) put(c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.shut {
+	if p.closed {
 		c.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
 }
 
-func (p *pool) close() {
+// close closes the idle connections, and those that are returned later.
+func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shut = true
+	p.closed = true
 	for _, c := range p.idle {
 		c.Close()
 	}
 	p.idle = nil
 }
 
-// want is one command to be asked.
-type want struct {
+// request describes one command to send.
+type request struct {
 	verb, customer, tier, instance int
 	seed, op                       uint64
 	limit                          float64
-	by                             *process // of the first tier, that it goes to
+	target                         *process // the first-tier proxy that it is sent to, nil for a nested call
 }
 
-type got struct {
-	result   result
-	comeBack float64
+// response is the result of one attempt, with the Retry-After of a declined one.
+type response struct {
+	result            result
+	retryAfterSeconds float64
 }
 
-// request is the text of a command.
-func (r *Harness) request(id uint64, w want) string {
-	v := &r.world.Verbs[w.verb]
+// requestText returns the HTTP request of a command.
+func (h *Harness) requestText(id uint64, w request) string {
+	v := &h.world.Verbs[w.verb]
 	method, body, key := "GET", "", ""
 	if v.Effect != "pure" {
-		method, body = "POST", fmt.Sprintf("%-*s", bodySize, v.Name)
+		method, body = "POST", fmt.Sprintf("%-*s", requestBodyBytes, v.Name)
 	}
 	if v.Effect == "receipted" {
 		key = fmt.Sprintf("Idempotency-Key: %032x\r\n", w.op)
 	}
-	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %016x\r\nReq-Kind: %s\r\nReq-Owner: %s\r\nReq-Deadline: %.3f\r\n%sContent-Length: %d\r\n\r\n%s",
-		method, v.Name, id, v.Name, customer(w.customer), w.limit, key, len(body), body)
+	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %016x\r\nReq-Kind: %s\r\nReq-Owner: %s\r\n"+
+		"Req-Deadline: %.3f\r\n%sContent-Length: %d\r\n\r\n%s",
+		method, v.Name, id, v.Name, customerName(w.customer), w.limit, key, len(body), body)
 }
 
-// ask sends a command to a proxy as a client does, with a new id, and waits for its answer.
-func (r *Harness) ask(ctx context.Context, p *pool, w want) got {
-	id := emulator.MixSeeds(r.seed, r.ids.Add(1))
+// send sends a command with a new ID to a proxy, as a client does, and waits for its answer.
+func (h *Harness) send(ctx context.Context, p *connPool, w request) response {
+	id := emulator.MixSeeds(h.seed, h.ids.Add(1))
 	if w.op == 0 {
 		w.op = id
 	}
-	text := r.request(id, w)
-	until := time.Now().Add(time.Duration((w.limit + overdue) * float64(time.Second)))
-	taken, began := false, r.clock()
+	text := h.requestText(id, w)
+	deadline := time.Now().Add(time.Duration((w.limit + overdueSeconds) * float64(time.Second)))
+	accepted, startedAt := false, h.now()
 	for try := 0; ; try++ {
 		c := p.take()
-		fresh := c == nil
-		if fresh {
-			conn, err := (&net.Dialer{Deadline: until}).DialContext(ctx, "tcp", p.at)
+		isNew := c == nil
+		if isNew {
+			conn, err := (&net.Dialer{Deadline: deadline}).DialContext(ctx, "tcp", p.addr)
 			if err != nil {
-				if taken {
-					r.books.ended(id, broken, false)
-					return got{result: broken}
+				if accepted {
+					h.recorder.requestEnded(id, resultBroken, false)
+					return response{result: resultBroken}
 				}
-				return got{result: unreached}
+				return response{result: resultUnreached}
 			}
 			c = &clientConn{conn, bufio.NewReader(conn)}
 		}
-		if !taken {
-			r.books.taken(id, record{seed: w.seed, verb: w.verb, instance: w.instance, op: w.op}, w.limit)
-			taken = true
+		if !accepted {
+			h.recorder.requestAccepted(id, requestRecord{seed: w.seed, verb: w.verb, instance: w.instance, op: w.op}, w.limit)
+			accepted = true
 		}
-		g, reused, crossed := r.exchange(ctx, c, until, id, text)
+		reply, reused, closedUnread := h.exchange(ctx, c, deadline, id, text)
 		if reused {
 			p.put(c)
 		} else {
 			c.Close()
 		}
-		if crossed && !fresh && try < 3 && time.Now().Before(until) {
-			continue // the proxy closed a connection at rest while this crossed it: it goes out once more
+		if closedUnread && !isNew && try < 3 && time.Now().Before(deadline) {
+			continue // the proxy closed an idle connection before it read the request: send it again
 		}
 		switch {
-		case g.result != silent:
-			r.books.ended(id, g.result, true)
-		case w.by != nil && w.by.stood(began): // its client has hung up on a process that stood still
-			r.books.ended(id, left, false)
+		case reply.result != resultSilent:
+			h.recorder.requestEnded(id, reply.result, true)
+		case w.target != nil && w.target.stalledSince(startedAt): // the client disconnected from a stalled process
+			h.recorder.requestEnded(id, resultLeft, false)
 		}
-		return g
+		return reply
 	}
 }
 
-// exchange writes a command and reads its answer. crossed says that the connection ended before a byte of it came.
-func (r *Harness) exchange(ctx context.Context, c *clientConn, until time.Time, id uint64, text string) (g got, reused, crossed bool) {
-	c.SetDeadline(until)
+// exchange writes a command and reads its answer. reused tells whether the connection can carry another command, closedUnread
+// that it ended before a byte of the answer came.
+func (h *Harness) exchange(ctx context.Context, c *clientConn, deadline time.Time, id uint64, text string) (reply response,
+	reused, closedUnread bool) {
+	c.SetDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	gone := func(err error, begun bool) (got, bool, bool) {
-		var late net.Error
+	connError := func(err error, answerBegun bool) (response, bool, bool) {
+		var netErr net.Error
 		switch {
 		case ctx.Err() != nil:
-			return got{result: left}, false, false
-		case errors.As(err, &late) && late.Timeout():
-			return got{result: silent}, false, false
+			return response{result: resultLeft}, false, false
+		case errors.As(err, &netErr) && netErr.Timeout():
+			return response{result: resultSilent}, false, false
 		}
-		return got{result: broken}, false, !begun
+		return response{result: resultBroken}, false, !answerBegun
 	}
 	if _, err := io.WriteString(c, text); err != nil {
-		return gone(err, false)
+		return connError(err, false)
 	}
-	if _, err := c.in.Peek(1); err != nil {
-		return gone(err, false)
+	if _, err := c.reader.Peek(1); err != nil {
+		return connError(err, false)
 	}
-	a, err := http.ReadResponse(c.in, nil)
+	answer, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return gone(err, true)
+		return connError(err, true)
 	}
-	body, err := io.ReadAll(a.Body)
+	body, err := io.ReadAll(answer.Body)
 	if err != nil {
-		return gone(err, true)
+		return connError(err, true)
 	}
-	keep := !a.Close
-	switch a.StatusCode {
+	keepAlive := !answer.Close
+	switch answer.StatusCode {
 	case 200:
-		if string(body) != r.books.answer(id) {
-			r.books.client(func(j *checker.Checker) { j.CommandEnded(r.books.now(), id, false, true, false) })
-			return got{result: silent}, keep, false
+		if string(body) != h.recorder.expectedBody(id) {
+			h.recorder.withChecker(func(c *checker.Checker) { c.CommandEnded(h.recorder.now(), id, false, true, false) })
+			return response{result: resultSilent}, keepAlive, false
 		}
-		return got{result: served}, keep, false
+		return response{result: resultServed}, keepAlive, false
 	case 429, 503:
-		wait, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
-		return got{declinedThat, wait}, keep, false
+		wait, _ := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
+		return response{resultDeclined, wait}, keepAlive, false
 	}
-	return got{result: failed}, keep, false
+	return response{result: resultFailed}, keepAlive, false
 }
 
-// choose draws a proxy of the zone by weight among those that the front believes in, or of another zone.
-func (r *Harness) choose(zone int, u float64) *process {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for z := range r.world.Zones {
-		sum := 0.0
+// chooseProxy draws a proxy by weight among those that the front considers alive, in the given zone if there are any, else in
+// the next one.
+func (h *Harness) chooseProxy(zone int, u float64) *process {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for z := range h.world.Zones {
+		totalWeight := 0.0
 		var all []*process
-		for _, p := range r.fronts {
-			if p != nil && p.zone == (zone+z)%r.world.Zones {
+		for _, p := range h.proxies {
+			if p != nil && p.zone == (zone+z)%h.world.Zones {
 				all = append(all, p)
-				sum += p.weight
+				totalWeight += p.weight
 			}
 		}
-		u := u * sum
+		u := u * totalWeight
 		for _, p := range all {
 			if u -= p.weight; u < 0 {
 				return p
@@ -227,74 +237,77 @@
 	return nil
 }
 
-// operation carries one client's want through its tries.
-func (r *Harness) operation(a emulator.Arrival) {
-	defer r.busy.Done()
-	v := &r.world.Verbs[a.Verb]
-	w := &r.world.Clients
+// runOperation sends one operation of a client and retries it by the rules.
+func (h *Harness) runOperation(arrival emulator.Arrival) {
+	defer h.operations.Done()
+	v := &h.world.Verbs[arrival.Verb]
+	w := &h.world.Clients
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if a.LeavesAt > 0 {
-		t := time.AfterFunc(time.Until(r.at(a.LeavesAt)), cancel)
+	if arrival.LeavesAt > 0 {
+		t := time.AfterFunc(time.Until(h.timeAt(arrival.LeavesAt)), cancel)
 		defer t.Stop()
 	}
-	chance := rand.New(rand.NewPCG(a.Seed, 1))
-	due := r.at(a.Due)
+	rng := rand.New(rand.NewPCG(arrival.Seed, 1))
+	due := h.timeAt(arrival.Due)
 	first, mayHaveRun := time.Time{}, false
 	effect, scope := emulator.EffectAndScope(v)
 	loss := checker.Loss{Cause: checker.Unreached}
 	for tries := 1; ; tries++ {
-		leftTime := time.Until(due).Seconds() + v.Limit
-		limit := min(w.TryShare*v.Limit, leftTime)
-		g := got{result: unreached}
-		if p := r.choose(a.Zone, chance.Float64()); p != nil {
+		remaining := time.Until(due).Seconds() + v.Limit
+		limit := min(w.TryShare*v.Limit, remaining)
+		reply := response{result: resultUnreached}
+		if p := h.chooseProxy(arrival.Zone, rng.Float64()); p != nil {
 			if first.IsZero() {
 				first = time.Now()
 			}
-			g = r.ask(ctx, p.pool, want{verb: a.Verb, customer: a.Customer, seed: a.Seed, op: a.Seed | 1, limit: limit, instance: p.serial, by: p})
+			reply = h.send(ctx, p.pool, request{verb: arrival.Verb, customer: arrival.Customer, seed: arrival.Seed,
+				op: arrival.Seed | 1, limit: limit, instance: p.serial, target: p})
 		}
-		took := time.Since(due).Seconds()
-		switch g.result {
-		case served:
-			if a.Measured {
-				worth := a.Utility
-				if took > v.Goal {
-					worth *= v.LateShare
-					r.books.client(func(j *checker.Checker) {
-						j.OperationLost(checker.Loss{Cause: checker.Late, Place: checker.Work}, a.Utility-worth)
+		elapsed := time.Since(due).Seconds()
+		switch reply.result {
+		case resultServed:
+			if arrival.Measured {
+				utility := arrival.Utility
+				if elapsed > v.Goal {
+					utility *= v.LateShare
+					h.recorder.withChecker(func(c *checker.Checker) {
+						c.OperationLost(checker.Loss{Cause: checker.Late, Place: checker.Work}, arrival.Utility-utility)
 					})
 				}
-				r.books.client(func(j *checker.Checker) { j.OperationAnswered(a.Due, a.Due+took, a.Customer, worth) })
+				h.recorder.withChecker(func(c *checker.Checker) {
+					c.OperationAnswered(arrival.Due, arrival.Due+elapsed, arrival.Customer, utility)
+				})
 			}
 			return
-		case declinedThat:
+		case resultDeclined:
 			loss = checker.Loss{Cause: checker.Declined}
-		case failed:
+		case resultFailed:
 			loss = checker.Loss{Cause: checker.Terminated, Place: checker.BackendFailed}
-		case broken:
+		case resultBroken:
 			loss = checker.Loss{Cause: checker.InstanceDied}
-		case silent:
+		case resultSilent:
 			loss = checker.Loss{Cause: checker.TimedOut, Place: checker.Network}
-		case unreached:
+		case resultUnreached:
 			loss = checker.Loss{Cause: checker.Unreached}
-		case left:
+		case resultLeft:
 			loss = checker.Loss{Cause: checker.ClientLeft}
 		}
-		mayHaveRun = mayHaveRun || g.result == failed || g.result == broken || g.result == silent
-		backoff := w.RetryBackoff * math.Pow(2, float64(tries-1)) * (0.5 + chance.Float64())
-		most := w.Retries
-		if hard := r.hard(faults.RetryStorm); hard > 0 {
-			most += int(math.Ceil(hard))
-			backoff /= 1 + hard
+		mayHaveRun = mayHaveRun || reply.result == resultFailed || reply.result == resultBroken || reply.result == resultSilent
+		backoff := w.RetryBackoff * math.Pow(2, float64(tries-1)) * (0.5 + rng.Float64())
+		maxTries := w.Retries
+		if severity := h.severity(faults.RetryStorm); severity > 0 {
+			maxTries += int(math.Ceil(severity))
+			backoff /= 1 + severity
 		}
-		if g.result == declinedThat && chance.Float64() < w.RetryAfterShare {
-			backoff = max(backoff, g.comeBack)
+		if reply.result == resultDeclined && rng.Float64() < w.RetryAfterShare {
+			backoff = max(backoff, reply.retryAfterSeconds)
 		}
 		allowed := effect == balance.Pure || !mayHaveRun ||
 			effect == balance.Receipted && scope == balance.ScopeAll && time.Since(first).Seconds()+backoff+limit < v.DedupWindow
-		if g.result == left || !allowed || tries > most || took+backoff > v.Limit-0.02 {
-			if a.Measured {
-				r.books.client(func(j *checker.Checker) { j.OperationLost(loss, a.Utility) })
+		if reply.result == resultLeft || !allowed || tries > maxTries || elapsed+backoff > v.Limit-0.02 {
+			if arrival.Measured {
+				h.recorder.withChecker(func(c *checker.Checker) { c.OperationLost(loss, arrival.Utility) })
 			}
 			return
 		}
--- a/internal/testbed/here.go
+++ b/internal/testbed/here.go
@@ -1,5 +1,5 @@
-// This file owns a proxy that runs in this very program, started by it as a child of itself, so that a profile can be
-// taken. It must never be what operators run: that is cmd/sandpass.
+// This file runs a proxy inside the test or sandlab program, which starts itself as a child process, so that a CPU profile can
+// be taken. Operators run cmd/sandpass instead.
 
 package testbed
 
@@ -19,14 +19,14 @@
 	"sandpass/internal/proxy"
 )
 
-// The environment that makes a program which calls Here the proxy.
+// Environment variables that make a program which calls RunProxyIfRequested the proxy.
 const (
 	RunProxyEnv = "SANDLAB_PROXY"
 	profileEnv  = "SANDLAB_PROFILE"
 	operatorEnv = "SANDLAB_OPERATOR"
 )
 
-// Here runs the proxy if the environment says so, and tells whether it did.
+// RunProxyIfRequested runs the proxy if RunProxyEnv is set to 1, and reports whether it did.
 func RunProxyIfRequested() (bool, error) {
 	if os.Getenv(RunProxyEnv) != "1" {
 		return false, nil
@@ -43,14 +43,14 @@
 		return true, err
 	}
 	runtime.GOMAXPROCS(1)
-	ends := make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	p, err := proxy.New(l)
 	if err != nil {
 		return true, err
 	}
-	if place := os.Getenv(profileEnv); place != "" {
-		out, err := os.Create(place)
+	if path := os.Getenv(profileEnv); path != "" {
+		out, err := os.Create(path)
 		if err != nil {
 			return true, err
 		}
@@ -60,25 +60,25 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	var asked atomic.Bool
+	var stopRequested atomic.Bool
 	go func() {
-		<-ends
-		asked.Store(true)
+		<-signals
+		stopRequested.Store(true)
 		p.WakeUp()
 	}()
-	return true, p.Run(asked.Load)
+	return true, p.Run(stopRequested.Load)
 }
 
-// dearest names the functions of a profile in which most of the time is spent, themselves alone and with what they call.
-func dearest(place string, n int) ([]string, error) {
-	in, err := os.Open(place)
+// hotFunctions names the n functions of a profile with the highest flat time, that is without the functions they call.
+func hotFunctions(path string, n int) ([]string, error) {
+	in, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer in.Close()
 	p, err := profile.Parse(in)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", place, err)
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	flat := map[string]int64{}
 	total := int64(0)
--- a/internal/testbed/lives.go
+++ b/internal/testbed/lives.go
@@ -1,5 +1,5 @@
-// This file owns what faults do to the first tier's proxies as processes: killed, restarted as planned, standing still, in
-// a crash loop. It must never leave one standing still, nor signal a process that this rig did not start.
+// This file carries out the faults of first-tier proxy processes: kills, planned restarts, stalls and crash loops. Every stalled
+// process is resumed, and only processes that this harness started are signaled.
 
 package testbed
 
@@ -18,63 +18,64 @@
 )
 
 const (
-	oldBy = 3 * 3600.0 // seconds by which an old state is older than it was
-	wakes = 0.1        // seconds in which a process that goes on has a core: half of 64 want one of a few at once
+	snapshotAgeSeconds = 3 * 3600.0 // added to the age of an "old" snapshot
+	resumeSeconds      = 0.1        // until a resumed process gets a core: half of 64 proxies may compete for a few cores
 )
 
-func (r *Harness) front(i int) *process {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.fronts[i]
+// proxyAt returns the i-th proxy of the first tier, nil while the front considers it down.
+func (h *Harness) proxyAt(i int) *process {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.proxies[i]
 }
 
-// kill ends a proxy at once; the front sends it clients until it notices.
-func (r *Harness) kill(i int, p *process) {
+// killProxy kills a proxy. The front sends it new clients until it notices.
+func (h *Harness) killProxy(i int, p *process) {
 	p.kill()
-	time.AfterFunc(time.Duration(r.world.Clients.DeathDetection*float64(time.Second)), func() {
-		r.mu.Lock()
-		if r.fronts[i] == p {
-			r.fronts[i] = nil
+	time.AfterFunc(time.Duration(h.world.Clients.DeathDetection*float64(time.Second)), func() {
+		h.mu.Lock()
+		if h.proxies[i] == p {
+			h.proxies[i] = nil
 		}
-		r.mu.Unlock()
+		h.mu.Unlock()
 	})
 }
 
-// revive starts a proxy in the place of one, at its address.
-func (r *Harness) revive(i int, p *process) *process { return r.reviveAs(i, p, p.me) }
+// restartProxy starts a proxy at the address of a previous one.
+func (h *Harness) restartProxy(i int, p *process) *process { return h.restartProxyAs(i, p, p.index) }
 
-// reviveAs is the same with a number that may be another's: then its messages go where that one's went.
-func (r *Harness) reviveAs(i int, p *process, me int) *process {
-	if err := r.spoil(p); err != nil {
-		r.fail(err)
+// restartProxyAs does the same with the index of another proxy, to whose address peer messages are then sent.
+func (h *Harness) restartProxyAs(i int, p *process, index int) *process {
+	if err := h.damageSnapshot(p); err != nil {
+		h.fail(err)
 		return nil
 	}
-	q, err := r.startProcess(0, me, p.zone, len(r.fronts), p.listen)
+	restarted, err := h.startProcess(0, index, p.zone, len(h.proxies), p.listen)
 	if err != nil {
-		r.fail(err)
+		h.fail(err)
 		return nil
 	}
-	q.weight, q.again = p.weight, true
-	r.mu.Lock()
-	r.fronts[i], r.running = q, append(r.running, q)
-	r.back = r.clock()
-	r.mu.Unlock()
-	return q
+	restarted.weight, restarted.restarted = p.weight, true
+	h.mu.Lock()
+	h.proxies[i], h.allProxies = restarted, append(h.allProxies, restarted)
+	h.lastRestart = h.now()
+	h.mu.Unlock()
+	return restarted
 }
 
-// spoil does to what a proxy has kept what the day has in store for it.
-func (r *Harness) spoil(p *process) error {
-	if r.SnapshotState == "" || r.SnapshotState == "kept" {
+// damageSnapshot changes the stored snapshot of a proxy as SnapshotState demands.
+func (h *Harness) damageSnapshot(p *process) error {
+	if h.SnapshotState == "" || h.SnapshotState == "kept" {
 		return nil
 	}
-	at := filepath.Join(r.dir, "state", p.name()+".state")
-	text, err := os.ReadFile(at)
+	path := filepath.Join(h.dir, "state", p.name()+".state")
+	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil // it may have ended before it kept anything
+		return nil // it may have ended before it stored a snapshot
 	}
-	switch r.SnapshotState {
+	switch h.SnapshotState {
 	case "lost":
-		return os.Remove(at)
+		return os.Remove(path)
 	case "torn":
 		text = text[:len(text)/2]
 	case "old":
@@ -82,17 +83,17 @@
 		if err != nil {
 			return err
 		}
-		s.SavedUnix -= oldBy
+		s.SavedUnix -= snapshotAgeSeconds
 		if text, err = snapshot.Encode(s); err != nil {
 			return err
 		}
 	}
-	return os.WriteFile(at, text, 0o600)
+	return os.WriteFile(path, text, 0o600)
 }
 
-// full reads what the proxy said of its start in its log.
-func (p *process) full() (seconds []float64) {
-	text, err := os.ReadFile(filepath.Join(p.rig.dir, fmt.Sprintf("p-%d.log", p.serial)))
+// recoverySeconds reads the time to full recovery from the proxy's log.
+func (p *process) recoverySeconds() (seconds []float64) {
+	text, err := os.ReadFile(filepath.Join(p.harness.dir, fmt.Sprintf("p-%d.log", p.serial)))
 	if err != nil {
 		return nil
 	}
@@ -107,80 +108,80 @@
 	return seconds
 }
 
-// turnOver kills or restarts a share of the first tier's proxies.
-func (r *Harness) turnOver(f faults.Fault, wait func(float64) bool) {
-	all := f.PickIndexes(len(r.fronts))
-	numbers := map[int]int{} // that each comes back with
-	for n, i := range all {
-		of := r.front(all[(n+1)%len(all)])
-		if of == nil || !r.SwapIndexes {
-			of = r.front(i)
+// killOrRestart kills or restarts a share of the first tier's proxies.
+func (h *Harness) killOrRestart(f faults.Fault, wait func(float64) bool) {
+	targets := f.PickIndexes(len(h.proxies))
+	newIndexes := map[int]int{} // index that each proxy restarts with
+	for n, i := range targets {
+		source := h.proxyAt(targets[(n+1)%len(targets)])
+		if source == nil || !h.SwapIndexes {
+			source = h.proxyAt(i)
 		}
-		if of != nil {
-			numbers[i] = of.me
+		if source != nil {
+			newIndexes[i] = source.index
 		}
 	}
-	one := func(i int, planned bool) {
-		p := r.front(i)
+	restartOne := func(i int, planned bool) {
+		p := h.proxyAt(i)
 		if p == nil {
-			return // another fault has it
+			return // stopped by another fault
 		}
-		if planned { // the front sends it no new clients from now on
-			r.mu.Lock()
-			r.fronts[i] = nil
-			r.mu.Unlock()
-			p.stop(endWithin)
+		if planned { // from now on the front sends it no new clients
+			h.mu.Lock()
+			h.proxies[i] = nil
+			h.mu.Unlock()
+			p.stop(shutdownTimeout)
 		} else {
-			r.kill(i, p)
+			h.killProxy(i, p)
 			if !wait(f.From + f.For) {
 				return
 			}
 		}
-		r.reviveAs(i, p, numbers[i])
+		h.restartProxyAs(i, p, newIndexes[i])
 	}
 	var done sync.WaitGroup
-	for n, i := range all {
-		if f.Kind == faults.RestartInstances && !wait(f.From+f.For*float64(n)/float64(len(all))) {
+	for n, i := range targets {
+		if f.Kind == faults.RestartInstances && !wait(f.From+f.For*float64(n)/float64(len(targets))) {
 			return
 		}
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			one(i, f.Kind == faults.RestartInstances)
+			restartOne(i, f.Kind == faults.RestartInstances)
 		}()
 	}
 	done.Wait()
 }
 
-// stall has a share of the proxies stand still.
-func (r *Harness) stall(f faults.Fault, wait func(float64) bool) {
-	var still []*process
-	for _, i := range f.PickIndexes(len(r.fronts)) {
-		if p := r.front(i); p != nil && p.signal(syscall.SIGSTOP) {
-			still = append(still, p)
+// stallProxies suspends a share of the proxies for the duration of the fault.
+func (h *Harness) stallProxies(f faults.Fault, wait func(float64) bool) {
+	var stalled []*process
+	for _, i := range f.PickIndexes(len(h.proxies)) {
+		if p := h.proxyAt(i); p != nil && p.signal(syscall.SIGSTOP) {
+			stalled = append(stalled, p)
 		}
 	}
-	from := r.clock()
-	for _, p := range still {
-		p.stands(from)
+	from := h.now()
+	for _, p := range stalled {
+		p.stallBegan(from)
 	}
 	wait(f.From + f.For)
-	for _, p := range still {
-		to := r.clock() // noted first: it answers within a millisecond
-		p.goesOn(to)
-		r.books.client(func(j *checker.Checker) { j.InstanceStalled(p.serial, from, to+wakes) })
+	for _, p := range stalled {
+		to := h.now() // recorded before SIGCONT, since the process answers within a millisecond
+		p.stallEnded(to)
+		h.recorder.withChecker(func(c *checker.Checker) { c.InstanceStalled(p.serial, from, to+resumeSeconds) })
 		p.signal(syscall.SIGCONT)
 	}
 }
 
-// crashLoop kills a share of the proxies again and again, each so long after it was ready.
-func (r *Harness) crashLoop(f faults.Fault, wait func(float64) bool) {
+// crashLoop kills a share of the proxies repeatedly, each a fixed time after it is ready.
+func (h *Harness) crashLoop(f faults.Fault, wait func(float64) bool) {
 	var done sync.WaitGroup
-	for _, i := range f.PickIndexes(len(r.fronts)) {
+	for _, i := range f.PickIndexes(len(h.proxies)) {
 		done.Go(func() {
-			for p := r.front(i); p != nil && r.clock() < f.From+f.For; {
-				r.kill(i, p)
-				if p = r.revive(i, p); p == nil || !wait(r.clock()+f.Hard) {
+			for p := h.proxyAt(i); p != nil && h.now() < f.From+f.For; {
+				h.killProxy(i, p)
+				if p = h.restartProxy(i, p); p == nil || !wait(h.now()+f.Hard) {
 					return
 				}
 			}
@@ -189,7 +190,7 @@
 	done.Wait()
 }
 
-// signal sends one to a process that has not ended, and tells whether it did.
+// signal sends a signal to a process that has not ended, and reports whether it did.
 func (p *process) signal(s syscall.Signal) bool {
 	select {
 	case <-p.ended:
@@ -199,24 +200,26 @@
 	}
 }
 
-// stands and goesOn keep the times at which it stood still.
-func (p *process) stands(from float64) {
+// stallBegan records the start of a stall.
+func (p *process) stallBegan(from float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.still = append(p.still, [2]float64{from, -1})
+	p.stalls = append(p.stalls, [2]float64{from, -1})
 }
 
-func (p *process) goesOn(to float64) {
+// stallEnded records the end of the current stall.
+func (p *process) stallEnded(to float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.still[len(p.still)-1][1] = to
+	p.stalls[len(p.stalls)-1][1] = to
 }
 
-// stood tells whether it stood still at any time since one: what it owed then is no fault of its own.
-func (p *process) stood(since float64) bool {
+// stalledSince reports whether the process was stalled at any time since the given one. It is not at fault for requests of that
+// time.
+func (p *process) stalledSince(since float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.still {
+	for _, s := range p.stalls {
 		if s[1] < 0 || s[1] >= since {
 			return true
 		}
@@ -224,15 +227,16 @@
 	return false
 }
 
-// asksToEnd and endAsked keep when it was asked to end.
-func (p *process) asksToEnd(at float64) {
+// recordStopRequest records when the process was asked to stop.
+func (p *process) recordStopRequest(at float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked = at
+	p.stopRequested = at
 }
 
-func (p *process) endAsked() float64 {
+// stopRequestedAt returns when the process was asked to stop, 0 if it was not.
+func (p *process) stopRequestedAt() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked
+	return p.stopRequested
 }
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -1,5 +1,5 @@
-// This file owns the measure of one proxy: how many commands a second one core carries, and what it adds to each. It must
-// never count a command from when it was sent instead of from when it was due.
+// This file load-tests one proxy: how many commands per second one core handles, and how much latency it adds. In the open loop
+// the latency of a command counts from when it was due, not from when it was sent.
 
 package testbed
 
@@ -25,34 +25,34 @@
 )
 
 const (
-	sketchError = 0.01 // relative, of latencies
-	settle      = 0.3  // part of a measure that goes before and is not counted
-	openPart    = 0.5  // of the closed loop's rate, at which latency is measured in open loop
-	straight    = 4    // stand-ins that answer at once
+	latencySketchError = 0.01 // relative accuracy of latencies
+	warmUpShare        = 0.3  // warm-up before a measurement, as a share of its duration
+	openLoopShare      = 0.5  // rate of the open loop, as a share of the closed loop's rate
+	directBackends     = 4    // number of simulated backends, which answer immediately
 )
 
-// Measure is one line: so many connections, straight to the backends or through the proxy.
+// Measurement is the result for one number of connections and body size, directly to the backends or through the proxy.
 type Measurement struct {
 	Connections, Body int
-	ClosedLoopRate    float64    // commands a second, each connection sending when it has its answer
-	CPU               float64    // seconds of the proxy's core for each command, 0 straight
-	OpenLoopRate      float64    // commands a second of the open loop
-	Latency           [3]float64 // median, 99%, 99.9% in seconds from when they were due
+	ClosedLoopRate    float64    // commands per second; each connection sends when it has its answer
+	CPU               float64    // CPU seconds of the proxy per command, 0 without a proxy
+	OpenLoopRate      float64    // commands per second of the open loop
+	Latency           [3]float64 // median, 99th and 99.9th percentile in seconds from when commands were due
 	Failed            int
-	HotFunctions      []string // functions of the proxy's profile in the closed loop
+	HotFunctions      []string // functions with the most CPU time in the closed loop
 }
 
-// Load measures one proxy before stand-ins that answer at once, and the same clients straight to these.
+// LoadTest measures one proxy in front of backends that answer immediately, and the same clients directly to these backends.
 type LoadTest struct {
 	Seconds      float64
-	Program      []string // starts the proxy
+	Program      []string // command that starts the proxy
 	Env          []string
-	Profile      bool    // the program is one that calls Here
-	OpenLoopRate float64 // commands a second of the open loop, 0: half of what the closed loop reached through the proxy
+	Profile      bool    // take a CPU profile; the program has to call RunProxyIfRequested
+	OpenLoopRate float64 // commands per second of the open loop; 0: half of the closed loop's rate through the proxy
 }
 
-// answerAtOnce answers every command as soon as it is whole, over so much of the machine as it needs.
-func answerAtOnce(l net.Listener, body []byte) {
+// serveImmediately answers each command as soon as it is complete, on as many cores as it needs.
+func serveImmediately(l net.Listener, body []byte) {
 	head := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
 	text := append(head, body...)
 	for {
@@ -81,7 +81,7 @@
 
 var contentLength = []byte("Content-Length: ")
 
-// readHead reads a head of our own making and gives the length of its body.
+// readHead reads the headers of a message written by this package and returns the length of its body.
 func readHead(in *bufio.Reader) (int64, error) {
 	n := int64(0)
 	for {
@@ -101,56 +101,61 @@
 	}
 }
 
-// counter is one client's connection, which sends command after command.
-type counter struct {
-	at   string
-	conn net.Conn
-	in   *bufio.Reader
-	body string
-	base uint64
-	n    uint64
+// loadConn is one client connection that sends one command after another.
+type loadConn struct {
+	addr   string
+	conn   net.Conn
+	reader *bufio.Reader
+	body   string
+	idBase uint64
+	sent   uint64
 }
 
-func (c *counter) once() error {
+// call sends one command and waits for its answer. It connects if necessary.
+func (c *loadConn) call() error {
 	if c.conn == nil {
-		conn, err := net.Dial("tcp", c.at)
+		conn, err := net.Dial("tcp", c.addr)
 		if err != nil {
 			return err
 		}
-		c.conn, c.in = conn, bufio.NewReaderSize(conn, 8<<10)
+		c.conn, c.reader = conn, bufio.NewReaderSize(conn, 8<<10)
 	}
-	c.n++
-	text := fmt.Appendf(nil, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %016x\r\nReq-Kind: pay\r\nReq-Owner: c0\r\nReq-Deadline: 10\r\nContent-Length: %d\r\n\r\n%s",
-		emulator.MixSeeds(c.base, c.n), len(c.body), c.body)
+	c.sent++
+	text := fmt.Appendf(nil, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %016x\r\nReq-Kind: pay\r\nReq-Owner: c0\r\n"+
+		"Req-Deadline: 10\r\nContent-Length: %d\r\n\r\n%s",
+		emulator.MixSeeds(c.idBase, c.sent), len(c.body), c.body)
 	if _, err := c.conn.Write(text); err != nil {
-		return c.lost(err)
+		return c.disconnect(err)
 	}
-	line, err := c.in.ReadSlice('\n')
+	line, err := c.reader.ReadSlice('\n')
 	if err != nil {
-		return c.lost(err)
+		return c.disconnect(err)
 	}
 	ok := bytes.HasPrefix(line, []byte("HTTP/1.1 200"))
-	n, err := readHead(c.in)
+	n, err := readHead(c.reader)
 	if err != nil {
-		return c.lost(err)
+		return c.disconnect(err)
 	}
-	if _, err := io.CopyN(io.Discard, c.in, n); err != nil {
-		return c.lost(err)
+	if _, err := io.CopyN(io.Discard, c.reader, n); err != nil {
+		return c.disconnect(err)
 	}
 	if !ok {
-		return errors.New("not answered")
+		return errors.New("the command was not answered with status 200")
 	}
 	return nil
 }
 
-func (c *counter) lost(err error) error {
+// disconnect closes the connection and returns err.
+func (c *loadConn) disconnect(err error) error {
 	c.conn.Close()
 	c.conn = nil
 	return err
 }
 
-// closed has so many clients send one after another, and gives commands a second and how many failed.
-func closed(ctx context.Context, at []string, conns int, body string, seconds float64, begun func()) (rate float64, bad int) {
+// closedLoop lets each of conns clients send commands one after another. It returns commands per second and the number of failed
+// ones. onMark is called at the start and at the end of the measurement.
+func closedLoop(ctx context.Context, addrs []string, conns int, body string, seconds float64, onMark func()) (rate float64,
+	failedCount int) {
 	var done, failed atomic.Int64
 	var counting atomic.Bool
 	stop := make(chan struct{})
@@ -159,7 +164,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			c := &counter{at: at[i%len(at)], body: body, base: rand.Uint64()}
+			c := &loadConn{addr: addrs[i%len(addrs)], body: body, idBase: rand.Uint64()}
 			for {
 				select {
 				case <-stop:
@@ -169,7 +174,7 @@
 					return
 				default:
 				}
-				err := c.once()
+				err := c.call()
 				if counting.Load() {
 					if done.Add(1); err != nil {
 						failed.Add(1)
@@ -178,50 +183,52 @@
 			}
 		}()
 	}
-	pause(ctx, settle*seconds)
-	begun()
+	sleep(ctx, warmUpShare*seconds)
+	onMark()
 	counting.Store(true)
 	from := time.Now()
-	pause(ctx, seconds)
+	sleep(ctx, seconds)
 	counting.Store(false)
 	took := time.Since(from).Seconds()
-	begun()
+	onMark()
 	close(stop)
 	wait.Wait()
 	return float64(done.Load()) / took, int(failed.Load())
 }
 
-func pause(ctx context.Context, seconds float64) {
+// sleep waits for a number of seconds or until ctx ends.
+func sleep(ctx context.Context, seconds float64) {
 	select {
 	case <-time.After(time.Duration(seconds * float64(time.Second))):
 	case <-ctx.Done():
 	}
 }
 
-// awakeBefore is for how long before a command is due its client no longer sleeps: a quarter of the time between two
-// commands, so that waiting takes a quarter of a core at most.
-func awakeBefore(rate float64) time.Duration {
+// spinBefore returns for how long a client busy-waits before a command is due: a quarter of the time between two commands, so
+// that waiting uses at most a quarter of a core.
+func spinBefore(rate float64) time.Duration {
 	const least, most = 100 * time.Microsecond, 1500 * time.Microsecond
 	return min(most, max(least, time.Duration(float64(time.Second)/rate/4)))
 }
 
-// open has commands come at a rate, whatever became of those before; a free connection takes the next, and latency
-// counts from when it was due.
-func open(ctx context.Context, at []string, conns int, body string, rate, seconds float64) (late [3]float64, bad int) {
+// openLoop sends commands at a fixed rate, whatever became of earlier ones. Each command takes the next free connection, and its
+// latency counts from when it was due.
+func openLoop(ctx context.Context, addrs []string, conns int, body string, rate, seconds float64) (latency [3]float64,
+	failedCount int) {
 	from := time.Now().Add(50 * time.Millisecond)
-	first := int64(settle * seconds * rate)
-	total := int64((1 + settle) * seconds * rate)
-	awake := awakeBefore(rate)
+	first := int64(warmUpShare * seconds * rate)
+	total := int64((1 + warmUpShare) * seconds * rate)
+	spin := spinBefore(rate)
 	var next atomic.Int64
 	var failed atomic.Int64
 	sketches := make([]*ddsketch.DDSketch, conns)
 	var wait sync.WaitGroup
 	for i := range conns {
-		sketches[i], _ = ddsketch.NewDefaultDDSketch(sketchError)
+		sketches[i], _ = ddsketch.NewDefaultDDSketch(latencySketchError)
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			c := &counter{at: at[i%len(at)], body: body, base: rand.Uint64()}
+			c := &loadConn{addr: addrs[i%len(addrs)], body: body, idBase: rand.Uint64()}
 			defer func() {
 				if c.conn != nil {
 					c.conn.Close()
@@ -233,12 +240,12 @@
 					return
 				}
 				due := from.Add(time.Duration(float64(n) / rate * float64(time.Second)))
-				if wait := time.Until(due); wait > 2*awake {
-					time.Sleep(wait - awake)
+				if wait := time.Until(due); wait > 2*spin {
+					time.Sleep(wait - spin)
 				}
-				for time.Until(due) > 0 { // the last of it without sleep, which may be late by a millisecond
+				for time.Until(due) > 0 { // busy-waits, since a sleep may be late by a millisecond
 				}
-				err := c.once()
+				err := c.call()
 				if n >= first {
 					if err != nil {
 						failed.Add(1)
@@ -251,15 +258,15 @@
 	wait.Wait()
 	all := sketches[0]
 	for _, s := range sketches[1:] {
-		_ = all.MergeWith(s) // of one kind, so it can't fail
+		_ = all.MergeWith(s) // cannot fail, all sketches have the same parameters
 	}
 	for k, q := range []float64{0.5, 0.99, 0.999} {
-		late[k], _ = all.GetValueAtQuantile(q)
+		latency[k], _ = all.GetValueAtQuantile(q)
 	}
-	return late, int(failed.Load())
+	return latency, int(failed.Load())
 }
 
-// Run measures at so many connections with bodies of so many bytes: straight first, then through a proxy.
+// Run measures with a number of connections and a body size in bytes, first directly and then through a proxy.
 func (l *LoadTest) Run(ctx context.Context, conns, body int) (direct, through Measurement, err error) {
 	dir, err := os.MkdirTemp("", "sandlab-")
 	if err != nil {
@@ -271,71 +278,71 @@
 	w.Zones, w.Customers = 1, []emulator.Customer{{Share: 1, Allowance: 1}}
 	w.Rate = 1e6
 	w.Verbs = []emulator.Verb{{Name: "pay", Effect: "effectful", Goal: 5, Limit: 10, Utility: 1, Share: 1, Work: []float64{0.001}}}
-	r := &Harness{world: w, seed: 1, program: l.Program, env: l.Env, dir: dir, lists: []*tierList{newTierList()},
-		books: &books{world: &w, start: time.Now(), all: map[uint64]*record{}}}
+	h := &Harness{world: w, seed: 1, program: l.Program, env: l.Env, dir: dir, lists: []*endpointHistory{newEndpointHistory()},
+		recorder: &recorder{world: &w, start: time.Now(), requests: map[uint64]*requestRecord{}}}
 	text := bytes.Repeat([]byte("x"), body)
-	var at []string
-	for i := range straight {
-		ln, err := listen()
+	var addrs []string
+	for i := range directBackends {
+		ln, err := listenLoopback()
 		if err != nil {
 			return direct, through, err
 		}
 		defer ln.Close()
-		go answerAtOnce(ln, text)
-		at = append(at, ln.Addr().String())
-		r.lists[0].add(&backend{serial: i + 1, name: fmt.Sprintf("s-%d", i), address: at[i], machine: &machine{cores: 1}}, "ready")
+		go serveImmediately(ln, text)
+		addrs = append(addrs, ln.Addr().String())
+		h.lists[0].add(&backend{serial: i + 1, name: fmt.Sprintf("s-%d", i), address: addrs[i], machine: &machine{cores: 1}}, "ready")
 	}
-	place := filepath.Join(dir, "profile")
+	profilePath := filepath.Join(dir, "profile")
 	if l.Profile {
-		r.env = append(append([]string(nil), l.Env...), profileEnv+"="+place)
+		h.env = append(append([]string(nil), l.Env...), profileEnv+"="+profilePath)
 	}
-	r.quiet = true
-	p, err := r.startProcess(0, 0, 0, 1, "")
+	h.withoutChecker = true
+	p, err := h.startProcess(0, 0, 0, 1, "")
 	if err != nil {
 		return direct, through, err
 	}
-	var used []float64
+	var cpu []float64
 	none := func() {}
 	direct, through = Measurement{Connections: conns, Body: body}, Measurement{Connections: conns, Body: body}
-	direct.ClosedLoopRate, direct.Failed = closed(ctx, at, conns, string(text), l.Seconds, none)
-	through.ClosedLoopRate, through.Failed = closed(ctx, []string{p.listen}, conns, string(text), l.Seconds,
-		func() { used = append(used, processor(p.cmd.Process.Pid)) })
+	direct.ClosedLoopRate, direct.Failed = closedLoop(ctx, addrs, conns, string(text), l.Seconds, none)
+	through.ClosedLoopRate, through.Failed = closedLoop(ctx, []string{p.listen}, conns, string(text), l.Seconds,
+		func() { cpu = append(cpu, cpuSeconds(p.cmd.Process.Pid)) })
 	if through.ClosedLoopRate > 0 {
-		through.CPU = (used[1] - used[0]) / l.Seconds / through.ClosedLoopRate
+		through.CPU = (cpu[1] - cpu[0]) / l.Seconds / through.ClosedLoopRate
 	}
-	p.stop(endWithin)
+	p.stop(shutdownTimeout)
 	if l.Profile {
-		if through.HotFunctions, err = dearest(place, 5); err != nil {
+		if through.HotFunctions, err = hotFunctions(profilePath, 5); err != nil {
 			return direct, through, err
 		}
 	}
-	// Latency on another process, so that the profile is of the closed loop alone.
-	r.env = l.Env
-	if p, err = r.startProcess(0, 0, 0, 1, ""); err != nil {
+	// Latency is measured on another process, so that the profile covers only the closed loop.
+	h.env = l.Env
+	if p, err = h.startProcess(0, 0, 0, 1, ""); err != nil {
 		return direct, through, err
 	}
-	defer p.stop(endWithin)
+	defer p.stop(shutdownTimeout)
 	rate := l.OpenLoopRate
 	if rate <= 0 {
-		rate = openPart * through.ClosedLoopRate
+		rate = openLoopShare * through.ClosedLoopRate
 	}
 	direct.OpenLoopRate, through.OpenLoopRate = rate, rate
-	var bad int
-	direct.Latency, bad = open(ctx, at, conns, string(text), rate, l.Seconds)
-	direct.Failed += bad
-	through.Latency, bad = open(ctx, []string{p.listen}, conns, string(text), rate, l.Seconds)
-	through.Failed += bad
+	var failedCount int
+	direct.Latency, failedCount = openLoop(ctx, addrs, conns, string(text), rate, l.Seconds)
+	direct.Failed += failedCount
+	through.Latency, failedCount = openLoop(ctx, []string{p.listen}, conns, string(text), rate, l.Seconds)
+	through.Failed += failedCount
 	return direct, through, ctx.Err()
 }
 
-// processor is the time in seconds that a process has had of a core.
-func processor(pid int) float64 {
+// cpuSeconds returns the CPU time that a process has used.
+func cpuSeconds(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
-	const tick = 0.01 // seconds: what Linux counts these in
+	const tick = 0.01 // seconds, the unit of these fields on Linux
 	user, _ := strconv.ParseFloat(string(fields[11]), 64)
 	system, _ := strconv.ParseFloat(string(fields[12]), 64)
 	return (user + system) * tick
--- a/internal/testbed/machine.go
+++ b/internal/testbed/machine.go
@@ -1,9 +1,9 @@
-// Package testbed plays an emulated world on real sockets: its backends, discovery and clients as stand-ins on loopback, in
-// real time, driving real sandpass processes. It also loads one proxy to see what a command costs.
+// Package testbed runs an emulated world on real sockets and in real time. Simulated backends, discovery and clients on loopback
+// drive real sandpass processes. The package also load-tests a single proxy to measure the cost of a command.
 //
-// Load is open loop: a command is sent when it is due, whatever became of those before, and its latency counts from
-// then, so that a proxy that stalls can't hide it. The package must never reach beyond loopback, nor end a process that
-// it did not start. What it can't carry out on sockets it refuses by name.
+// Load is open loop: a command is sent when it is due, whatever became of earlier ones, and its latency counts from then, so
+// that a stalled proxy cannot hide its delay. The package uses only loopback addresses and signals only processes that it
+// started. It rejects faults that cannot be carried out on sockets and names them in the error.
 package testbed
 
 import (
@@ -13,20 +13,21 @@
 	"time"
 )
 
-// This file owns the stand-in for a machine: cores shared evenly by the commands in work, as in the emulator, on the
-// wall clock. It must never know of sockets.
+// This file simulates a machine on the wall clock: its cores are shared evenly by the running commands, as in the emulator. It
+// does not use sockets.
 
-// job is one command's work on a machine.
+// job is the work of one command on a machine.
 type job struct {
-	need  float64 // of done, at which it is through
-	index int
-	done  chan struct{}
+	finishAt float64 // value of machine.done at which the job is finished
+	index    int
+	done     chan struct{}
 }
 
+// jobHeap is a heap of running jobs, ordered by when they finish.
 type jobHeap []*job
 
 func (h jobHeap) Len() int           { return len(h) }
-func (h jobHeap) Less(i, j int) bool { return h[i].need < h[j].need }
+func (h jobHeap) Less(i, j int) bool { return h[i].finishAt < h[j].finishAt }
 func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].index, h[j].index = i, j }
 func (h *jobHeap) Push(x any)        { j := x.(*job); j.index = len(*h); *h = append(*h, j) }
 func (h *jobHeap) Pop() any {
@@ -37,78 +38,81 @@
 	return j
 }
 
-// machine is cores of a speed. What it does for each command is counted in seconds of a core of speed 1.
+// machine simulates a number of cores of the same speed. Work is counted in seconds of a core of speed 1.
 type machine struct {
-	mu                  sync.Mutex
-	cores, speed        float64
-	chokeFrom, choke    float64
-	coldShare, coldSpan float64
-	started             time.Time // zero: long ago
-	slow                float64
-	hang                bool
-	jobs                jobHeap
-	extra               int // held without working: queued, or waiting for a call
-	done, rate          float64
-	at                  time.Time
-	timer               *time.Timer
-	closed              bool
+	mu                          sync.Mutex
+	cores, speed                float64
+	overloadFrom, overloadSlope float64
+	coldCapacity, warmUpSeconds float64
+	started                     time.Time // zero if it started long ago
+	slow                        float64
+	hung                        bool
+	jobs                        jobHeap
+	heldCount                   int // commands held without running: queued, or waiting for a nested call
+	done, rate                  float64
+	updatedAt                   time.Time
+	timer                       *time.Timer
+	closed                      bool
 }
 
-func newMachine(cores, speed, chokeFrom, choke, coldShare, coldSpan float64) *machine {
-	m := &machine{cores: cores, speed: speed, chokeFrom: chokeFrom, choke: choke, coldShare: coldShare, coldSpan: coldSpan, at: time.Now()}
-	m.timer = time.AfterFunc(time.Hour, m.due)
+// newMachine returns a running machine without jobs.
+func newMachine(cores, speed, overloadFrom, overloadSlope, coldCapacity, warmUpSeconds float64) *machine {
+	m := &machine{cores: cores, speed: speed, overloadFrom: overloadFrom, overloadSlope: overloadSlope,
+		coldCapacity: coldCapacity, warmUpSeconds: warmUpSeconds, updatedAt: time.Now()}
+	m.timer = time.AfterFunc(time.Hour, m.timerFired)
 	return m
 }
 
-// warmth is the part of its capacity that it has.
+// warmth returns the share of its capacity that a machine has reached after its start.
 func (m *machine) warmth(now time.Time) float64 {
 	age := now.Sub(m.started).Seconds()
-	if m.started.IsZero() || age >= m.coldSpan {
+	if m.started.IsZero() || age >= m.warmUpSeconds {
 		return 1
 	}
-	return m.coldShare + (1-m.coldShare)*age/m.coldSpan
+	return m.coldCapacity + (1-m.coldCapacity)*age/m.warmUpSeconds
 }
 
-// retake counts what was done and takes the rate anew; m.mu is held.
-func (m *machine) retake() {
+// update counts the work done since the last update, finishes jobs and recomputes the rate. The caller holds m.mu.
+func (m *machine) update() {
 	now := time.Now()
-	m.done += m.rate * now.Sub(m.at).Seconds()
-	m.at = now
-	for len(m.jobs) > 0 && m.jobs[0].need <= m.done+1e-9 {
+	m.done += m.rate * now.Sub(m.updatedAt).Seconds()
+	m.updatedAt = now
+	for len(m.jobs) > 0 && m.jobs[0].finishAt <= m.done+1e-9 {
 		close(heap.Pop(&m.jobs).(*job).done)
 	}
 	n := float64(len(m.jobs))
-	if n == 0 || m.hang || m.closed {
+	if n == 0 || m.hung || m.closed {
 		m.rate = 0
 		m.timer.Stop()
 		return
 	}
-	crowd := max(0, (n+float64(m.extra))/m.cores-m.chokeFrom)
-	m.rate = m.speed * min(1, m.cores/n) * m.warmth(now) * (1 - m.slow) / (1 + m.choke*crowd)
-	wait := math.Min(0.1, (m.jobs[0].need-m.done)/m.rate) // while it is cold the rate grows
+	overload := max(0, (n+float64(m.heldCount))/m.cores-m.overloadFrom)
+	m.rate = m.speed * min(1, m.cores/n) * m.warmth(now) * (1 - m.slow) / (1 + m.overloadSlope*overload)
+	wait := math.Min(0.1, (m.jobs[0].finishAt-m.done)/m.rate) // recomputed every 0.1 s, since the rate grows during warm-up
 	m.timer.Reset(time.Duration(math.Max(0, wait) * float64(time.Second)))
 }
 
-func (m *machine) due() {
+// timerFired updates the machine when the next job is due to finish.
+func (m *machine) timerFired() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.retake()
+	m.update()
 }
 
-// change does something to the machine between two rates.
-func (m *machine) change(what func()) {
+// change applies a change to the machine between two updates.
+func (m *machine) change(apply func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.retake()
-	what()
-	m.retake()
+	m.update()
+	apply()
+	m.update()
 }
 
-// run does so much work and tells whether it came to its end before stop.
+// run performs an amount of work; it reports false if stop is closed first.
 func (m *machine) run(work float64, stop <-chan struct{}) bool {
 	j := &job{done: make(chan struct{})}
 	m.change(func() {
-		j.need = m.done + work
+		j.finishAt = m.done + work
 		heap.Push(&m.jobs, j)
 	})
 	select {
@@ -124,9 +128,10 @@
 	}
 }
 
-// held counts commands that are held beside those in work.
-func (m *machine) held(n int) { m.change(func() { m.extra += n }) }
+// addHeld changes the number of commands that are held without running.
+func (m *machine) addHeld(n int) { m.change(func() { m.heldCount += n }) }
 
+// close stops all work for good.
 func (m *machine) close() {
 	m.change(func() { m.closed = true })
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -1,5 +1,5 @@
-// This file owns the proxies under test: their processes, their configuration and the agent of discovery that each has.
-// It must never signal a process that it did not start.
+// This file manages the proxies under test: their processes, their configuration and the discovery agent of each. It signals
+// only processes that it started.
 
 package testbed
 
@@ -19,31 +19,31 @@
 )
 
 const (
-	readyWithin = 10 * time.Second
-	look        = 10 * time.Millisecond
-	heartbeat   = 2 * time.Second
+	readyTimeout      = 10 * time.Second
+	pollInterval      = 10 * time.Millisecond
+	heartbeatInterval = 2 * time.Second
 )
 
-// process is one proxy.
+// process is one proxy process.
 type process struct {
-	rig                    *Harness
-	serial, tier, me, zone int
-	listen                 string
-	weight                 float64
-	cmd                    *exec.Cmd
-	agent                  *agent
-	ended                  chan struct{}
-	once                   sync.Once
-	pool                   *pool // of the clients that come to it
-	again                  bool  // takes the place of one that failed
-	mu                     sync.Mutex
-	still                  [][2]float64 // from when to when it stood still, -1 while it does
-	asked                  float64      // when it was asked to end, 0 before
+	harness                   *Harness
+	serial, tier, index, zone int
+	listen                    string
+	weight                    float64
+	cmd                       *exec.Cmd
+	agent                     *discoveryAgent
+	ended                     chan struct{}
+	once                      sync.Once
+	pool                      *connPool // connections of its clients
+	restarted                 bool      // replaces a proxy that failed
+	mu                        sync.Mutex
+	stalls                    [][2]float64 // start and end of each stall, end -1 while stalled
+	stopRequested             float64      // when it was asked to stop, 0 before
 }
 
-// free is an address that nobody listens at just now.
-func free() (string, error) {
-	l, err := listen()
+// freeAddress returns an address at which no one listens at the moment.
+func freeAddress() (string, error) {
+	l, err := listenLoopback()
 	if err != nil {
 		return "", err
 	}
@@ -51,9 +51,9 @@
 	return l.Addr().String(), nil
 }
 
-// config is what the proxy is told.
-func (r *Harness) config(p *process, siblings int) map[string]any {
-	w := &r.world
+// proxyConfig returns the configuration of a proxy.
+func (h *Harness) proxyConfig(p *process, siblings int) map[string]any {
+	w := &h.world
 	var verbs, realms []map[string]any
 	for _, v := range w.Verbs {
 		effect := map[string]string{"pure": "idempotent", "receipted": "deduplicated", "effectful": "at_most_once"}[v.Effect]
@@ -62,107 +62,118 @@
 			scope = "all"
 		}
 		verbs = append(verbs, map[string]any{"name": v.Name, "effect": effect, "key_scope": scope, "window_ms": 1000 * v.DedupWindow,
-			"response_goal_ms": 1000 * v.Goal, "time_limit_ms": 1000 * v.Limit, "utility": v.Utility, "overdue_utility": v.LateShare, "stream": false})
+			"response_goal_ms": 1000 * v.Goal, "time_limit_ms": 1000 * v.Limit, "utility": v.Utility, "overdue_utility": v.LateShare,
+			"stream": false})
 	}
 	if p.tier == 0 {
 		for i, c := range w.Customers {
-			realms = append(realms, map[string]any{"name": customer(i), "allowance_per_s": c.Allowance * w.CommandRate()})
+			realms = append(realms, map[string]any{"name": customerName(i), "allowance_per_s": c.Allowance * w.CommandRate()})
 		}
 	}
 	zones := []string{}
 	for z := range w.Zones {
-		zones = append(zones, zone(z))
+		zones = append(zones, zoneName(z))
 	}
 	peers := []string{}
-	if p.tier == 0 && r.peers != nil {
-		peers = r.peers[p.me]
+	if p.tier == 0 && h.peerAddrs != nil {
+		peers = h.peerAddrs[p.index]
 	}
 	return map[string]any{
 		"peers": peers,
 		"name":  p.name(), "listen": p.listen, "discovery": p.agent.listener.Addr().String(),
-		"seed":   fmt.Sprintf("%016x", r.seed+uint64(p.serial)),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": cmp.Or(r.Stress.DescriptorLimit, 4096)},
+		"seed":   fmt.Sprintf("%016x", h.seed+uint64(p.serial)),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": cmp.Or(h.Stress.DescriptorLimit, 4096)},
 		"settings": map[string]any{
-			"me": p.me, "siblings": siblings, "tier": p.tier, "zone": p.zone, "discovery": "pushed", "azs": zones, "tick_ms": 1000 * w.Tick,
-			"limits": map[string]any{"max_relays": w.Rules.MaxRelays, "max_open": 5000, "peers": len(peers) > 0, "second_copies": w.Rules.SecondCopies, "cancel": w.Rules.CancelRelays,
-				"retry_after": w.Rules.MaxRetryAfter > 0, "max_retry_after_ms": 1000 * w.Rules.MaxRetryAfter, "connect_timeout_ms": 1000 * w.Rules.ConnectTimeout,
-				"conn_idle_ms": 1000 * w.Tiers[p.tier].IdleTimeout},
+			"me": p.index, "siblings": siblings, "tier": p.tier, "zone": p.zone, "discovery": "pushed", "azs": zones,
+			"tick_ms": 1000 * w.Tick,
+			"limits": map[string]any{"max_relays": w.Rules.MaxRelays, "max_open": 5000, "peers": len(peers) > 0,
+				"second_copies": w.Rules.SecondCopies, "cancel": w.Rules.CancelRelays,
+				"retry_after": w.Rules.MaxRetryAfter > 0, "max_retry_after_ms": 1000 * w.Rules.MaxRetryAfter,
+				"connect_timeout_ms": 1000 * w.Rules.ConnectTimeout,
+				"conn_idle_ms":       1000 * w.Tiers[p.tier].IdleTimeout},
 			"load_info": map[string]any{"fields": []string{}, "how": "none"}, "overage_utility": w.Clients.OverageUtility,
-			"safety": map[string]any{"cold_share": w.Rules.ColdShare, "cold_ms": 1000 * w.Rules.WarmUp, "fall_multiple": w.Rules.ColdMultiple},
+			"safety": map[string]any{"cold_share": w.Rules.ColdShare, "cold_ms": 1000 * w.Rules.WarmUp,
+				"fall_multiple": w.Rules.ColdMultiple},
 			"realms": realms, "verbs": verbs,
 		},
 	}
 }
 
-// name is the proxy's: that of its place, so that one which comes after has it as well.
-func (p *process) name() string { return fmt.Sprintf("p-%d-%d", p.tier, p.me) }
+// name returns the proxy's name. It depends on the index only, so that a replacement has the same name.
+func (p *process) name() string { return fmt.Sprintf("p-%d-%d", p.tier, p.index) }
 
-// operator writes the operators' file of the day where proxies keep what they know: once, since a proxy that reads it while
-// it is written anew would find it empty.
-func (r *Harness) operator() error {
-	if r.SnapshotState == "" {
+// writeOperatorFile writes the operator file if proxies store snapshots. It is written only once, since a proxy that reads the
+// file while it is rewritten would find it empty.
+func (h *Harness) writeOperatorFile() error {
+	if h.SnapshotState == "" {
 		return nil
 	}
-	folder := filepath.Join(r.dir, "state")
+	folder := filepath.Join(h.dir, "state")
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
 	}
-	r.words = filepath.Join(r.dir, "operator.toml")
-	return os.WriteFile(r.words, fmt.Appendf(nil, "[state]\nfolder = %q\nfleet = \"rig\"\nevery = 0.25\n", folder), 0o600)
+	h.operatorFile = filepath.Join(h.dir, "operator.toml")
+	return os.WriteFile(h.operatorFile, fmt.Appendf(nil, "[state]\nfolder = %q\nfleet = \"rig\"\nevery = 0.25\n", folder), 0o600)
 }
 
-func customer(i int) string { return fmt.Sprintf("c%d", i) }
-func zone(z int) string     { return fmt.Sprintf("z%d", z) }
+// customerName returns the name of a customer.
+func customerName(i int) string { return fmt.Sprintf("c%d", i) }
 
-const taken = "address already in use"
+// zoneName returns the name of a zone.
+func zoneName(z int) string { return fmt.Sprintf("z%d", z) }
 
-// startProcess starts a proxy and waits until it is ready. An address that was free may be another's by the time that
-// the proxy listens; then it is another one's turn.
-func (r *Harness) startProcess(tier, me, zone, siblings int, listen string) (p *process, err error) {
+// addressInUse is part of the proxy's error if its listen address is taken.
+const addressInUse = "address already in use"
+
+// startProcess starts a proxy and waits until it is ready. A free address may be taken by the time the proxy listens; then
+// another address is tried.
+func (h *Harness) startProcess(tier, index, zone, siblings int, listen string) (p *process, err error) {
 	for range 5 {
-		if p, err = r.startOnce(tier, me, zone, siblings, listen); err == nil || listen != "" || !strings.Contains(err.Error(), taken) {
+		if p, err = h.startOnce(tier, index, zone, siblings, listen); err == nil || listen != "" || !strings.Contains(err.Error(),
+			addressInUse) {
 			break
 		}
 	}
 	return p, err
 }
 
-func (r *Harness) startOnce(tier, me, zone, siblings int, listen string) (*process, error) {
+// startOnce makes one attempt to start a proxy.
+func (h *Harness) startOnce(tier, index, zone, siblings int, listen string) (*process, error) {
 	var err error
-	p := &process{rig: r, tier: tier, me: me, zone: zone, listen: listen, weight: 1, ended: make(chan struct{})}
+	p := &process{harness: h, tier: tier, index: index, zone: zone, listen: listen, weight: 1, ended: make(chan struct{})}
 	if p.listen == "" {
-		if p.listen, err = free(); err != nil {
+		if p.listen, err = freeAddress(); err != nil {
 			return nil, err
 		}
 	}
-	r.mu.Lock()
-	r.processes++
-	p.serial = r.processes
-	r.mu.Unlock()
-	if p.agent, err = r.startAgent(p); err != nil {
+	h.mu.Lock()
+	h.processCount++
+	p.serial = h.processCount
+	h.mu.Unlock()
+	if p.agent, err = h.startAgent(p); err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(r.config(p, siblings))
+	text, err := json.Marshal(h.proxyConfig(p, siblings))
 	if err != nil {
 		return nil, err
 	}
-	place := filepath.Join(r.dir, fmt.Sprintf("p-%d.json", p.serial))
-	if err := os.WriteFile(place, text, 0o600); err != nil {
+	path := filepath.Join(h.dir, fmt.Sprintf("p-%d.json", p.serial))
+	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
-	args, env := r.program[1:], append(r.env[:len(r.env):len(r.env)], "NODE_CONFIG="+place, "TMPDIR="+r.dir)
+	args, env := h.program[1:], append(h.env[:len(h.env):len(h.env)], "NODE_CONFIG="+path, "TMPDIR="+h.dir)
 	if tier == 0 {
-		env = append(env, r.Stress.environment()...)
+		env = append(env, h.Stress.environment()...)
 	}
-	if r.words != "" && tier == 0 {
-		env = append(env, operatorEnv+"="+r.words)
-		if len(args) > 0 { // not a child of ours
-			args = append(args[:len(args):len(args)], "--operator", r.words)
+	if h.operatorFile != "" && tier == 0 {
+		env = append(env, operatorEnv+"="+h.operatorFile)
+		if len(args) > 0 { // a sandpass program, which takes flags
+			args = append(args[:len(args):len(args)], "--operator", h.operatorFile)
 		}
 	}
-	p.cmd = exec.Command(r.program[0], args...)
+	p.cmd = exec.Command(h.program[0], args...)
 	p.cmd.Env = append(os.Environ(), env...)
-	out, err := os.Create(filepath.Join(r.dir, fmt.Sprintf("p-%d.log", p.serial)))
+	out, err := os.Create(filepath.Join(h.dir, fmt.Sprintf("p-%d.log", p.serial)))
 	if err != nil {
 		return nil, err
 	}
@@ -177,70 +188,73 @@
 		p.cmd.Wait()
 		close(p.ended)
 	}()
-	p.pool = newPool(p.listen)
-	for until := time.Now().Add(readyWithin); ; {
-		if ready(p.listen) {
+	p.pool = newConnPool(p.listen)
+	for deadline := time.Now().Add(readyTimeout); ; {
+		if isReady(p.listen) {
 			return p, nil
 		}
 		select {
 		case <-p.ended:
 			p.agent.close()
-			return nil, fmt.Errorf("proxy %d ended before it was ready: %s", p.serial, lastLine(filepath.Join(r.dir, fmt.Sprintf("p-%d.log", p.serial))))
-		case <-time.After(look):
+			return nil, fmt.Errorf("proxy %d ended before it was ready: %s", p.serial, lastLine(filepath.Join(h.dir,
+				fmt.Sprintf("p-%d.log", p.serial))))
+		case <-time.After(pollInterval):
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			p.kill()
-			return nil, fmt.Errorf("proxy %d was not ready within %v", p.serial, readyWithin)
+			return nil, fmt.Errorf("proxy %d was not ready within %v", p.serial, readyTimeout)
 		}
 	}
 }
 
+// lastLine returns the last line of a file.
 func lastLine(path string) string {
 	text, _ := os.ReadFile(path)
 	end := len(text)
 	for end > 0 && text[end-1] == '\n' {
 		end--
 	}
-	at := end
-	for at > 0 && text[at-1] != '\n' {
-		at--
+	start := end
+	for start > 0 && text[start-1] != '\n' {
+		start--
 	}
-	return string(text[at:end])
+	return string(text[start:end])
 }
 
-func ready(at string) bool {
+// isReady reports whether the proxy at an address answers its readiness check with status 200.
+func isReady(addr string) bool {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	q, err := c.Get("http://" + at + "/-/ready")
+	response, err := c.Get("http://" + addr + "/-/ready")
 	if err != nil {
 		return false
 	}
-	q.Body.Close()
-	return q.StatusCode == 200
+	response.Body.Close()
+	return response.StatusCode == 200
 }
 
-// kill ends it at once, and waits.
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.once.Do(func() {
 		p.cmd.Process.Kill()
 		<-p.ended
 		p.agent.close()
-		if !p.rig.quiet {
-			p.rig.books.killed(p.serial)
+		if !p.harness.withoutChecker {
+			p.harness.recorder.instanceKilled(p.serial)
 		}
 	})
 }
 
-// stop asks it to end as planned, and kills it where it does not.
-func (p *process) stop(within time.Duration) {
+// stop sends SIGTERM, and kills the process if it has not ended after the timeout.
+func (p *process) stop(timeout time.Duration) {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 	p.kill()
 }
 
-// cpu is the processor time in seconds that it used, once it has ended.
+// cpu returns the CPU seconds of a process that has ended.
 func (p *process) cpu() float64 {
 	s := p.cmd.ProcessState
 	if s == nil {
@@ -249,10 +263,8 @@
 	return (s.UserTime() + s.SystemTime()).Seconds()
 }
 
-// ---- Discovery
-
-// line is an entry as discovery words it.
-type line struct {
+// endpointEntry is an entry of the endpoint list in the format of discovery.
+type endpointEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -261,146 +273,154 @@
 	Status  string  `json:"status"`
 	Weight  float64 `json:"weight"`
 	SinceMs float64 `json:"since_ms"`
-	b       *backend
+	backend *backend
 	started time.Time
 }
 
-// tierList is a tier's history and who waits for more of it.
-type tierList struct {
-	mu     sync.Mutex
-	all    []line
-	more   chan struct{} // closed at each change
-	silent chan struct{} // closed while discovery speaks, open while it is silent
+// endpointHistory is the history of a tier's endpoint list.
+type endpointHistory struct {
+	mu       sync.Mutex
+	entries  []endpointEntry
+	changed  chan struct{} // closed at each change
+	speaking chan struct{} // closed while discovery answers, open while it is silent
 }
 
-func newTierList() *tierList {
-	l := &tierList{more: make(chan struct{}), silent: make(chan struct{})}
-	close(l.silent)
+// newEndpointHistory returns an empty history whose discovery answers.
+func newEndpointHistory() *endpointHistory {
+	l := &endpointHistory{changed: make(chan struct{}), speaking: make(chan struct{})}
+	close(l.speaking)
 	return l
 }
 
-func (l *tierList) add(b *backend, status string) {
+// add appends an entry for a backend and wakes the watches.
+func (l *endpointHistory) add(b *backend, status string) {
 	since := 0.0
 	if !b.started.IsZero() {
 		since = float64(b.started.UnixMilli())
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, line{Name: b.name, Address: b.address, Zone: zone(b.zone), Type: "m", Group: b.cell, Status: status,
-		Weight: b.machine.cores, SinceMs: since, b: b, started: b.started})
-	close(l.more)
-	l.more = make(chan struct{})
+	l.entries = append(l.entries, endpointEntry{Name: b.name, Address: b.address, Zone: zoneName(b.zone), Type: "m",
+		Group: b.cell, Status: status,
+		Weight: b.machine.cores, SinceMs: since, backend: b, started: b.started})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// hush makes discovery silent, or has it speak again.
-func (l *tierList) hush(on bool) {
+// setSilent makes discovery silent, or lets it answer again.
+func (l *endpointHistory) setSilent(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if on {
-		l.silent = make(chan struct{})
+		l.speaking = make(chan struct{})
 	} else {
-		close(l.silent)
+		close(l.speaking)
 	}
 }
 
-func (l *tierList) speaks() chan struct{} {
+// whenSpeaking returns a channel that is closed while discovery answers.
+func (l *endpointHistory) whenSpeaking() chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.silent
+	return l.speaking
 }
 
-// agent is what one proxy hears of discovery.
-type agent struct {
+// discoveryAgent is the discovery server of one proxy.
+type discoveryAgent struct {
 	listener net.Listener
 	server   *http.Server
-	p        *process
-	list     *tierList
+	proxy    *process
+	history  *endpointHistory
 	lag      time.Duration
 }
 
-func (r *Harness) startAgent(p *process) (*agent, error) {
-	l, err := listen()
+// startAgent starts the discovery server of a proxy. Its lag depends on the proxy's serial number.
+func (h *Harness) startAgent(p *process) (*discoveryAgent, error) {
+	l, err := listenLoopback()
 	if err != nil {
 		return nil, err
 	}
-	lag := r.world.Discovery.Lag
-	a := &agent{listener: l, p: p, list: r.lists[p.tier],
+	lag := h.world.Discovery.Lag
+	a := &discoveryAgent{listener: l, proxy: p, history: h.lists[p.tier],
 		lag: time.Duration((lag[0] + (lag[1]-lag[0])*float64(p.serial%7)/6) * float64(time.Second))}
 	a.server = &http.Server{Handler: a}
 	go a.server.Serve(l)
 	return a, nil
 }
 
-func (a *agent) close() { a.server.Close() }
+// close stops the server.
+func (a *discoveryAgent) close() { a.server.Close() }
 
-// ServeHTTP gives the whole list, or a watch from then on.
-func (a *agent) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != "/api/targets" {
-		http.NotFound(w, q)
+// ServeHTTP sends the whole list and, if asked to follow, its changes from then on.
+func (a *discoveryAgent) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/api/targets" {
+		http.NotFound(w, request)
 		return
 	}
 	flush := func() error { return http.NewResponseController(w).Flush() }
-	at := 0
-	whole := true
+	sentCount := 0
+	snapshot := true
 	for {
 		select {
-		case <-a.list.speaks():
-		case <-q.Context().Done():
+		case <-a.history.whenSpeaking():
+		case <-request.Context().Done():
 			return
 		}
-		a.list.mu.Lock()
-		now, more := append([]line(nil), a.list.all...), a.list.more
-		a.list.mu.Unlock()
-		var say []line
-		if whole {
+		a.history.mu.Lock()
+		now, more := append([]endpointEntry(nil), a.history.entries...), a.history.changed
+		a.history.mu.Unlock()
+		var send []endpointEntry
+		if snapshot {
 			latest := map[string]int{}
 			for i, x := range now {
 				latest[x.Name] = i
 			}
 			for i, x := range now {
 				if latest[x.Name] == i && x.Status != "gone" {
-					say = append(say, x)
+					send = append(send, x)
 				}
 			}
 		} else {
-			say = now[at:]
+			send = now[sentCount:]
 		}
-		for i, x := range say {
+		for i, x := range send {
 			var err error
-			if say[i].Address, err = a.p.rig.through(a.p.zone, x.b); err != nil {
-				a.p.rig.fail(err)
+			if send[i].Address, err = a.proxy.harness.backendAddr(a.proxy.zone, x.backend); err != nil {
+				a.proxy.harness.fail(err)
 				return
 			}
 		}
-		if len(say) > 0 || whole {
-			for _, x := range say {
-				if a.p.rig.quiet {
+		if len(send) > 0 || snapshot {
+			for _, x := range send {
+				if a.proxy.harness.withoutChecker {
 					break
 				}
-				a.p.rig.books.listed(a.p.serial, x.b, x.Status == "ready", x.started)
+				a.proxy.harness.recorder.endpointListed(a.proxy.serial, x.backend, x.Status == "ready", x.started)
 			}
-			if json.NewEncoder(w).Encode(map[string]any{"index": len(now), "snapshot": whole, "endpoints": say}) != nil || flush() != nil {
+			if json.NewEncoder(w).Encode(map[string]any{"index": len(now), "snapshot": snapshot, "endpoints": send}) != nil ||
+				flush() != nil {
 				return
 			}
-			if q.URL.Query().Get("follow") != "1" {
+			if request.URL.Query().Get("follow") != "1" {
 				return
 			}
 		} else if _, err := w.Write([]byte("\n")); err != nil || flush() != nil {
 			return
 		}
-		at, whole = len(now), false
+		sentCount, snapshot = len(now), false
 		select {
 		case <-more:
 			select {
 			case <-time.After(a.lag):
-			case <-q.Context().Done():
+			case <-request.Context().Done():
 				return
 			}
-		case <-time.After(heartbeat):
-		case <-q.Context().Done():
+		case <-time.After(heartbeatInterval):
+		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
-func listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
+// listenLoopback listens on a free loopback port.
+func listenLoopback() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
--- a/internal/testbed/rolling.go
+++ b/internal/testbed/rolling.go
@@ -1,6 +1,6 @@
-// This file owns the day of a rolling restart: all proxies of the first tier are asked to end, some at a time, and killed at
-// the earliest moment that was announced, while clients send on every connection that stays open. It must never forgive
-// a process that ended by itself, nor count as lost what a connection's end only crossed.
+// This file implements a rolling restart: all proxies of the first tier are asked to stop, a group at a time, and killed at the
+// earliest announced moment, while clients send on every connection that stays open. A request counts as lost if its process
+// ended by itself, but not if the connection was closed before the request was read.
 
 package testbed
 
@@ -23,48 +23,48 @@
 )
 
 const (
-	killAfter  = 0.7  // seconds after the longest time limit at which the kill comes, counted from SIGTERM
-	killLimit  = 3.0  // seconds, the longest limit that counts there
-	noticed    = 0.3  // seconds in which new connections still go to a process that was asked to end
-	crossed    = 0.1  // seconds before a connection's end from which a command on it may not have been read
-	hesitates  = 0.15 // part of the commands that come in two pieces
-	pieceApart = 0.4  // of a time limit at most, between these
-	restAtMost = 0.4  // of a time limit, between an answer and the next command, on the mean 0.2
-	restLeast  = 0.05 // seconds of the same: clients are no load test
-	workTimes  = 6.0  // the work of the world as it is: most answers take a good part of the limit, many are under way at any end
-	tenth      = 0.1  // of the proxies are asked to end at a time
+	killMarginSeconds   = 0.7  // the kill comes this long after the longest time limit, counted from SIGTERM
+	maxKillLimitSeconds = 3.0  // longest time limit that counts there
+	noticeSeconds       = 0.3  // new connections still go to a process for this long after it was asked to stop
+	crossedSeconds      = 0.1  // a command sent this shortly before the connection's end may not have been read
+	splitShare          = 0.15 // share of the commands that are sent in two pieces
+	maxSplitGapShare    = 0.4  // longest pause between the two pieces, as a share of the time limit
+	maxThinkShare       = 0.4  // longest pause between an answer and the next command, as a share of the time limit; the mean is 0.2
+	minThinkSeconds     = 0.05 // shortest such pause, since this is not a load test
+	workFactor          = 6.0  // factor on the default work: answers take a large part of the limit, many are pending at each stop
+	groupShare          = 0.1  // share of the proxies that are asked to stop at a time
 )
 
-// Rolled is what came of a rolling restart, by the clients' own books.
+// RollingResult is the result of a rolling restart as seen by the clients.
 type RollingResult struct {
 	Sent, Served, Declined, Failed int
-	ClosedWhileIdle                int // sent again, since their connection had been closed unread
-	ClosedUnanswered               int // new connections closed without a word
-	Killed                         int // processes that had not ended by themselves when the kill came
+	ClosedWhileIdle                int // requests on a connection that was closed before it read them
+	ClosedUnanswered               int // new connections that were closed without an answer
+	Killed                         int // processes that had not ended when the kill came
 	Lost                           []string
-	Account                        *checker.Report // of the other rules
-	MaxSendDelay                   float64         // seconds, the most by which the rig itself woke late: a starved process is no measure
-	MaxTimeLimit                   float64         // seconds, the longest that was drawn
+	Account                        *checker.Report // checker's report on the other rules
+	MaxSendDelay                   float64         // longest delay in seconds of the harness's timers; a starved harness invalidates a run
+	MaxTimeLimit                   float64         // longest time limit that was drawn, in seconds
 	Tiers                          int
 }
 
-// Rolling draws a world and its troubles: so many proxies, time limits from 0.2 to 10 s, one to three tiers, half of the
-// backends replaced, one that hangs.
+// RandomRollingRestart draws a world and its faults: the given number of proxies, time limits from 0.2 to 10 s, one to three
+// tiers, half of the backends replaced and one that hangs.
 func RandomRollingRestart(proxies int, seed uint64) (emulator.World, faults.Plan) {
-	chance := rand.New(rand.NewPCG(seed, 0x726f6c6c))
+	rng := rand.New(rand.NewPCG(seed, 0x726f6c6c))
 	w := emulator.Default()
-	limit := 0.2 * math.Exp(chance.Float64()*math.Log(10/0.2))
-	tiers := 1 + chance.IntN(3)
-	w.Zones, w.Instances, w.Warmup, w.Clients.EarlyLeaveShare, w.InstanceSkew = 1+chance.IntN(2), proxies, 0.5, 0, 0.5
+	limit := 0.2 * math.Exp(rng.Float64()*math.Log(10/0.2))
+	tiers := 1 + rng.IntN(3)
+	w.Zones, w.Instances, w.Warmup, w.Clients.EarlyLeaveShare, w.InstanceSkew = 1+rng.IntN(2), proxies, 0.5, 0, 0.5
 	w.Rules.WarmUp = 2
-	steps := math.Ceil(float64(proxies) / float64(group(proxies)))
-	w.Duration = 1 + steps*apart(limit) + killAt(limit) + 1
-	scale := limit / 2 // the longest limit of the world as it is
+	steps := math.Ceil(float64(proxies) / float64(groupSize(proxies)))
+	w.Duration = 1 + steps*groupIntervalSeconds(limit) + killDelaySeconds(limit) + 1
+	scale := limit / 2 // relative to the longest limit of the default world
 	for i := range w.Verbs {
 		v := &w.Verbs[i]
 		v.Limit, v.Goal = v.Limit*scale, v.Goal*scale
 		for k := range v.Work {
-			v.Work[k] *= workTimes * min(scale, 0.5)
+			v.Work[k] *= workFactor * min(scale, 0.5)
 		}
 	}
 	if tiers == 1 {
@@ -79,70 +79,73 @@
 	for k := range w.Tiers {
 		w.Tiers[k].Backends = max(4, proxies/2)
 	}
-	a := func(kind faults.Kind, from, long, share float64) faults.Fault {
-		return faults.Fault{Kind: kind, Zone: -1, To: -1, From: from, For: long, Share: share, Seed: chance.Uint64() >> 1}
+	newFault := func(kind faults.Kind, from, long, share float64) faults.Fault {
+		return faults.Fault{Kind: kind, Zone: -1, To: -1, From: from, For: long, Share: share, Seed: rng.Uint64() >> 1}
 	}
-	return w, faults.Plan{a(faults.RollingReplace, 1.2, w.Duration/2, 0.5), a(faults.Hang, 0.5, w.Duration-1, 0.05)}
+	return w, faults.Plan{newFault(faults.RollingReplace, 1.2, w.Duration/2, 0.5), newFault(faults.Hang, 0.5, w.Duration-1, 0.05)}
 }
 
-// group is how many of so many proxies are asked to end at a time.
-func group(proxies int) int { return max(1, int(tenth*float64(proxies))) }
+// groupSize returns how many proxies are asked to stop at a time.
+func groupSize(proxies int) int { return max(1, int(groupShare*float64(proxies))) }
 
-// killAt is how many seconds after SIGTERM the kill comes, by the longest time limit.
-func killAt(limit float64) float64 { return min(limit, killLimit) + killAfter }
+// killDelaySeconds returns how long after SIGTERM the kill comes, given the longest time limit.
+func killDelaySeconds(limit float64) float64 {
+	return min(limit, maxKillLimitSeconds) + killMarginSeconds
+}
 
-// apart is how many seconds after one group the next is asked to end: three are away at a time at most.
-func apart(limit float64) float64 { return killAt(limit) / 3 }
+// groupIntervalSeconds returns the time between two groups. At most three groups are down at a time.
+func groupIntervalSeconds(limit float64) float64 { return killDelaySeconds(limit) / 3 }
 
-// longest is the longest time limit of the day.
-func (r *Harness) longest() (limit float64) {
-	for _, v := range r.world.Verbs {
+// longestTimeLimit returns the longest time limit of the world.
+func (h *Harness) longestTimeLimit() (limit float64) {
+	for _, v := range h.world.Verbs {
 		limit = max(limit, v.Limit)
 	}
 	return limit
 }
 
-// Roll plays the day: so many clients to a proxy, each with one connection at a time. hup has a new configuration come in
-// the middle, where the program knows that signal.
-func (r *Harness) RunRollingRestart(ctx context.Context, clients int, hup bool) (out RollingResult, err error) {
-	defer r.end()
-	if err := r.open(); err != nil {
+// RunRollingRestart executes a rolling restart with the given number of clients per proxy, each with one connection at a time.
+// With hup, some proxies are told to reload their configuration while they stop, if the program knows that signal.
+func (h *Harness) RunRollingRestart(ctx context.Context, clients int, hup bool) (out RollingResult, err error) {
+	defer h.tearDown()
+	if err := h.setUp(); err != nil {
 		return out, err
 	}
-	out.MaxTimeLimit, out.Tiers = r.longest(), len(r.world.Tiers)
-	r.begin(ctx)
-	day, over := context.WithDeadline(ctx, r.at(r.world.Duration))
-	defer over()
-	var all sync.WaitGroup
+	out.MaxTimeLimit, out.Tiers = h.longestTimeLimit(), len(h.world.Tiers)
+	h.startClock(ctx)
+	runCtx, cancel := context.WithDeadline(ctx, h.timeAt(h.world.Duration))
+	defer cancel()
+	var clientTasks sync.WaitGroup
 	var mu sync.Mutex
-	all.Go(func() {
-		for due := time.Now(); day.Err() == nil; due = time.Now() {
-			due = due.Add(look)
+	clientTasks.Go(func() {
+		for due := time.Now(); runCtx.Err() == nil; due = time.Now() {
+			due = due.Add(pollInterval)
 			time.Sleep(time.Until(due))
 			mu.Lock()
 			out.MaxSendDelay = max(out.MaxSendDelay, time.Since(due).Seconds())
 			mu.Unlock()
 		}
 	})
-	for n := range clients * len(r.fronts) {
-		all.Go(func() {
-			c := rolling{rig: r, chance: rand.New(rand.NewPCG(r.seed, 1000+uint64(n))), zone: n % r.world.Zones}
-			c.live(day)
+	for n := range clients * len(h.proxies) {
+		clientTasks.Go(func() {
+			c := rollingClient{harness: h, rng: rand.New(rand.NewPCG(h.seed, 1000+uint64(n))), zone: n % h.world.Zones}
+			c.run(runCtx)
 			mu.Lock()
 			defer mu.Unlock()
-			out.add(&c.got)
+			out.add(&c.counts)
 		})
 	}
-	r.idle(day, &all)
+	h.runIdleClients(runCtx, &clientTasks)
 	var restarts sync.WaitGroup
-	for n, places := range slices.Collect(slices.Chunk(rand.New(rand.NewPCG(r.seed, 9)).Perm(len(r.fronts)), group(len(r.fronts)))) {
+	for n, indexes := range slices.Collect(slices.Chunk(rand.New(rand.NewPCG(h.seed, 9)).Perm(len(h.proxies)),
+		groupSize(len(h.proxies)))) {
 		select {
-		case <-time.After(time.Until(r.at(1 + float64(n)*apart(out.MaxTimeLimit)))):
-		case <-day.Done():
+		case <-time.After(time.Until(h.timeAt(1 + float64(n)*groupIntervalSeconds(out.MaxTimeLimit)))):
+		case <-runCtx.Done():
 		}
-		for _, i := range places {
+		for _, i := range indexes {
 			restarts.Go(func() {
-				killed := r.restart(i, hup && n%2 == 1)
+				killed := h.restartForRoll(i, hup && n%2 == 1)
 				mu.Lock()
 				defer mu.Unlock()
 				if killed {
@@ -152,167 +155,175 @@
 		}
 	}
 	restarts.Wait()
-	all.Wait()
-	r.troubles.Wait()
+	clientTasks.Wait()
+	h.faultTasks.Wait()
 	slices.Sort(out.Lost)
-	r.awaitCalls()
-	r.books.client(func(j *checker.Checker) { out.Account = j.Close(r.books.now()) })
-	return out, r.failure
+	h.awaitCalls()
+	h.recorder.withChecker(func(c *checker.Checker) { out.Account = c.Close(h.recorder.now()) })
+	return out, h.failure
 }
 
-// awaitCalls waits until each call has ended or is overdue: a tier below may still be at one whose answer nobody waits for.
-func (r *Harness) awaitCalls() {
-	for due := math.Inf(1); r.books.now() < due; time.Sleep(look) {
-		r.books.client(func(j *checker.Checker) { due = j.LatestDeadline() })
+// awaitCalls waits until each nested call has ended or is overdue, since a lower tier may still execute one whose caller has
+// given up.
+func (h *Harness) awaitCalls() {
+	for due := math.Inf(1); h.recorder.now() < due; time.Sleep(pollInterval) {
+		h.recorder.withChecker(func(c *checker.Checker) { due = c.LatestDeadline() })
 	}
 }
 
-// restart asks a proxy to end, kills it when that may come, and starts it anew; it tells whether the kill was needed. With hup it
-// is told to read its configuration again in the same moment.
-func (r *Harness) restart(i int, hup bool) (killed bool) {
-	p := r.front(i)
+// restartForRoll asks a proxy to stop, kills it when that is allowed, and starts it again. It reports whether the kill was
+// needed. With hup the proxy is told to reload its configuration at the same moment.
+func (h *Harness) restartForRoll(i int, hup bool) (killed bool) {
+	p := h.proxyAt(i)
 	if p == nil {
 		return false
 	}
 	if hup {
 		p.signal(syscall.SIGHUP)
 	}
-	p.asksToEnd(r.clock())
-	r.Stress.signals(p, r.seed, killAt(r.longest()))
-	time.AfterFunc(time.Duration(noticed*float64(time.Second)), func() { // the front sends it no new connections from now on
-		r.mu.Lock()
-		if r.fronts[i] == p {
-			r.fronts[i] = nil
+	p.recordStopRequest(h.now())
+	h.Stress.sendExtraSignals(p, h.seed, killDelaySeconds(h.longestTimeLimit()))
+	time.AfterFunc(time.Duration(noticeSeconds*float64(time.Second)), func() { // from now on the front sends it no new connections
+		h.mu.Lock()
+		if h.proxies[i] == p {
+			h.proxies[i] = nil
 		}
-		r.mu.Unlock()
+		h.mu.Unlock()
 	})
-	p.stop(time.Duration(killAt(r.longest()) * float64(time.Second)))
-	time.Sleep(time.Duration(noticed * float64(time.Second))) // whoever still came in that time has been refused
+	p.stop(time.Duration(killDelaySeconds(h.longestTimeLimit()) * float64(time.Second)))
+	time.Sleep(time.Duration(noticeSeconds * float64(time.Second))) // connections of that time have been refused
 	s, ok := p.cmd.ProcessState.Sys().(syscall.WaitStatus)
-	r.revive(i, p)
+	h.restartProxy(i, p)
 	return ok && s.Signaled()
 }
 
+// add adds the counts of one client.
 func (o *RollingResult) add(x *RollingResult) {
 	o.Sent, o.Served, o.Declined, o.Failed = o.Sent+x.Sent, o.Served+x.Served, o.Declined+x.Declined, o.Failed+x.Failed
-	o.ClosedWhileIdle, o.ClosedUnanswered, o.Lost = o.ClosedWhileIdle+x.ClosedWhileIdle, o.ClosedUnanswered+x.ClosedUnanswered, append(o.Lost, x.Lost...)
+	o.ClosedWhileIdle, o.ClosedUnanswered, o.Lost = o.ClosedWhileIdle+x.ClosedWhileIdle, o.ClosedUnanswered+x.ClosedUnanswered,
+		append(o.Lost, x.Lost...)
 }
 
-// rolling is a client that keeps its connection for as long as it stays open.
-type rolling struct {
-	rig    *Harness
-	chance *rand.Rand
-	zone   int
-	conn   *clientConn
-	to     *process
-	used   bool // the connection has carried a command
-	got    RollingResult
+// rollingClient is a client that uses its connection as long as it stays open.
+type rollingClient struct {
+	harness *Harness
+	rng     *rand.Rand
+	zone    int
+	conn    *clientConn
+	proxy   *process
+	used    bool // the connection has carried a command
+	counts  RollingResult
 }
 
-func (c *rolling) live(day context.Context) {
-	defer c.leave()
-	for day.Err() == nil {
+// run sends commands until the run ends.
+func (c *rollingClient) run(runCtx context.Context) {
+	defer c.closeConn()
+	for runCtx.Err() == nil {
 		if c.conn == nil && !c.connect() {
-			time.Sleep(look)
+			time.Sleep(pollInterval)
 			continue
 		}
-		c.ask()
-		limit := c.rig.longest()
-		rest := max(restLeast, c.chance.Float64()*restAtMost*min(limit, 1))
+		c.send()
+		limit := c.harness.longestTimeLimit()
+		thinkTime := max(minThinkSeconds, c.rng.Float64()*maxThinkShare*min(limit, 1))
 		select {
-		case <-time.After(time.Duration(rest * float64(time.Second))):
-		case <-day.Done():
+		case <-time.After(time.Duration(thinkTime * float64(time.Second))):
+		case <-runCtx.Done():
 		}
 	}
 }
 
-func (c *rolling) leave() {
+// closeConn closes the connection, if there is one.
+func (c *rollingClient) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-func (c *rolling) connect() bool {
-	p := c.rig.choose(c.zone, c.chance.Float64())
+// connect opens a connection to a proxy of the zone, and reports whether it did.
+func (c *rollingClient) connect() bool {
+	p := c.harness.chooseProxy(c.zone, c.rng.Float64())
 	if p == nil {
 		return false
 	}
 	conn, err := net.DialTimeout("tcp", p.listen, time.Second)
 	if err != nil {
-		return false // refused: the next one is another's
+		return false // refused: the next attempt chooses again
 	}
-	c.conn, c.to, c.used = &clientConn{conn, bufio.NewReader(conn)}, p, false
+	c.conn, c.proxy, c.used = &clientConn{conn, bufio.NewReader(conn)}, p, false
 	return true
 }
 
-// ask sends one command and files what came of it.
-func (c *rolling) ask() {
-	r := c.rig
-	id := emulator.MixSeeds(r.seed, r.ids.Add(1))
-	u, verb := c.chance.Float64(), 0
-	for verb < len(r.world.Verbs)-1 && u >= r.world.Verbs[verb].Share {
-		u -= r.world.Verbs[verb].Share
+// send sends one command and counts its result.
+func (c *rollingClient) send() {
+	h := c.harness
+	id := emulator.MixSeeds(h.seed, h.ids.Add(1))
+	u, verb := c.rng.Float64(), 0
+	for verb < len(h.world.Verbs)-1 && u >= h.world.Verbs[verb].Share {
+		u -= h.world.Verbs[verb].Share
 		verb++
 	}
-	limit := r.world.Verbs[verb].Limit
-	text := r.request(id, want{verb: verb, limit: limit, op: id})
-	if c.chance.Float64() < hesitates { // not taken before it is whole
-		k := 1 + c.chance.IntN(len(text)-1)
-		c.conn.SetDeadline(time.Now().Add(time.Duration((limit + overdue) * float64(time.Second))))
+	limit := h.world.Verbs[verb].Limit
+	text := h.requestText(id, request{verb: verb, limit: limit, op: id})
+	if c.rng.Float64() < splitShare { // recorded as accepted only when the rest is sent
+		k := 1 + c.rng.IntN(len(text)-1)
+		c.conn.SetDeadline(time.Now().Add(time.Duration((limit + overdueSeconds) * float64(time.Second))))
 		if _, err := io.WriteString(c.conn, text[:k]); err != nil {
-			c.leave()
+			c.closeConn()
 			return
 		}
-		time.Sleep(time.Duration(c.chance.Float64() * pieceApart * min(limit, 1) * float64(time.Second)))
+		time.Sleep(time.Duration(c.rng.Float64() * maxSplitGapShare * min(limit, 1) * float64(time.Second)))
 		text = text[k:]
 	}
-	r.books.taken(id, record{seed: id, verb: verb, instance: c.to.serial, op: id}, limit)
-	from, wrote := r.clock(), time.Now()
-	g, reused, unread := r.exchange(context.Background(), c.conn, wrote.Add(time.Duration((limit+overdue)*float64(time.Second))), id, text)
-	r.books.ended(id, map[bool]result{true: broken, false: g.result}[g.result == silent], true)
-	took, used := time.Since(wrote).Seconds(), c.used
+	h.recorder.requestAccepted(id, requestRecord{seed: id, verb: verb, instance: c.proxy.serial, op: id}, limit)
+	from, wrote := h.now(), time.Now()
+	g, reused, closedUnread := h.exchange(context.Background(), c.conn,
+		wrote.Add(time.Duration((limit+overdueSeconds)*float64(time.Second))), id, text)
+	h.recorder.requestEnded(id, map[bool]result{true: resultBroken, false: g.result}[g.result == resultSilent], true)
+	elapsed, used := time.Since(wrote).Seconds(), c.used
 	c.used = true
-	c.got.Sent++
+	c.counts.Sent++
 	switch g.result {
-	case served:
-		c.got.Served++
-	case declinedThat:
-		c.got.Declined++
-	case failed:
-		c.got.Failed++
-	case silent:
-		c.lost(id, from, "no whole answer in time")
-	case broken:
-		relays := r.books.relayed(id)
+	case resultServed:
+		c.counts.Served++
+	case resultDeclined:
+		c.counts.Declined++
+	case resultFailed:
+		c.counts.Failed++
+	case resultSilent:
+		c.recordLoss(id, from, "no complete answer in time")
+	case resultBroken:
+		relays := h.recorder.relayCount(id)
 		switch {
-		case relays == 0 && unread && !used:
-			c.got.ClosedUnanswered++
-		case relays == 0 && unread && took < crossed:
-			c.got.ClosedWhileIdle++
+		case relays == 0 && closedUnread && !used:
+			c.counts.ClosedUnanswered++
+		case relays == 0 && closedUnread && elapsed < crossedSeconds:
+			c.counts.ClosedWhileIdle++
 		default:
-			c.lost(id, from, fmt.Sprintf("its connection ended after %.3f s, %d relays, answer begun %t", took, relays, !unread))
+			c.recordLoss(id, from, fmt.Sprintf("connection ended after %.3f s, %d relays, answer begun %t", elapsed, relays,
+				!closedUnread))
 		}
 	}
 	if !reused {
-		c.leave()
+		c.closeConn()
 	}
 }
 
-// lost files a command that was taken and not answered, unless a kill excuses it.
-func (c *rolling) lost(id uint64, from float64, how string) {
-	asked := c.to.endAsked()
+// recordLoss records a command that was accepted but not answered, unless the kill of its process excuses it.
+func (c *rollingClient) recordLoss(id uint64, from float64, cause string) {
+	stopRequestedAt := c.proxy.stopRequestedAt()
 	select {
-	case <-time.After(time.Duration(noticed * float64(time.Second))): // it lives
-	case <-c.to.ended:
-		s, ok := c.to.cmd.ProcessState.Sys().(syscall.WaitStatus)
-		if ok && s.Signaled() && asked > 0 && from <= asked+killAfter {
+	case <-time.After(time.Duration(noticeSeconds * float64(time.Second))): // the process is still running
+	case <-c.proxy.ended:
+		s, ok := c.proxy.cmd.ProcessState.Sys().(syscall.WaitStatus)
+		if ok && s.Signaled() && stopRequestedAt > 0 && from <= stopRequestedAt+killMarginSeconds {
 			return
 		}
 	}
-	when := "never asked to end"
-	if asked > 0 {
-		when = fmt.Sprintf("%.3f s after SIGTERM", from-asked)
+	when := "to a proxy not asked to stop"
+	if stopRequestedAt > 0 {
+		when = fmt.Sprintf("%.3f s after SIGTERM", from-stopRequestedAt)
 	}
-	c.got.Lost = append(c.got.Lost, fmt.Sprintf("%016x at proxy %d, taken %s: %s", id, c.to.serial, when, how))
+	c.counts.Lost = append(c.counts.Lost, fmt.Sprintf("%016x at proxy %d, sent %s: %s", id, c.proxy.serial, when, cause))
 }
--- a/internal/testbed/table.go
+++ b/internal/testbed/table.go
@@ -1,4 +1,4 @@
-// This file owns the table of a load measurement. It must never show a mean where the spread is what matters.
+// This file writes the table of a load test. It shows medians with their spread, never a mean.
 
 package testbed
 
@@ -10,47 +10,48 @@
 	"strings"
 )
 
-// Table measures each program at each number of connections and size of bodies, so often in turn, and writes medians
-// with their spread as Markdown.
-func WriteTable(ctx context.Context, out io.Writer, loads []LoadTest, names []string, connections, bodies []int, times int) error {
+// WriteTable measures each program at each number of connections and body size, with the given number of repetitions, and
+// writes medians with their spread as Markdown.
+func WriteTable(ctx context.Context, out io.Writer, loads []LoadTest, names []string, connections, bodies []int,
+	repetitions int) error {
 	fmt.Fprintln(out, "| connections | body | path | commands/s | CPU us | open loop/s | added p50 us | p99 us | p99.9 us | failed |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	var dear []string
+	var hot []string
 	for _, body := range bodies {
 		for _, conns := range connections {
-			straight := []Measurement{}
+			direct := []Measurement{}
 			through := make([][]Measurement, len(loads))
-			for range times {
-				for i := range loads { // in turn, so that a slower moment of the machine hits all alike
+			for range repetitions {
+				for i := range loads { // alternating, so that a slow phase of the machine affects all programs alike
 					d, t, err := loads[i].Run(ctx, conns, body)
 					if err != nil {
 						return err
 					}
-					straight, through[i] = append(straight, d), append(through[i], t)
+					direct, through[i] = append(direct, d), append(through[i], t)
 				}
 			}
-			row(out, "straight", straight, nil)
+			writeRow(out, "direct", direct, nil)
 			for i, all := range through {
 				name := names[i]
 				if name == "" {
 					name = "proxy"
 				}
-				row(out, name, all, straight)
+				writeRow(out, name, all, direct)
 				if len(all[0].HotFunctions) > 0 {
-					dear = append(dear, fmt.Sprintf("%d connections, %d bytes: %s", conns, body, strings.Join(all[0].HotFunctions, ", ")))
+					hot = append(hot, fmt.Sprintf("%d connections, %d bytes: %s", conns, body, strings.Join(all[0].HotFunctions, ", ")))
 				}
 			}
 		}
 	}
-	for _, d := range dear {
-		fmt.Fprintf(out, "\nDearest at %s.\n", d)
+	for _, d := range hot {
+		fmt.Fprintf(out, "\nMost CPU time at %s.\n", d)
 	}
 	return nil
 }
 
-// row writes a line. Latency is what is added to the straight way's median of the same quantile.
-func row(out io.Writer, name string, all, straight []Measurement) {
-	of := func(ms []Measurement, f func(Measurement) float64) (median, least, most float64) {
+// writeRow writes one row. Latency is the difference to the direct measurements' median of the same percentile.
+func writeRow(out io.Writer, name string, all, direct []Measurement) {
+	spread := func(ms []Measurement, f func(Measurement) float64) (median, least, most float64) {
 		var v []float64
 		for _, m := range ms {
 			v = append(v, f(m))
@@ -58,20 +59,21 @@
 		slices.Sort(v)
 		return v[len(v)/2], v[0], v[len(v)-1]
 	}
-	rate, low, high := of(all, func(m Measurement) float64 { return m.ClosedLoopRate })
-	cpu, _, _ := of(all, func(m Measurement) float64 { return 1e6 * m.CPU })
-	open, _, _ := of(all, func(m Measurement) float64 { return m.OpenLoopRate })
+	rate, low, high := spread(all, func(m Measurement) float64 { return m.ClosedLoopRate })
+	cpu, _, _ := spread(all, func(m Measurement) float64 { return 1e6 * m.CPU })
+	open, _, _ := spread(all, func(m Measurement) float64 { return m.OpenLoopRate })
 	failed := 0
 	for _, m := range all {
 		failed += m.Failed
 	}
-	fmt.Fprintf(out, "| %d | %d | %s | %.0f (%.0f to %.0f) | %.1f | %.0f |", all[0].Connections, all[0].Body, name, rate, low, high, cpu, open)
+	fmt.Fprintf(out, "| %d | %d | %s | %.0f (%.0f to %.0f) | %.1f | %.0f |", all[0].Connections, all[0].Body, name, rate, low,
+		high, cpu, open)
 	for k := range 3 {
 		f := func(m Measurement) float64 { return 1e6 * m.Latency[k] }
-		v, low, high := of(all, f)
+		v, low, high := spread(all, f)
 		base := 0.0
-		if straight != nil {
-			base, _, _ = of(straight, f)
+		if direct != nil {
+			base, _, _ = spread(direct, f)
 		}
 		fmt.Fprintf(out, " %.0f (%.0f to %.0f) |", v-base, low-base, high-base)
 	}
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,5 +1,5 @@
-// This file owns a live day: what is started for it, when troubles come and go, and that all is ended. It must never
-// leave a process, a listener or a file behind.
+// This file implements a live run: what it starts, when faults begin and end, and the cleanup. No process, listener or file is
+// left behind.
 
 package testbed
 
@@ -20,90 +20,95 @@
 )
 
 const (
-	endWithin = 5 * time.Second // for a planned end of a proxy
-	rampStep  = 250 * time.Millisecond
-	detect    = 1.5 // seconds until discovery says that a backend that died is gone
+	shutdownTimeout       = 5 * time.Second // for a planned shutdown of a proxy
+	rampInterval          = 250 * time.Millisecond
+	crashDetectionSeconds = 1.5 // until discovery reports a crashed backend as gone
 )
 
-// can are the faults that sockets on loopback can carry out.
-var can = map[faults.Kind]bool{
+// supportedFaults are the faults that can be carried out with sockets on loopback.
+var supportedFaults = map[faults.Kind]bool{
 	faults.Crash: true, faults.Hang: true, faults.Slow: true, faults.NoisyNeighbor: true, faults.Errors: true, faults.Refuse: true,
-	faults.Partition: true, faults.IgnoreCancels: true, faults.LoseAnswers: true, faults.Reset: true, faults.RollingReplace: true, faults.ZoneLoss: true, faults.DiscoverySilent: true,
+	faults.Partition: true, faults.IgnoreCancels: true, faults.LoseAnswers: true, faults.Reset: true,
+	faults.RollingReplace: true, faults.ZoneLoss: true, faults.DiscoverySilent: true,
 	faults.Delay: true, faults.PacketLoss: true, faults.ReorderMessages: true, faults.StallInstances: true, faults.CrashLoop: true,
-	faults.KillInstances: true, faults.RestartInstances: true, faults.LoadBurst: true, faults.CustomerFlood: true, faults.ZoneShift: true, faults.ClientsLeave: true, faults.RetryStorm: true,
+	faults.KillInstances: true, faults.RestartInstances: true, faults.LoadBurst: true, faults.CustomerFlood: true,
+	faults.ZoneShift: true, faults.ClientsLeave: true, faults.RetryStorm: true,
 }
 
-// Rig is one live day. Make it with New.
+// Harness executes one live run. Create it with New.
 type Harness struct {
-	world    emulator.World
-	plan     faults.Plan
-	seed     uint64
-	program  []string
-	env      []string
-	dir      string
-	books    *books
-	lists    []*tierList
-	start    time.Time
-	over     chan struct{}
-	ids      atomic.Uint64
-	busy     sync.WaitGroup
-	troubles sync.WaitGroup
+	world      emulator.World
+	plan       faults.Plan
+	seed       uint64
+	program    []string
+	env        []string
+	dir        string
+	recorder   *recorder
+	lists      []*endpointHistory
+	start      time.Time
+	stopped    chan struct{}
+	ids        atomic.Uint64
+	operations sync.WaitGroup
+	faultTasks sync.WaitGroup
 
-	mu            sync.Mutex
-	tiers         [][]*backend
-	all           []*backend
-	fronts        []*process
-	running       []*process
-	processes     int
-	serial        int
-	active        []bool
-	targets       [][]*backend
-	lateness      float64 // seconds by which the latest command was sent after it was due
-	failure       error
-	back          float64 // when the last proxy that failed was ready again
-	waysMu        sync.Mutex
-	ways          map[way]*stretch
-	pairs         []between
-	peers         [][]string // by instance of the first tier, where it finds each sibling's messages
-	SnapshotState string     // whether proxies keep what they know over their end, and what becomes of it; one of States
-	SwapIndexes   bool       // who was killed comes back with the number of the next that was: of the same fault, which kills all at once
-	Stress        Stress     // what the processes of the first tier suffer beside the plan
-	words         string     // where the operators' file of the day is, if there is one
-	quiet         bool       // no judge: what is listed and killed is nobody's affair
+	mu             sync.Mutex
+	tiers          [][]*backend
+	allBackends    []*backend
+	proxies        []*process
+	allProxies     []*process
+	processCount   int
+	backendCount   int
+	active         []bool
+	targets        [][]*backend
+	maxSendDelay   float64 // longest delay in seconds between when a command was due and when it was sent
+	failure        error
+	lastRestart    float64 // when the last failed proxy was ready again, in seconds of the run
+	linksMu        sync.Mutex
+	streamLinks    map[streamLinkKey]*streamLink
+	peerLinks      []peerLink
+	peerAddrs      [][]string // for each instance of the first tier, the addresses at which it reaches its peers
+	SnapshotState  string     // one of SnapshotStates: what happens to the snapshot of a proxy while it is down
+	SwapIndexes    bool       // each killed proxy restarts with the index of the next one that was killed by the same fault
+	Stress         Stress     // additional stress on the processes of the first tier
+	operatorFile   string     // path of the operator file, empty if there is none
+	withoutChecker bool       // events are not recorded for the checker
 }
 
-// States are what may become of what a proxy keeps while it is down; "" keeps nothing.
+// SnapshotStates are the values of Harness.SnapshotState. With "" proxies store no snapshots.
 var SnapshotStates = []string{"", "kept", "lost", "torn", "old"}
 
-// Outcome is what came of a live day.
+// RunOutcome is the result of a live run.
 type RunOutcome struct {
 	Account         *checker.Report
-	MaxSendDelay    float64   // seconds, the most by which a command was sent after it was due: the rig's own fault
-	CPU             []float64 // seconds of a core, of each first-tier proxy that ran to the end
-	LastRestart     float64   // when the last proxy that had failed was ready again, 0 if none was
-	RecoverySeconds []float64 // seconds that proxies which came back say they took until all was as usual
+	MaxSendDelay    float64   // longest delay in seconds between when a command was due and when the harness sent it
+	CPU             []float64 // CPU seconds of each first-tier proxy that ran to the end
+	LastRestart     float64   // when the last failed proxy was ready again, in seconds of the run; 0 if none was
+	RecoverySeconds []float64 // time to full recovery that restarted proxies report
 }
 
-// New takes a world and a plan that were checked, and the command that starts one proxy (with further environment).
+// New returns a harness for a validated world and plan. program and env are the command that starts one proxy and its additional
+// environment.
 func New(w emulator.World, plan faults.Plan, seed uint64, program, env []string) (*Harness, error) {
 	for i, f := range plan {
-		if !can[f.Kind] {
-			return nil, fmt.Errorf("fault[%d] (%s): sockets on loopback can't carry this out; the emulator can", i, f.Kind)
+		if !supportedFaults[f.Kind] {
+			return nil, fmt.Errorf("fault[%d] (%s): not supported by sockets on loopback, only by the emulator", i, f.Kind)
 		}
 	}
-	return &Harness{world: w, plan: plan, seed: seed, program: program, env: env, over: make(chan struct{}),
+	return &Harness{world: w, plan: plan, seed: seed, program: program, env: env, stopped: make(chan struct{}),
 		active: make([]bool, len(plan)), targets: make([][]*backend, len(plan))}, nil
 }
 
-// clock is the time of the day.
-func (r *Harness) clock() float64 { return time.Since(r.start).Seconds() }
+// now returns the time of the run in seconds.
+func (h *Harness) now() float64 { return time.Since(h.start).Seconds() }
 
-func (r *Harness) at(t float64) time.Time {
-	return r.start.Add(time.Duration(t * float64(time.Second)))
+// timeAt converts a time of the run to wall clock time.
+func (h *Harness) timeAt(t float64) time.Time {
+	return h.start.Add(time.Duration(t * float64(time.Second)))
 }
 
-func (r *Harness) verbOf(path string) int {
-	for i, v := range r.world.Verbs {
+// verbIndex returns the index of the verb in a request path, or -1.
+func (h *Harness) verbIndex(path string) int {
+	for i, v := range h.world.Verbs {
 		if path == "/"+v.Name {
 			return i
 		}
@@ -111,164 +116,166 @@
 	return -1
 }
 
-// hard is how hard a kind of trouble is just now, 0 while none is in force.
-func (r *Harness) hard(k faults.Kind) float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// severity returns the highest current severity of the active faults of a kind, 0 if there are none.
+func (h *Harness) severity(k faults.Kind) float64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	most := 0.0
-	for i, f := range r.plan {
-		if r.active[i] && f.Kind == k {
-			most = max(most, f.SeverityAt(r.clock()))
+	for i, f := range h.plan {
+		if h.active[i] && f.Kind == k {
+			most = max(most, f.SeverityAt(h.now()))
 		}
 	}
 	return most
 }
 
-// open starts all, with books that begin empty.
-func (r *Harness) open() (err error) {
-	if r.dir, err = os.MkdirTemp("", "sandlab-"); err != nil {
+// setUp creates the run directory and the recorder, and starts everything.
+func (h *Harness) setUp() (err error) {
+	if h.dir, err = os.MkdirTemp("", "sandlab-"); err != nil {
 		return err
 	}
-	if err := r.operator(); err != nil {
+	if err := h.writeOperatorFile(); err != nil {
 		return err
 	}
-	w := &r.world
-	r.books = &books{world: w, start: time.Now(), all: map[uint64]*record{}, judge: checker.New(checker.Config{AnswerSlack: 0.05 + w.Rules.AnswerSlack,
-		DrainGrace: w.Rules.DrainGrace, ColdMultiple: w.Rules.ColdMultiple, ColdWindow: w.Rules.ColdWindow, SecondCopies: w.Rules.SecondCopies, RelayPrice: w.Prices.Relay,
-		LateDeclinePrice: w.Prices.LateDecline, Duration: w.Duration, Customers: len(w.Customers)})}
-	return r.build()
+	w := &h.world
+	h.recorder = &recorder{world: w, start: time.Now(), requests: map[uint64]*requestRecord{},
+		checker: checker.New(checker.Config{AnswerSlack: 0.05 + w.Rules.AnswerSlack,
+			DrainGrace: w.Rules.DrainGrace, ColdMultiple: w.Rules.ColdMultiple, ColdWindow: w.Rules.ColdWindow,
+			SecondCopies: w.Rules.SecondCopies, RelayPrice: w.Prices.Relay,
+			LateDeclinePrice: w.Prices.LateDecline, Duration: w.Duration, Customers: len(w.Customers)})}
+	return h.startAll()
 }
 
-// begin starts the day's clock and its troubles.
-func (r *Harness) begin(ctx context.Context) {
-	r.start = time.Now()
-	r.books.mu.Lock()
-	r.books.start = r.start
-	r.books.mu.Unlock()
-	for i := range r.plan {
-		r.troubles.Add(1)
-		go r.trouble(ctx, i)
+// startClock starts the clock of the run and its faults.
+func (h *Harness) startClock(ctx context.Context) {
+	h.start = time.Now()
+	h.recorder.mu.Lock()
+	h.recorder.start = h.start
+	h.recorder.mu.Unlock()
+	for i := range h.plan {
+		h.faultTasks.Add(1)
+		go h.runFault(ctx, i)
 	}
 }
 
-// Play starts all, plays the day and ends all.
-func (r *Harness) Run(ctx context.Context) (out RunOutcome, err error) {
-	defer r.end()
-	if err := r.open(); err != nil {
+// Run starts everything, executes the run and stops everything.
+func (h *Harness) Run(ctx context.Context) (out RunOutcome, err error) {
+	defer h.tearDown()
+	if err := h.setUp(); err != nil {
 		return out, err
 	}
-	w := &r.world
-	arrivals := emulator.Arrivals(*w, r.plan, r.seed)
-	r.begin(ctx)
+	w := &h.world
+	arrivals := emulator.Arrivals(*w, h.plan, h.seed)
+	h.startClock(ctx)
 	for _, a := range arrivals {
 		select {
-		case <-time.After(time.Until(r.at(a.Due))):
+		case <-time.After(time.Until(h.timeAt(a.Due))):
 		case <-ctx.Done():
 			return out, ctx.Err()
 		}
-		r.lateness = max(r.lateness, time.Since(r.at(a.Due)).Seconds())
+		h.maxSendDelay = max(h.maxSendDelay, time.Since(h.timeAt(a.Due)).Seconds())
 		if a.Measured {
-			r.books.client(func(j *checker.Checker) { j.OperationRequested(a.Due, a.Customer, a.Utility) })
+			h.recorder.withChecker(func(c *checker.Checker) { c.OperationRequested(a.Due, a.Customer, a.Utility) })
 		}
-		r.busy.Add(1)
-		go r.operation(a)
+		h.operations.Add(1)
+		go h.runOperation(a)
 	}
-	r.busy.Wait()
-	r.troubles.Wait()
-	if r.failure != nil {
-		return out, r.failure
+	h.operations.Wait()
+	h.faultTasks.Wait()
+	if h.failure != nil {
+		return out, h.failure
 	}
-	// The books are closed before proxies end: what one still owes then is not forgiven.
-	r.books.mu.Lock()
-	out.Account, out.MaxSendDelay, out.LastRestart = r.books.judge.Close(r.books.now()), r.lateness, r.back
-	r.books.mu.Unlock()
+	// The checker is closed before the proxies end: a request that is still unanswered then counts as a violation.
+	h.recorder.mu.Lock()
+	out.Account, out.MaxSendDelay, out.LastRestart = h.recorder.checker.Close(h.recorder.now()), h.maxSendDelay, h.lastRestart
+	h.recorder.mu.Unlock()
 	var stops sync.WaitGroup
-	for _, p := range r.fronts {
+	for _, p := range h.proxies {
 		if p != nil {
-			stops.Go(func() { p.stop(endWithin) })
+			stops.Go(func() { p.stop(shutdownTimeout) })
 		}
 	}
 	stops.Wait()
-	for _, p := range r.fronts {
+	for _, p := range h.proxies {
 		if p != nil {
 			out.CPU = append(out.CPU, p.cpu())
-			if p.again {
-				out.RecoverySeconds = append(out.RecoverySeconds, p.full()...)
+			if p.restarted {
+				out.RecoverySeconds = append(out.RecoverySeconds, p.recoverySeconds()...)
 			}
 		}
 	}
 	return out, nil
 }
 
-// build starts backends and proxies, the last tier first.
-func (r *Harness) build() error {
-	w := &r.world
+// startAll starts backends and proxies, the last tier first.
+func (h *Harness) startAll() error {
+	w := &h.world
 	for range w.Tiers {
-		r.lists = append(r.lists, newTierList())
-		r.tiers = append(r.tiers, nil)
+		h.lists = append(h.lists, newEndpointHistory())
+		h.tiers = append(h.tiers, nil)
 	}
 	for k := len(w.Tiers) - 1; k >= 0; k-- {
 		t := &w.Tiers[k]
-		deal := rand.New(rand.NewPCG(r.seed, uint64(k))).Perm(t.Backends)
+		speedOrder := rand.New(rand.NewPCG(h.seed, uint64(k))).Perm(t.Backends)
 		for i := range t.Backends {
-			if err := r.place(k, i, t.Speeds[deal[i]%len(t.Speeds)], time.Time{}); err != nil {
+			if err := h.startAndListBackend(k, i, t.Speeds[speedOrder[i]%len(t.Speeds)], time.Time{}); err != nil {
 				return err
 			}
 		}
 	}
-	if err := r.meetings(); err != nil {
+	if err := h.setUpPeerLinks(); err != nil {
 		return err
 	}
-	skew := rand.New(rand.NewPCG(r.seed, 77))
+	skew := rand.New(rand.NewPCG(h.seed, 77))
 	for i := range w.Instances {
-		p, err := r.startProcess(0, i, i%w.Zones, w.Instances, "")
+		p, err := h.startProcess(0, i, i%w.Zones, w.Instances, "")
 		if err != nil {
 			return err
 		}
 		p.weight = math.Exp(w.InstanceSkew * skew.NormFloat64())
-		r.mu.Lock()
-		r.fronts, r.running = append(r.fronts, p), append(r.running, p)
-		r.mu.Unlock()
+		h.mu.Lock()
+		h.proxies, h.allProxies = append(h.proxies, p), append(h.allProxies, p)
+		h.mu.Unlock()
 	}
 	return nil
 }
 
-// place starts a backend, with its proxy to the next tier, and lists it.
-func (r *Harness) place(tier, at int, speed float64, started time.Time) error {
-	r.mu.Lock()
-	b, err := r.startBackend(tier, at, speed, nil, started)
+// startAndListBackend starts a backend and its proxy to the next tier, and adds it to the endpoint list.
+func (h *Harness) startAndListBackend(tier, index int, speed float64, started time.Time) error {
+	h.mu.Lock()
+	b, err := h.startBackend(tier, index, speed, nil, started)
 	if err != nil {
-		r.mu.Unlock()
+		h.mu.Unlock()
 		return err
 	}
-	r.all = append(r.all, b)
-	if at < len(r.tiers[tier]) {
-		r.tiers[tier][at] = b
+	h.allBackends = append(h.allBackends, b)
+	if index < len(h.tiers[tier]) {
+		h.tiers[tier][index] = b
 	} else {
-		r.tiers[tier] = append(r.tiers[tier], b)
+		h.tiers[tier] = append(h.tiers[tier], b)
 	}
-	r.mu.Unlock()
-	if tier+1 < len(r.world.Tiers) {
-		p, err := r.startProcess(tier+1, at, b.zone, r.world.Tiers[tier].Backends, "")
+	h.mu.Unlock()
+	if tier+1 < len(h.world.Tiers) {
+		p, err := h.startProcess(tier+1, index, b.zone, h.world.Tiers[tier].Backends, "")
 		if err != nil {
 			b.stop()
 			return err
 		}
-		b.own, b.pool = p, p.pool
-		r.mu.Lock()
-		r.running = append(r.running, p)
-		r.mu.Unlock()
+		b.proxy, b.pool = p, p.pool
+		h.mu.Lock()
+		h.allProxies = append(h.allProxies, p)
+		h.mu.Unlock()
 	}
-	r.lists[tier].add(b, "ready")
+	h.lists[tier].add(b, "ready")
 	return nil
 }
 
-// end ends all that was started.
-func (r *Harness) end() {
-	close(r.over)
-	r.mu.Lock()
-	all, running := r.all, r.running
-	r.mu.Unlock()
+// tearDown stops everything that was started and removes the run directory.
+func (h *Harness) tearDown() {
+	close(h.stopped)
+	h.mu.Lock()
+	all, running := h.allBackends, h.allProxies
+	h.mu.Unlock()
 	for _, p := range running {
 		p.kill()
 		p.pool.close()
@@ -276,159 +283,160 @@
 	for _, b := range all {
 		b.stop()
 	}
-	r.endWays()
-	if r.dir != "" {
-		os.RemoveAll(r.dir)
+	h.closeLinks()
+	if h.dir != "" {
+		os.RemoveAll(h.dir)
 	}
 }
 
-// trouble carries one fault out.
-func (r *Harness) trouble(ctx context.Context, n int) {
-	defer r.troubles.Done()
-	f := r.plan[n]
+// runFault carries out one fault of the plan.
+func (h *Harness) runFault(ctx context.Context, n int) {
+	defer h.faultTasks.Done()
+	f := h.plan[n]
 	wait := func(t float64) bool {
 		select {
-		case <-time.After(time.Until(r.at(t))):
+		case <-time.After(time.Until(h.timeAt(t))):
 			return true
 		case <-ctx.Done():
-		case <-r.over:
+		case <-h.stopped:
 		}
 		return false
 	}
 	if !wait(f.From) {
 		return
 	}
-	r.mu.Lock()
-	r.active[n] = true
-	r.targets[n] = r.hit(f)
-	hit := r.targets[n]
-	r.mu.Unlock()
+	h.mu.Lock()
+	h.active[n] = true
+	h.targets[n] = h.faultTargets(f)
+	targets := h.targets[n]
+	h.mu.Unlock()
 	end := f.From + f.For
 	defer func() {
-		r.mu.Lock()
-		r.active[n] = false
-		r.mu.Unlock()
-		r.burdenAll()
+		h.mu.Lock()
+		h.active[n] = false
+		h.mu.Unlock()
+		h.updateImpairments()
 	}()
-	r.burdenAll()
+	h.updateImpairments()
 	switch f.Kind {
 	case faults.Crash, faults.ZoneLoss:
-		for _, b := range hit {
+		for _, b := range targets {
 			b.stop()
 		}
-		if wait(min(end, f.From+detect)) {
-			for _, b := range hit {
-				r.lists[b.tier].add(b, "gone")
+		if wait(min(end, f.From+crashDetectionSeconds)) {
+			for _, b := range targets {
+				h.lists[b.tier].add(b, "gone")
 			}
 		}
 		if wait(end) {
-			for _, b := range hit {
-				r.again(b)
+			for _, b := range targets {
+				h.restartBackend(b)
 			}
 		}
 	case faults.RollingReplace:
-		for i, b := range hit {
-			if !wait(f.From + f.For*float64(i)/float64(len(hit))) {
+		for i, b := range targets {
+			if !wait(f.From + f.For*float64(i)/float64(len(targets))) {
 				return
 			}
-			r.troubles.Add(1)
+			h.faultTasks.Add(1)
 			go func() {
-				defer r.troubles.Done()
-				r.lists[b.tier].add(b, "draining")
-				if !wait(r.clock() + r.world.Rules.DrainTime) {
+				defer h.faultTasks.Done()
+				h.lists[b.tier].add(b, "draining")
+				if !wait(h.now() + h.world.Rules.DrainTime) {
 					return
 				}
 				b.stop()
-				r.lists[b.tier].add(b, "gone")
-				if err := r.place(b.tier, b.place, b.machine.speed, time.Now()); err != nil {
-					r.fail(err)
+				h.lists[b.tier].add(b, "gone")
+				if err := h.startAndListBackend(b.tier, b.index, b.machine.speed, time.Now()); err != nil {
+					h.fail(err)
 				}
 			}()
 		}
 	case faults.DiscoverySilent:
-		for _, l := range r.lists {
-			l.hush(true)
+		for _, l := range h.lists {
+			l.setSilent(true)
 		}
 		wait(end)
-		for _, l := range r.lists {
-			l.hush(false)
+		for _, l := range h.lists {
+			l.setSilent(false)
 		}
 	case faults.KillInstances, faults.RestartInstances:
-		r.turnOver(f, wait)
+		h.killOrRestart(f, wait)
 	case faults.StallInstances:
-		r.stall(f, wait)
+		h.stallProxies(f, wait)
 	case faults.CrashLoop:
-		r.crashLoop(f, wait)
+		h.crashLoop(f, wait)
 	default:
-		step := rampStep
+		step := rampInterval
 		if !f.Ramps() && f.Kind != faults.NoisyNeighbor {
 			wait(end)
 			return
 		}
-		for time.Now().Before(r.at(end)) {
-			if !wait(r.clock() + step.Seconds()) {
+		for time.Now().Before(h.timeAt(end)) {
+			if !wait(h.now() + step.Seconds()) {
 				return
 			}
-			r.burdenAll()
+			h.updateImpairments()
 		}
 	}
 }
 
-func (r *Harness) fail(err error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.failure == nil {
-		r.failure = err
+// fail records the first error of the run.
+func (h *Harness) fail(err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.failure == nil {
+		h.failure = err
 	}
 }
 
-// hit draws what a fault hits; r.mu is held.
-func (r *Harness) hit(f faults.Fault) []*backend {
-	return faults.PickBackends(f, r.tiers[f.Tier], func(b *backend) int { return b.zone })
+// faultTargets draws the backends that a fault hits. The caller holds h.mu.
+func (h *Harness) faultTargets(f faults.Fault) []*backend {
+	return faults.PickBackends(f, h.tiers[f.Tier], func(b *backend) int { return b.zone })
 }
 
-// again starts a backend's process anew at its address, cold, under its name.
-func (r *Harness) again(old *backend) {
-	r.mu.Lock()
-	b, err := r.startBackend(old.tier, old.place, old.machine.speed, old, time.Now())
+// restartBackend starts a backend again at the same address and under the same name. It is cold.
+func (h *Harness) restartBackend(previous *backend) {
+	h.mu.Lock()
+	b, err := h.startBackend(previous.tier, previous.index, previous.machine.speed, previous, time.Now())
 	if err == nil {
-		r.all = append(r.all, b)
-		r.tiers[b.tier][b.place] = b
+		h.allBackends = append(h.allBackends, b)
+		h.tiers[b.tier][b.index] = b
 	}
-	r.mu.Unlock()
-	if err == nil && b.tier+1 < len(r.world.Tiers) {
-		if b.own, err = r.startProcess(b.tier+1, b.place, b.zone, r.world.Tiers[b.tier].Backends, ""); err == nil {
-			b.pool = b.own.pool
-			r.mu.Lock()
-			r.running = append(r.running, b.own)
-			r.mu.Unlock()
+	h.mu.Unlock()
+	if err == nil && b.tier+1 < len(h.world.Tiers) {
+		if b.proxy, err = h.startProcess(b.tier+1, b.index, b.zone, h.world.Tiers[b.tier].Backends, ""); err == nil {
+			b.pool = b.proxy.pool
+			h.mu.Lock()
+			h.allProxies = append(h.allProxies, b.proxy)
+			h.mu.Unlock()
 		}
 	}
 	if err != nil {
-		r.fail(err)
+		h.fail(err)
 		return
 	}
-	r.lists[b.tier].add(b, "ready")
+	h.lists[b.tier].add(b, "ready")
 }
 
-// burdenAll takes anew what each backend has to bear, from all faults in force.
-func (r *Harness) burdenAll() {
-	defer r.turn()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.clock()
-	for _, tier := range r.tiers {
+// updateImpairments recomputes the impairment of each backend from all active faults.
+func (h *Harness) updateImpairments() {
+	defer h.updateLinks()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now := h.now()
+	for _, tier := range h.tiers {
 		for _, b := range tier {
-			var u faults.Impairment
-			for i, f := range r.plan {
-				if r.active[i] && slices.Contains(r.targets[i], b) {
-					u.Add(f, now)
+			var impairment faults.Impairment
+			for i, f := range h.plan {
+				if h.active[i] && slices.Contains(h.targets[i], b) {
+					impairment.Add(f, now)
 				}
 			}
 			b.mu.Lock()
-			b.burden = u
+			b.impairment = impairment
 			b.mu.Unlock()
-			b.machine.change(func() { b.machine.slow, b.machine.hang = u.Slow, u.Hang })
+			b.machine.change(func() { b.machine.slow, b.machine.hung = impairment.Slow, impairment.Hang })
 		}
 	}
 }
--- a/internal/testbed/ways.go
+++ b/internal/testbed/ways.go
@@ -1,6 +1,5 @@
-// This file owns the ways between proxies and backends, and among proxies, on days whose plan has faults of links: one
-// forwarder for each zone of proxies and each backend, one for each two siblings, and the weather on them. It must never
-// stand in a way that no fault is to touch: a day without such faults has no forwarder.
+// This file sets up forwarders with link faults, if the plan has any: one between each zone of proxies and each backend, and one
+// between each pair of peers. A run without link faults uses no forwarders.
 
 package testbed
 
@@ -14,73 +13,75 @@
 	"sandpass/internal/faults"
 )
 
-type way struct {
+// streamLinkKey identifies the link from a zone of proxies to a backend.
+type streamLinkKey struct {
 	from    int // zone of the proxies
 	address string
 }
 
-type stretch struct {
+// streamLink is the forwarder between a zone of proxies and a backend.
+type streamLink struct {
 	*faultnet.StreamForwarder
-	to  int  // zone of the backend
-	cut bool // one direction or both
+	to      int  // zone of the backend
+	blocked bool // in one direction or both
 }
 
-// between is the way of messages between two siblings.
-type between struct {
+// peerLink is the forwarder for messages between two peers.
+type peerLink struct {
 	*faultnet.DatagramForwarder
 	from, to int // their zones
 }
 
-// hasWays tells whether the plan has faults of links.
-func (r *Harness) hasWays() bool {
-	return slices.ContainsFunc(r.plan, func(f faults.Fault) bool {
+// hasLinkFaults reports whether the plan has link faults.
+func (h *Harness) hasLinkFaults() bool {
+	return slices.ContainsFunc(h.plan, func(f faults.Fault) bool {
 		return f.Kind == faults.Partition || f.Kind == faults.Delay || f.Kind == faults.PacketLoss || f.Kind == faults.ReorderMessages
 	})
 }
 
-// through is where proxies of a zone find a backend.
-func (r *Harness) through(from int, b *backend) (string, error) {
-	if !r.hasWays() {
+// backendAddr returns the address at which proxies of a zone reach a backend.
+func (h *Harness) backendAddr(from int, b *backend) (string, error) {
+	if !h.hasLinkFaults() {
 		return b.address, nil
 	}
-	r.waysMu.Lock()
-	defer r.waysMu.Unlock()
-	k := way{from, b.address}
-	if r.ways[k] == nil {
-		made, err := faultnet.NewStreamForwarder(b.address, r.seed+uint64(len(r.ways)))
+	h.linksMu.Lock()
+	defer h.linksMu.Unlock()
+	key := streamLinkKey{from, b.address}
+	if h.streamLinks[key] == nil {
+		forwarder, err := faultnet.NewStreamForwarder(b.address, h.seed+uint64(len(h.streamLinks)))
 		if err != nil {
 			return "", err
 		}
-		if r.ways == nil {
-			r.ways = map[way]*stretch{}
+		if h.streamLinks == nil {
+			h.streamLinks = map[streamLinkKey]*streamLink{}
 		}
-		r.ways[k] = &stretch{StreamForwarder: made, to: b.zone}
-		r.fit(k)
+		h.streamLinks[key] = &streamLink{StreamForwarder: forwarder, to: b.zone}
+		h.updateLink(key)
 	}
-	return r.ways[k].Addr(), nil
+	return h.streamLinks[key].Addr(), nil
 }
 
-// left is when the first so many bytes of a connection were sent to a backend, if a way that may hold them up is between.
-func (r *Harness) left(b *backend, from net.Addr, bytes int64) (at float64, known bool) {
-	r.waysMu.Lock()
-	defer r.waysMu.Unlock()
-	for z := range r.world.Zones { // at most one of them knows the connection
-		if s := r.ways[way{z, b.address}]; s != nil {
-			if t, ok := s.ReceivedAt(from, bytes); ok {
-				return t.Sub(r.start).Seconds(), true
+// sentAt returns when the first bytes bytes of a connection to a backend were sent, if they came through a forwarder.
+func (h *Harness) sentAt(b *backend, from net.Addr, bytes int64) (at float64, known bool) {
+	h.linksMu.Lock()
+	defer h.linksMu.Unlock()
+	for z := range h.world.Zones { // at most one forwarder knows the connection
+		if link := h.streamLinks[streamLinkKey{z, b.address}]; link != nil {
+			if t, ok := link.ReceivedAt(from, bytes); ok {
+				return t.Sub(h.start).Seconds(), true
 			}
 		}
 	}
 	return 0, false
 }
 
-// meetings gives each instance of the first tier an address for messages, and each the addresses at which it finds the
-// others; nil where siblings say nothing to one another.
-func (r *Harness) meetings() error {
-	if !r.world.Rules.Peers {
+// setUpPeerLinks assigns each first-tier instance an address for peer messages, and the addresses at which it reaches the
+// others. It does nothing if peers exchange no messages.
+func (h *Harness) setUpPeerLinks() error {
+	if !h.world.Rules.Peers {
 		return nil
 	}
-	n := r.world.Instances
+	n := h.world.Instances
 	own := make([]string, n)
 	for i := range own {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -88,85 +89,85 @@
 			return err
 		}
 		own[i] = c.LocalAddr().String()
-		defer c.Close() // free again once all are drawn, so that no two are the same
+		defer c.Close() // released once all addresses are assigned, so that no two are the same
 	}
-	r.peers = make([][]string, n)
+	h.peerAddrs = make([][]string, n)
 	for i := range n {
-		r.peers[i] = slices.Clone(own)
+		h.peerAddrs[i] = slices.Clone(own)
 	}
-	if !r.hasWays() {
+	if !h.hasLinkFaults() {
 		return nil
 	}
 	for i := range n {
 		for k := range i {
-			p, err := faultnet.NewDatagramForwarder(netip.MustParseAddrPort(own[k]), netip.MustParseAddrPort(own[i]), r.seed+uint64(i*n+k))
+			p, err := faultnet.NewDatagramForwarder(netip.MustParseAddrPort(own[k]), netip.MustParseAddrPort(own[i]), h.seed+uint64(i*n+k))
 			if err != nil {
-				return fmt.Errorf("a way between two siblings: %w", err)
+				return fmt.Errorf("forwarder between two peers: %w", err)
 			}
-			r.peers[k][i], r.peers[i][k] = p.AddrForLeft(), p.AddrForRight()
-			r.pairs = append(r.pairs, between{p, k % r.world.Zones, i % r.world.Zones})
+			h.peerAddrs[k][i], h.peerAddrs[i][k] = p.AddrForLeft(), p.AddrForRight()
+			h.peerLinks = append(h.peerLinks, peerLink{p, k % h.world.Zones, i % h.world.Zones})
 		}
 	}
 	return nil
 }
 
-// weather is what the faults in force make of what goes from one zone to another.
-func (r *Harness) weather(from, to int) (w faultnet.Conditions) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i, f := range r.plan {
-		if !r.active[i] {
+// linkConditions returns the conditions from one zone to another under the active faults.
+func (h *Harness) linkConditions(from, to int) (conditions faultnet.Conditions) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, f := range h.plan {
+		if !h.active[i] {
 			continue
 		}
-		now := r.clock()
+		now := h.now()
 		switch {
 		case f.Blocks(from, to):
-			w.Blocked = true
+			conditions.Blocked = true
 		case f.Kind == faults.Delay && f.AffectsPath(from, to):
-			w.Delay += f.SeverityAt(now)
+			conditions.Delay += f.SeverityAt(now)
 		case f.Kind == faults.PacketLoss && f.AffectsPath(from, to):
-			w.Loss = 1 - (1-w.Loss)*(1-f.SeverityAt(now))
+			conditions.Loss = 1 - (1-conditions.Loss)*(1-f.SeverityAt(now))
 		case f.Kind == faults.ReorderMessages:
-			w.Duplicate, w.Reorder = f.SeverityAt(now), f.SeverityAt(now)
+			conditions.Duplicate, conditions.Reorder = f.SeverityAt(now), f.SeverityAt(now)
 		}
 	}
-	w.Jitter, w.RetransmitDelay = r.world.Net.Jitter*w.Delay, r.world.Net.RetransmitDelay
-	return w
+	conditions.Jitter, conditions.RetransmitDelay = h.world.Net.Jitter*conditions.Delay, h.world.Net.RetransmitDelay
+	return conditions
 }
 
-// fit has a way's weather follow the faults in force; r.waysMu is held. When a cut ends the connections break that stood
-// in it, as in the emulator: what their senders have long given up must not reach a backend as if it were new.
-func (r *Harness) fit(k way) {
-	s := r.ways[k]
-	there, back := r.weather(k.from, s.to), r.weather(s.to, k.from)
-	if s.cut && !there.Blocked && !back.Blocked {
-		s.Reset()
+// updateLink sets the conditions of a link by the active faults. The caller holds h.linksMu. When a block ends, its connections
+// are reset, as in the emulator: requests that their senders gave up long ago must not reach a backend as if they were new.
+func (h *Harness) updateLink(key streamLinkKey) {
+	link := h.streamLinks[key]
+	toBackend, toProxy := h.linkConditions(key.from, link.to), h.linkConditions(link.to, key.from)
+	if link.blocked && !toBackend.Blocked && !toProxy.Blocked {
+		link.Reset()
 	}
-	s.cut = there.Blocked || back.Blocked
-	s.SetConditions(there, back)
+	link.blocked = toBackend.Blocked || toProxy.Blocked
+	link.SetConditions(toBackend, toProxy)
 }
 
-// turn has all ways follow the faults in force.
-func (r *Harness) turn() {
-	r.waysMu.Lock()
-	defer r.waysMu.Unlock()
-	for k := range r.ways { // each by itself, so no order is needed
-		r.fit(k)
+// updateLinks sets the conditions of all links by the active faults.
+func (h *Harness) updateLinks() {
+	h.linksMu.Lock()
+	defer h.linksMu.Unlock()
+	for key := range h.streamLinks { // links are independent, so the order does not matter
+		h.updateLink(key)
 	}
-	for _, p := range r.pairs {
-		p.SetConditions(r.weather(p.from, p.to), r.weather(p.to, p.from))
+	for _, p := range h.peerLinks {
+		p.SetConditions(h.linkConditions(p.from, p.to), h.linkConditions(p.to, p.from))
 	}
 }
 
-// endWays closes all forwarders.
-func (r *Harness) endWays() {
-	r.waysMu.Lock()
-	defer r.waysMu.Unlock()
-	for _, s := range r.ways {
-		s.Close()
+// closeLinks closes all forwarders.
+func (h *Harness) closeLinks() {
+	h.linksMu.Lock()
+	defer h.linksMu.Unlock()
+	for _, link := range h.streamLinks {
+		link.Close()
 	}
-	for _, p := range r.pairs {
+	for _, p := range h.peerLinks {
 		p.Close()
 	}
-	r.ways, r.pairs = nil, nil
+	h.streamLinks, h.peerLinks = nil, nil
 }
