--- a/internal/testbed/backend.go
+++ b/internal/testbed/backend.go
@@ -192,6 +192,7 @@
 	return seconds
 }
 
+// declinedResponse tells the proxy that a command was declined and never ran.
 const declinedResponse = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 
 // command executes or refuses one command. It reports whether the connection stays open.
@@ -257,16 +258,16 @@
 			return decline()
 		}
 		b.machine.addHeld(1)
-		reply := false
+		acquired := false
 		select {
 		case b.slots <- struct{}{}:
-			reply = true
+			acquired = true
 		case <-stop:
 		case <-b.dead:
 		}
 		b.machine.addHeld(-1)
 		b.waiting.Add(-1)
-		if !reply {
+		if !acquired {
 			<-watched
 			b.harness.recorder.relayEnded(id, relay, false)
 			return false
@@ -308,7 +309,7 @@
 	if b.proxy != nil {
 		calls = w.Verbs[verb].Calls[b.tier]
 	}
-	part := emulator.DrawWork(&w.Verbs[verb], seed, b.tier) / float64(calls+1)
+	partWork := emulator.DrawWork(&w.Verbs[verb], seed, b.tier) / float64(calls+1)
 	b.working.Add(1)
 	defer b.working.Add(-1)
 	cancelled := make(chan struct{})
@@ -321,7 +322,7 @@
 		close(cancelled)
 	}()
 	for n := range calls + 1 {
-		if !b.machine.run(part, cancelled) {
+		if !b.machine.run(partWork, cancelled) {
 			return false, false
 		}
 		if n < calls {
@@ -339,8 +340,7 @@
 			}()
 			b.machine.addHeld(1)
 			reply := b.harness.send(ctx, b.pool, request{verb: verb, customer: 0, seed: emulator.MixSeeds(seed, uint64(n+1)),
-				limit: left.Seconds(),
-				tier:  b.tier + 1, instance: b.proxy.serial})
+				limit: left.Seconds(), tier: b.tier + 1, instance: b.proxy.serial})
 			b.machine.addHeld(-1)
 			cancel()
 			if reply.result != resultServed {
@@ -354,6 +354,6 @@
 
 // checkerEffect converts the effect and key scope of a verb to the checker's types.
 func checkerEffect(v *emulator.Verb) (checker.Effect, checker.Scope) {
-	e, s := emulator.EffectAndScope(v)
-	return checker.Effect(e), checker.Scope(s)
+	effect, scope := emulator.EffectAndScope(v)
+	return checker.Effect(effect), checker.Scope(scope)
 }
--- a/internal/testbed/here.go
+++ b/internal/testbed/child.go
@@ -35,17 +35,17 @@
 	if err != nil {
 		return true, err
 	}
-	l, err := proxy.ParseConfig(text)
+	config, err := proxy.ParseConfig(text)
 	if err != nil {
 		return true, err
 	}
-	if err := l.LoadOperatorFile(os.Getenv(operatorEnv)); err != nil {
+	if err := config.LoadOperatorFile(os.Getenv(operatorEnv)); err != nil {
 		return true, err
 	}
 	runtime.GOMAXPROCS(1)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	p, err := proxy.New(l)
+	p, err := proxy.New(config)
 	if err != nil {
 		return true, err
 	}
@@ -71,12 +71,12 @@
 
 // hotFunctions names the n functions of a profile with the highest flat time, that is without the functions they call.
 func hotFunctions(path string, n int) ([]string, error) {
-	in, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer in.Close()
-	p, err := profile.Parse(in)
+	defer file.Close()
+	p, err := profile.Parse(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -127,7 +127,7 @@
 	if w.op == 0 {
 		w.op = id
 	}
-	text := h.requestText(id, w)
+	message := h.requestText(id, w)
 	deadline := time.Now().Add(time.Duration((w.limit + overdueSeconds) * float64(time.Second)))
 	accepted, startedAt := false, h.now()
 	for try := 0; ; try++ {
@@ -148,7 +148,7 @@
 			h.recorder.requestAccepted(id, requestRecord{seed: w.seed, verb: w.verb, instance: w.instance, op: w.op}, w.limit)
 			accepted = true
 		}
-		reply, reused, closedUnread := h.exchange(ctx, c, deadline, id, text)
+		reply, reused, closedUnread := h.exchange(ctx, c, deadline, id, message)
 		if reused {
 			p.put(c)
 		} else {
@@ -169,7 +169,7 @@
 
 // exchange writes a command and reads its answer. reused tells whether the connection can carry another command, closedUnread
 // that it ended before a byte of the answer came.
-func (h *Harness) exchange(ctx context.Context, c *clientConn, deadline time.Time, id uint64, text string) (reply response,
+func (h *Harness) exchange(ctx context.Context, c *clientConn, deadline time.Time, id uint64, message string) (reply response,
 	reused, closedUnread bool) {
 	c.SetDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
@@ -184,7 +184,7 @@
 		}
 		return response{result: resultBroken}, false, !answerBegun
 	}
-	if _, err := io.WriteString(c, text); err != nil {
+	if _, err := io.WriteString(c, message); err != nil {
 		return connError(err, false)
 	}
 	if _, err := c.reader.Peek(1); err != nil {
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/harness.go
@@ -68,7 +68,7 @@
 	peerLinks      []peerLink
 	peerAddrs      [][]string // for each instance of the first tier, the addresses at which it reaches its peers
 	SnapshotState  string     // one of SnapshotStates: what happens to the snapshot of a proxy while it is down
-	SwapIndexes    bool       // each killed proxy restarts with the index of the next one that was killed by the same fault
+	SwapIndexes    bool       // each killed proxy restarts with the index of the next one; a fault kills all its proxies at once
 	Stress         Stress     // additional stress on the processes of the first tier
 	operatorFile   string     // path of the operator file, empty if there is none
 	withoutChecker bool       // events are not recorded for the checker
@@ -274,13 +274,13 @@
 func (h *Harness) tearDown() {
 	close(h.stopped)
 	h.mu.Lock()
-	all, running := h.allBackends, h.allProxies
+	backends, proxies := h.allBackends, h.allProxies
 	h.mu.Unlock()
-	for _, p := range running {
+	for _, p := range proxies {
 		p.kill()
 		p.pool.close()
 	}
-	for _, b := range all {
+	for _, b := range backends {
 		b.stop()
 	}
 	h.closeLinks()
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -189,11 +189,11 @@
 	from := time.Now()
 	sleep(ctx, seconds)
 	counting.Store(false)
-	took := time.Since(from).Seconds()
+	elapsed := time.Since(from).Seconds()
 	onMark()
 	close(stop)
 	wait.Wait()
-	return float64(done.Load()) / took, int(failed.Load())
+	return float64(done.Load()) / elapsed, int(failed.Load())
 }
 
 // sleep waits for a number of seconds or until ctx ends.
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -52,7 +52,7 @@
 }
 
 // proxyConfig returns the configuration of a proxy.
-func (h *Harness) proxyConfig(p *process, siblings int) map[string]any {
+func (h *Harness) proxyConfig(p *process, instances int) map[string]any {
 	w := &h.world
 	var verbs, realms []map[string]any
 	for _, v := range w.Verbs {
@@ -84,7 +84,7 @@
 		"seed":   fmt.Sprintf("%016x", h.seed+uint64(p.serial)),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": cmp.Or(h.Stress.DescriptorLimit, 4096)},
 		"settings": map[string]any{
-			"me": p.index, "siblings": siblings, "tier": p.tier, "zone": p.zone, "discovery": "pushed", "azs": zones,
+			"me": p.index, "siblings": instances, "tier": p.tier, "zone": p.zone, "discovery": "pushed", "azs": zones,
 			"tick_ms": 1000 * w.Tick,
 			"limits": map[string]any{"max_relays": w.Rules.MaxRelays, "max_open": 5000, "peers": len(peers) > 0,
 				"second_copies": w.Rules.SecondCopies, "cancel": w.Rules.CancelRelays,
@@ -127,10 +127,10 @@
 
 // startProcess starts a proxy and waits until it is ready. A free address may be taken by the time the proxy listens; then
 // another address is tried.
-func (h *Harness) startProcess(tier, index, zone, siblings int, listen string) (p *process, err error) {
+func (h *Harness) startProcess(tier, index, zone, instances int, listen string) (p *process, err error) {
 	for range 5 {
-		if p, err = h.startOnce(tier, index, zone, siblings, listen); err == nil || listen != "" || !strings.Contains(err.Error(),
-			addressInUse) {
+		if p, err = h.startOnce(tier, index, zone, instances, listen); err == nil || listen != "" ||
+			!strings.Contains(err.Error(), addressInUse) {
 			break
 		}
 	}
@@ -138,7 +138,7 @@
 }
 
 // startOnce makes one attempt to start a proxy.
-func (h *Harness) startOnce(tier, index, zone, siblings int, listen string) (*process, error) {
+func (h *Harness) startOnce(tier, index, zone, instances int, listen string) (*process, error) {
 	var err error
 	p := &process{harness: h, tier: tier, index: index, zone: zone, listen: listen, weight: 1, ended: make(chan struct{})}
 	if p.listen == "" {
@@ -153,7 +153,7 @@
 	if p.agent, err = h.startAgent(p); err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(h.proxyConfig(p, siblings))
+	text, err := json.Marshal(h.proxyConfig(p, instances))
 	if err != nil {
 		return nil, err
 	}
@@ -367,37 +367,37 @@
 			return
 		}
 		a.history.mu.Lock()
-		now, more := append([]endpointEntry(nil), a.history.entries...), a.history.changed
+		history, changed := append([]endpointEntry(nil), a.history.entries...), a.history.changed
 		a.history.mu.Unlock()
-		var send []endpointEntry
+		var entries []endpointEntry
 		if snapshot {
 			latest := map[string]int{}
-			for i, x := range now {
+			for i, x := range history {
 				latest[x.Name] = i
 			}
-			for i, x := range now {
+			for i, x := range history {
 				if latest[x.Name] == i && x.Status != "gone" {
-					send = append(send, x)
+					entries = append(entries, x)
 				}
 			}
 		} else {
-			send = now[sentCount:]
+			entries = history[sentCount:]
 		}
-		for i, x := range send {
+		for i, x := range entries {
 			var err error
-			if send[i].Address, err = a.proxy.harness.backendAddr(a.proxy.zone, x.backend); err != nil {
+			if entries[i].Address, err = a.proxy.harness.backendAddr(a.proxy.zone, x.backend); err != nil {
 				a.proxy.harness.fail(err)
 				return
 			}
 		}
-		if len(send) > 0 || snapshot {
-			for _, x := range send {
+		if len(entries) > 0 || snapshot {
+			for _, x := range entries {
 				if a.proxy.harness.withoutChecker {
 					break
 				}
 				a.proxy.harness.recorder.endpointListed(a.proxy.serial, x.backend, x.Status == "ready", x.started)
 			}
-			if json.NewEncoder(w).Encode(map[string]any{"index": len(now), "snapshot": snapshot, "endpoints": send}) != nil ||
+			if json.NewEncoder(w).Encode(map[string]any{"index": len(history), "snapshot": snapshot, "endpoints": entries}) != nil ||
 				flush() != nil {
 				return
 			}
@@ -407,9 +407,9 @@
 		} else if _, err := w.Write([]byte("\n")); err != nil || flush() != nil {
 			return
 		}
-		sentCount, snapshot = len(now), false
+		sentCount, snapshot = len(history), false
 		select {
-		case <-more:
+		case <-changed:
 			select {
 			case <-time.After(a.lag):
 			case <-request.Context().Done():
--- a/internal/testbed/books.go
+++ b/internal/testbed/recorder.go
@@ -38,115 +38,115 @@
 }
 
 // now returns the time of the run in seconds.
-func (b *recorder) now() float64 { return time.Since(b.start).Seconds() }
+func (r *recorder) now() float64 { return time.Since(r.start).Seconds() }
 
 // requestAccepted records a request. It is called before the client sends the first byte.
-func (b *recorder) requestAccepted(id uint64, record requestRecord, limit float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.requests[id] = &record
-	effect, scope := checkerEffect(&b.world.Verbs[record.verb])
-	b.checker.CommandAccepted(b.now(), checker.Command{ID: id, Operation: record.op, Instance: record.instance,
-		Expires: b.now() + limit, Effect: effect, Scope: scope,
-		DedupWindow: b.world.Verbs[record.verb].DedupWindow})
+func (r *recorder) requestAccepted(id uint64, record requestRecord, limit float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requests[id] = &record
+	effect, scope := checkerEffect(&r.world.Verbs[record.verb])
+	r.checker.CommandAccepted(r.now(), checker.Command{ID: id, Operation: record.op, Instance: record.instance,
+		Expires: r.now() + limit, Effect: effect, Scope: scope,
+		DedupWindow: r.world.Verbs[record.verb].DedupWindow})
 }
 
 // relayReceived records that a backend has received a complete command; known is false if no client sent it. The rules apply to
 // the time at which it was sent. Only the load on a warming backend counts from when it arrived.
-func (b *recorder) relayReceived(backend *backend, id uint64, verb int, sentAt float64) (relay int, known bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	record := b.requests[id]
+func (r *recorder) relayReceived(backend *backend, id uint64, verb int, sentAt float64) (relay int, known bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	record := r.requests[id]
 	if record == nil {
 		return 0, false
 	}
-	if record.endedAt > 0 && (sentAt < record.endedAt+crossingSeconds || record.clientGone &&
-		sentAt < record.endedAt+unseenDisconnectSeconds) {
+	if record.endedAt > 0 && (sentAt < record.endedAt+crossingSeconds ||
+		record.clientGone && sentAt < record.endedAt+unseenDisconnectSeconds) {
 		return -1, true
 	}
 	relay = record.relays
 	record.relays++
-	b.checker.RelaySent(sentAt, id, backend.serial, backend.zone, backend.cell, false)
+	r.checker.RelaySent(sentAt, id, backend.serial, backend.zone, backend.cell, false)
 	if warm := backend.machine.warmth(time.Now()); warm < 1 {
-		b.checker.ColdBackendReached(b.now(), backend.serial, record.instance, b.world.Verbs[verb].Work[backend.tier],
+		r.checker.ColdBackendReached(r.now(), backend.serial, record.instance, r.world.Verbs[verb].Work[backend.tier],
 			backend.machine.cores*backend.machine.speed*warm,
-			backend.started.Sub(b.start).Seconds())
+			backend.started.Sub(r.start).Seconds())
 	}
 	return relay, true
 }
 
 // relayEnded records how a relay ended. It is called before the proxy can know.
-func (b *recorder) relayEnded(id uint64, relay int, neverRan bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *recorder) relayEnded(id uint64, relay int, neverRan bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if relay >= 0 {
-		b.checker.RelayEnded(id, relay, neverRan)
+		r.checker.RelayEnded(id, relay, neverRan)
 	}
 }
 
 // executed records that a backend has executed a command.
-func (b *recorder) executed(backend *backend, id uint64, verb int, sentAt float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	effect, scope := checkerEffect(&b.world.Verbs[verb])
-	b.checker.EffectExecuted(b.now(), sentAt, b.requests[id].op, effect, scope, b.world.Verbs[verb].DedupWindow, backend.zone,
+func (r *recorder) executed(backend *backend, id uint64, verb int, sentAt float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	effect, scope := checkerEffect(&r.world.Verbs[verb])
+	r.checker.EffectExecuted(r.now(), sentAt, r.requests[id].op, effect, scope, r.world.Verbs[verb].DedupWindow, backend.zone,
 		backend.cell)
 }
 
 // requestEnded records the result that the client saw; valid tells whether the body was made by a backend.
-func (b *recorder) requestEnded(id uint64, result result, valid bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.requests[id].endedAt = b.now()
+func (r *recorder) requestEnded(id uint64, result result, valid bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requests[id].endedAt = r.now()
 	switch result {
 	case resultServed, resultDeclined, resultFailed:
-		b.checker.CommandEnded(b.now(), id, result == resultDeclined, result == resultServed, valid)
+		r.checker.CommandEnded(r.now(), id, result == resultDeclined, result == resultServed, valid)
 	case resultBroken, resultLeft, resultUnreached:
-		b.requests[id].clientGone = true
-		b.checker.ClientDisconnected(id) // the instance or the client is gone
+		r.requests[id].clientGone = true
+		r.checker.ClientDisconnected(id) // the instance or the client is gone
 	}
 }
 
 // endpointListed records that discovery has sent an endpoint to an instance.
-func (b *recorder) endpointListed(instance int, backend *backend, ready bool, started time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *recorder) endpointListed(instance int, backend *backend, ready bool, started time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	at := 0.0
 	if !started.IsZero() {
-		at = started.Sub(b.start).Seconds()
+		at = started.Sub(r.start).Seconds()
 	}
-	b.checker.BackendUpdateReceived(b.now(), instance, backend.serial, ready, at)
+	r.checker.BackendUpdateReceived(r.now(), instance, backend.serial, ready, at)
 }
 
 // instanceKilled records that an instance has ended.
-func (b *recorder) instanceKilled(instance int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.checker.InstanceKilled(instance)
+func (r *recorder) instanceKilled(instance int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.checker.InstanceKilled(instance)
 }
 
 // withChecker calls do with the checker locked.
-func (b *recorder) withChecker(do func(c *checker.Checker)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	do(b.checker)
+func (r *recorder) withChecker(do func(c *checker.Checker)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	do(r.checker)
 }
 
 // relayCount returns how many times backends have received a complete command.
-func (b *recorder) relayCount(id uint64) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.requests[id].relays
+func (r *recorder) relayCount(id uint64) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.requests[id].relays
 }
 
 // expectedBody returns the answer body that only a backend which has executed the command can produce.
-func (b *recorder) expectedBody(id uint64) string {
+func (r *recorder) expectedBody(id uint64) string {
 	return fmt.Sprintf("made %016x", emulator.MixSeeds(id, 0x616e73))
 }
 
 // seed returns the random seed of a request.
-func (b *recorder) seed(id uint64) uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.requests[id].seed
+func (r *recorder) seed(id uint64) uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.requests[id].seed
 }
--- a/internal/testbed/rolling.go
+++ b/internal/testbed/rolling.go
@@ -38,12 +38,12 @@
 // RollingResult is the result of a rolling restart as seen by the clients.
 type RollingResult struct {
 	Sent, Served, Declined, Failed int
-	ClosedWhileIdle                int // requests on a connection that was closed before it read them
+	ClosedWhileIdle                int // requests on a connection that closed unread, which a client sends again
 	ClosedUnanswered               int // new connections that were closed without an answer
 	Killed                         int // processes that had not ended when the kill came
 	Lost                           []string
 	Account                        *checker.Report // checker's report on the other rules
-	MaxSendDelay                   float64         // longest delay in seconds of the harness's timers; a starved harness invalidates a run
+	MaxSendDelay                   float64         // longest delay of a harness timer in seconds; if high, the run is invalid
 	MaxTimeLimit                   float64         // longest time limit that was drawn, in seconds
 	Tiers                          int
 }
@@ -57,8 +57,8 @@
 	tiers := 1 + rng.IntN(3)
 	w.Zones, w.Instances, w.Warmup, w.Clients.EarlyLeaveShare, w.InstanceSkew = 1+rng.IntN(2), proxies, 0.5, 0, 0.5
 	w.Rules.WarmUp = 2
-	steps := math.Ceil(float64(proxies) / float64(groupSize(proxies)))
-	w.Duration = 1 + steps*groupIntervalSeconds(limit) + killDelaySeconds(limit) + 1
+	groups := math.Ceil(float64(proxies) / float64(groupSize(proxies)))
+	w.Duration = 1 + groups*groupIntervalSeconds(limit) + killDelaySeconds(limit) + 1
 	scale := limit / 2 // relative to the longest limit of the default world
 	for i := range w.Verbs {
 		v := &w.Verbs[i]
@@ -278,13 +278,13 @@
 	}
 	h.recorder.requestAccepted(id, requestRecord{seed: id, verb: verb, instance: c.proxy.serial, op: id}, limit)
 	from, wrote := h.now(), time.Now()
-	g, reused, closedUnread := h.exchange(context.Background(), c.conn,
+	reply, reused, closedUnread := h.exchange(context.Background(), c.conn,
 		wrote.Add(time.Duration((limit+overdueSeconds)*float64(time.Second))), id, text)
-	h.recorder.requestEnded(id, map[bool]result{true: resultBroken, false: g.result}[g.result == resultSilent], true)
+	h.recorder.requestEnded(id, map[bool]result{true: resultBroken, false: reply.result}[reply.result == resultSilent], true)
 	elapsed, used := time.Since(wrote).Seconds(), c.used
 	c.used = true
 	c.counts.Sent++
-	switch g.result {
+	switch reply.result {
 	case resultServed:
 		c.counts.Served++
 	case resultDeclined:
--- a/internal/testbed/table.go
+++ b/internal/testbed/table.go
@@ -14,7 +14,8 @@
 // writes medians with their spread as Markdown.
 func WriteTable(ctx context.Context, out io.Writer, loads []LoadTest, names []string, connections, bodies []int,
 	repetitions int) error {
-	fmt.Fprintln(out, "| connections | body | path | commands/s | CPU us | open loop/s | added p50 us | p99 us | p99.9 us | failed |")
+	fmt.Fprintln(out,
+		"| connections | body | path | commands/s | CPU us | open loop/s | added p50 us | p99 us | p99.9 us | failed |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	var hot []string
 	for _, body := range bodies {
