--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -23,6 +23,7 @@
 // knownFailure is one line of the list: PACKAGE TEST, CAUSE, issue N.
 type knownFailure struct{ pkg, test, cause, issue string }
 
+// linePattern matches one line of the list.
 var linePattern = regexp.MustCompile(`^(\S+) (Test[^\s,]*), (\S.*), issue (\d+)$`)
 
 func main() {
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -15,6 +15,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
+// confidenceLevel is the level of all confidence intervals.
 const confidenceLevel = 0.95
 
 // Difference is the difference of a metric between two sets of rows, paired by identical runs.
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -222,7 +222,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := csv.NewReader(bytes.NewReader(text[:bytes.LastIndexByte(text, '\n')+1])) // an incomplete last line is ignored
+	r := csv.NewReader(bytes.NewReader(text[:bytes.LastIndexByte(text, '\n')+1])) // drops an incomplete last line
 	head, err := r.Read()
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: line 1: %w", path, err)
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -46,11 +46,10 @@
 		{"some are stalled during a drain", false, faults.Plan{newFault(faults.StallInstances, 2, 2.5, 0.4, 0),
 			newFault(faults.RollingReplace, 2.2, 1, 0.5, 0)}, 0.4},
 		{"a crash loop of a quarter", true, faults.Plan{newFault(faults.CrashLoop, 1.5, 4, 0.25, 0.4)}, 0.6},
-		{"links with delay and loss", true, faults.Plan{newFault(faults.Delay, 1.5, 3, 1, 0.03), newFault(faults.PacketLoss, 2, 3,
-			1, 0.05),
-			newFault(faults.ReorderMessages, 1, 5, 1, 0.2)}, 0.6},
-		{"a partition and a kill, discovery silent", true, faults.Plan{{Kind: faults.Partition, Zone: 0, To: 1, From: 1.5, For: 2,
-			Hard: 0.5},
+		{"links with delay and loss", true, faults.Plan{newFault(faults.Delay, 1.5, 3, 1, 0.03),
+			newFault(faults.PacketLoss, 2, 3, 1, 0.05), newFault(faults.ReorderMessages, 1, 5, 1, 0.2)}, 0.6},
+		{"a partition and a kill, discovery silent", true, faults.Plan{
+			{Kind: faults.Partition, Zone: 0, To: 1, From: 1.5, For: 2, Hard: 0.5},
 			newFault(faults.KillInstances, 2, 1.5, 0.4, 0), newFault(faults.DiscoverySilent, 2.5, 2, 1, 0)}, 0.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -131,15 +130,15 @@
 	c.CommandAccepted(7, checker.Command{ID: 4, Instance: 1, Expires: 9})
 	c.BackendUpdateReceived(7, 1, 5, false, 0)
 	c.RelaySent(7.5, 4, 5, 0, 0, false)
-	acc := c.Close(12)
+	report := c.Close(12)
 	for _, want := range []string{"request 2 at instance 1 has its final answer", "request 3 at instance 2 has its final answer",
 		"request 4 to backend 5, 500 ms after word", "request 4 at instance 1 never had"} {
-		if !strings.Contains(fmt.Sprint(acc.Violations), want) {
-			t.Errorf("%q is missing in %v", want, acc.Violations)
+		if !strings.Contains(fmt.Sprint(report.Violations), want) {
+			t.Errorf("%q is missing in %v", want, report.Violations)
 		}
 	}
-	if acc.ViolationCount() != 4 {
-		t.Errorf("%v", acc.Violations)
+	if report.ViolationCount() != 4 {
+		t.Errorf("want 4 violations, have %v", report.Violations)
 	}
 }
 
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -79,6 +79,7 @@
 	}
 }
 
+// contentLength is the only header that readHead parses.
 var contentLength = []byte("Content-Length: ")
 
 // readHead reads the headers of a message written by this package and returns the length of its body.
--- a/internal/testbed/rolling_test.go
+++ b/internal/testbed/rolling_test.go
@@ -43,7 +43,8 @@
 				t.Fatal(err)
 			}
 			t.Logf(
-				"limit %.2f s %d tiers: sent %d served %d declined %d failed %d closed idle %d unanswered %d, killed %d lost %d, late by %.3f s",
+				"limit %.2f s %d tiers: sent %d served %d declined %d failed %d closed idle %d unanswered %d, "+
+					"killed %d lost %d, late by %.3f s",
 				out.MaxTimeLimit, out.Tiers, out.Sent, out.Served, out.Declined, out.Failed, out.ClosedWhileIdle, out.ClosedUnanswered,
 				out.Killed, len(out.Lost), out.MaxSendDelay)
 			if out.MaxSendDelay > 0.1 { // the margins before the kill are 0.3 s
--- a/internal/testbed/table.go
+++ b/internal/testbed/table.go
@@ -31,7 +31,7 @@
 					direct, through[i] = append(direct, d), append(through[i], t)
 				}
 			}
-			writeRow(out, "direct", direct, nil)
+			writeRow(out, "straight", direct, nil)
 			for i, all := range through {
 				name := names[i]
 				if name == "" {
