--- a/internal/knownfailures/main_test.go
+++ b/internal/knownfailures/main_test.go
@@ -21,12 +21,14 @@
 	writeFile("go.mod", "module m\n\ngo 1.24\n")
 	const head = "package x\n\nimport \"testing\"\n\n"
 	writeFile("one/x_test.go", head+"func TestA(t *testing.T) { t.Error(\"it fails\") }\nfunc TestAB(t *testing.T) {}\n"+
-		"func TestC(t *testing.T) {\n\tt.Run(\"in\", func(t *testing.T) { t.Error(\"it fails\") })\n\tt.Run(\"inner\", func(t *testing.T) {})\n}\n")
+		"func TestC(t *testing.T) {\n\tt.Run(\"in\", func(t *testing.T) { t.Error(\"it fails\") })\n"+
+		"\tt.Run(\"inner\", func(t *testing.T) {})\n}\n")
 	writeFile("two/x_test.go", head+"func TestA(t *testing.T) {}\nfunc TestD(t *testing.T) { t.Error(\"it fails\") }\n")
 	writeFile("four/x_test.go", head+"func TestA(t *testing.T) { nothing() }\n")
 	t.Chdir(dir)
 
-	const a, c, d = "m/one TestA, a cause, with a comma, issue 7\n", "m/one TestC/in, a cause, issue 7\n", "m/two TestD, a cause, issue 8\n"
+	const a, c, d = "m/one TestA, a cause, with a comma, issue 7\n",
+		"m/one TestC/in, a cause, issue 7\n", "m/two TestD, a cause, issue 8\n"
 	for name, tc := range map[string]struct{ lines, want string }{
 		"all failing tests are listed":  {a + c + "\n" + d, ""},
 		"no file":                       {"-", "go test"},
