--- a/cmd/sandlab/main.go
+++ b/cmd/sandlab/main.go
@@ -53,7 +53,7 @@
 
 // rootCommand returns the sandlab command with all subcommands.
 func rootCommand() *cobra.Command {
-	c := &cobra.Command{Use: "sandlab", Short: "run experiments on an emulated world", SilenceUsage: true, SilenceErrors: true}
+	c := &cobra.Command{Use: "sandlab", Short: "plays experiments on an emulated world", SilenceUsage: true, SilenceErrors: true}
 	c.AddCommand(runCommand(), sweepCommand(), compareCommand(), searchCommand(), shrinkCommand(), replayCommand(),
 		plotCommand(), policiesCommand(), recoveryCommand(), liveCommand(), loadCommand(), scaleCommand())
 	return c
@@ -108,7 +108,7 @@
 func runCommand() *cobra.Command {
 	var dir string
 	var cores int
-	c := &cobra.Command{Use: "run EXPERIMENT.toml", Short: "run an experiment and store its table, time series and charts",
+	c := &cobra.Command{Use: "run EXPERIMENT.toml", Short: "play an experiment and keep its table, days and charts",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
@@ -120,7 +120,7 @@
 			}
 			return drawCharts(c, dir, 0, "g")
 		}}
-	c.Flags().StringVar(&dir, "out", "", "result folder (default results/NAME)")
+	c.Flags().StringVar(&dir, "out", "", "folder of the results (results/NAME)")
 	addCoresFlag(c, &cores)
 	return c
 }
@@ -130,10 +130,10 @@
 	var dir string
 	var cores int
 	var overrides []string
-	c := &cobra.Command{Use: "sweep EXPERIMENT.toml --over PATH=V,V", Short: "run an experiment over additional parameters",
+	c := &cobra.Command{Use: "sweep EXPERIMENT.toml --over PATH=V,V", Short: "play an experiment over further parameters",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			if len(overrides) == 0 {
-				return errors.New("--over PATH=VALUE,VALUE is required")
+				return errors.New("--over PATH=VALUE,VALUE names what to sweep")
 			}
 			s, err := lab.ReadExperiment(args[0], overrides)
 			if err != nil {
@@ -145,9 +145,9 @@
 			}
 			return drawCharts(c, dir, 0, "g")
 		}}
-	c.Flags().StringVar(&dir, "out", "", "result folder")
+	c.Flags().StringVar(&dir, "out", "", "folder of the results")
 	addCoresFlag(c, &cores)
-	c.Flags().StringArrayVar(&overrides, "over", nil, "a parameter and its values, such as world.load=0.5,0.7; may be repeated")
+	c.Flags().StringArrayVar(&overrides, "over", nil, "a parameter and its values, such as world.load=0.5,0.7; may be given again")
 	return c
 }
 
@@ -198,7 +198,7 @@
 
 // addCoresFlag adds the flag --cores.
 func addCoresFlag(c *cobra.Command, cores *int) {
-	c.Flags().IntVar(cores, "cores", 0, "number of parallel runs, 0 for all cores")
+	c.Flags().IntVar(cores, "cores", 0, "runs side by side, 0 for all cores")
 }
 
 // searchCommand returns the command "search".
@@ -206,7 +206,7 @@
 	var dir, policy string
 	var cores, budget, keep int
 	var seed uint64
-	c := &cobra.Command{Use: "search EXPERIMENT.toml", Short: "search for the runs in which a policy does worst against the oracle",
+	c := &cobra.Command{Use: "search EXPERIMENT.toml", Short: "look for the days on which a policy does worst against the oracle",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
@@ -234,12 +234,12 @@
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&dir, "out", "found", "folder for the runs found")
-	c.Flags().StringVar(&policy, "policy", "module", "policy to examine")
-	c.Flags().IntVar(&budget, "budget", 256, "number of runs to try")
-	c.Flags().IntVar(&keep, "keep", 5, "number of runs to keep")
+	c.Flags().StringVar(&dir, "out", "found", "folder for the days found")
+	c.Flags().StringVar(&policy, "policy", "module", "which policy")
+	c.Flags().IntVar(&budget, "budget", 256, "days to try")
+	c.Flags().IntVar(&keep, "keep", 5, "days to keep")
 	addCoresFlag(c, &cores)
-	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the search")
+	c.Flags().Uint64Var(&seed, "seed", 1, "of the search")
 	return c
 }
 
@@ -263,7 +263,7 @@
 	var keep float64
 	var cores int
 	c := &cobra.Command{Use: "shrink FOUND.toml",
-		Short: "reduce a run to the fewest faults and the smallest fleet that still show the problem",
+		Short: "cut a day down to the fewest faults and the smallest fleet that still show it",
 		Args:  cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
@@ -289,8 +289,8 @@
 			fmt.Fprintf(c.OutOrStdout(), "%s after %d steps\n%s", path, steps, describeResult(result))
 			return nil
 		}}
-	c.Flags().StringVar(&path, "out", "", "file for the reduced run (default FOUND-small.toml)")
-	c.Flags().Float64Var(&keep, "keep", 0.7, "share of the loss that must remain")
+	c.Flags().StringVar(&path, "out", "", "file for the small day (FOUND-small.toml)")
+	c.Flags().Float64Var(&keep, "keep", 0.7, "part of the loss that must stay")
 	addCoresFlag(c, &cores)
 	return c
 }
@@ -336,16 +336,16 @@
 func plotCommand() *cobra.Command {
 	var cell int
 	var metric string
-	c := &cobra.Command{Use: "plot FOLDER", Short: "draw the charts of a result folder",
+	c := &cobra.Command{Use: "plot FOLDER", Short: "draw the charts of a folder of results",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error { return drawCharts(c, args[0], cell, metric) }}
-	c.Flags().IntVar(&cell, "cell", 0, "index of the grid cell for the latency and time charts")
-	c.Flags().StringVar(&metric, "figure", "g", "metric to draw over the axes")
+	c.Flags().IntVar(&cell, "cell", 0, "which cell of the grid the curves are of, from 0")
+	c.Flags().StringVar(&metric, "figure", "g", "what to draw over the axes")
 	return c
 }
 
 // policiesCommand returns the command "policies".
 func policiesCommand() *cobra.Command {
-	return &cobra.Command{Use: "policies", Short: "list the policies", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
+	return &cobra.Command{Use: "policies", Short: "name the policies", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
 		for _, n := range baseline.Names() {
 			fmt.Fprintf(c.OutOrStdout(), "%-9s %s\n", n, baseline.Describe(n))
 		}
@@ -441,10 +441,10 @@
 	lab.WriteRecoveryRow(c.OutOrStdout(), label, all, seconds)
 	slices.Sort(recoverySeconds)
 	if n := len(recoverySeconds); n > 0 {
-		fmt.Fprintf(c.OutOrStdout(), "%d restarted proxies report full recovery after %.2f s in the median, %.2f s at worst; ",
+		fmt.Fprintf(c.OutOrStdout(), "%d proxies that came back say they were of full use after %.2f s in the median, %.2f s at worst; ",
 			n, recoverySeconds[n/2], recoverySeconds[n-1])
 	}
-	fmt.Fprintf(c.OutOrStdout(), "the test harness sent commands late by %.0f ms at most\n", 1000*maxSendDelay)
+	fmt.Fprintf(c.OutOrStdout(), "the rig itself was late by %.0f ms at most\n", 1000*maxSendDelay)
 	return nil
 }
 
--- a/cmd/sandlab/scale.go
+++ b/cmd/sandlab/scale.go
@@ -21,7 +21,7 @@
 // scaleCommand returns the command "scale" with its subcommands.
 func scaleCommand() *cobra.Command {
 	c := &cobra.Command{Use: "scale",
-		Short: "measure how the control plane scales with the fleet, and generate docs/CAPACITY.md from it"}
+		Short: "measure how the control side of a fleet grows, and write docs/CAPACITY.md from it"}
 	c.AddCommand(scaleRunCommand(), scaleReportCommand())
 	return c
 }
@@ -40,19 +40,19 @@
 // scaleRunCommand returns the command "scale run".
 func scaleRunCommand() *cobra.Command {
 	var o scaleOptions
-	c := &cobra.Command{Use: "run", Short: "measure, and store the results in a data file",
-		Long: "Runs real proxies together with simulated ones, simulated discovery and simulated backends, all on loopback. Each\n" +
-			"part replaces its results in the data file. A run stops before it would use more than 12 GB or 300 processes.",
+	c := &cobra.Command{Use: "run", Short: "measure, and put the figures into a data file",
+		Long: "Real proxies beside hollow ones, with stand-ins for discovery and backends, all on loopback. Each part puts its figures into\n" +
+			"the data file in place of those it had. A run stops where it would take over 12 GB or 300 processes.",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return runScale(c.Context(), o) }}
-	c.Flags().StringVar(&o.sizes, "sizes", "", "TOML file with the sizes, see example/scale.toml (default: the operators' size)")
-	c.Flags().StringVar(&o.data, "data", "capacity.json", "data file")
+	c.Flags().StringVar(&o.sizes, "sizes", "", "file of sizes, TOML; see example/scale.toml (the operators' size)")
+	c.Flags().StringVar(&o.data, "data", "capacity.json", "the data file")
 	c.Flags().StringVar(&o.program, "program", "",
-		"program of the proxy, called as PROGRAM serve (default: sandpass next to this program)")
-	c.Flags().StringSliceVar(&o.parts, "parts", scaleParts, "parts to run")
-	c.Flags().StringArrayVar(&o.only, "event", nil, "run only this event of the part control; may be repeated")
+		"the proxy's program, called as PROGRAM serve (sandpass beside this one)")
+	c.Flags().StringSliceVar(&o.parts, "parts", scaleParts, "which")
+	c.Flags().StringArrayVar(&o.only, "event", nil, "of the part control: this event alone, may be given again")
 	c.Flags().IntSliceVar(&o.counts, "counts", []int{35, 70, 140, 280, 560, 1120},
-		"numbers of proxies for the slopes; beyond the size they are predicted first")
-	c.Flags().IntVar(&o.real, "real", 10, "number of proxies that are real processes, in slopes and events")
+		"numbers of proxies of the slopes; beyond the size they are predicted first")
+	c.Flags().IntVar(&o.real, "real", 10, "proxies that are real processes, in slopes and events")
 	return c
 }
 
@@ -147,7 +147,7 @@
 // scaleReportCommand returns the command "scale report".
 func scaleReportCommand() *cobra.Command {
 	var page, charts string
-	c := &cobra.Command{Use: "report DATA", Short: "write the tables and charts of a data file",
+	c := &cobra.Command{Use: "report DATA", Short: "write the tables of a data file into a page, and its charts",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			data, err := scale.ReadData(args[0])
 			if err != nil {
@@ -168,7 +168,7 @@
 			}
 			return data.WritePage(page)
 		}}
-	c.Flags().StringVar(&page, "page", "", "page whose generated parts are replaced (default: print the tables)")
-	c.Flags().StringVar(&charts, "charts", "", "folder for the charts as PNG files")
+	c.Flags().StringVar(&page, "page", "", "the page whose generated parts are written anew (none: to the output)")
+	c.Flags().StringVar(&charts, "charts", "", "folder for charts as PNG files")
 	return c
 }
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -110,9 +110,9 @@
 	case !regexp.MustCompile(`(?m)^=== RUN\s+` + regexp.QuoteMeta(entry.test) + `$`).Match(text):
 		return fmt.Errorf("%s: no test is called %s in %s", listFile, entry.test, entry.pkg)
 	case err == nil:
-		return fmt.Errorf("%s: %s %s passes: remove its line", listFile, entry.pkg, entry.test)
+		return fmt.Errorf("%s: %s %s passes: its line is to be taken out", listFile, entry.pkg, entry.test)
 	}
-	fmt.Fprintf(out, "known failure: %s %s: %s (issue %s)\n", entry.pkg, entry.test, entry.cause, entry.issue)
+	fmt.Fprintf(out, "known red: %s %s: %s (issue %s)\n", entry.pkg, entry.test, entry.cause, entry.issue)
 	return nil
 }
 
--- a/internal/knownfailures/main_test.go
+++ b/internal/knownfailures/main_test.go
@@ -58,7 +58,7 @@
 			if tc.want == "" && err != nil || tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want)) {
 				t.Errorf("error %v, want %q; output:\n%s", err, tc.want, out.String())
 			}
-			if tc.want == "" && strings.Count(out.String(), "known failure: ") != 3 {
+			if tc.want == "" && strings.Count(out.String(), "known red: ") != 3 {
 				t.Errorf("want 3 known failures in the output:\n%s", out.String())
 			}
 		})
--- a/internal/lab/charts.go
+++ b/internal/lab/charts.go
@@ -106,7 +106,7 @@
 func latencyChart(s *ExpandedExperiment, rows []Row, series map[int]TimeSeries) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = chartTitle(s, rows[0])
-	p.X.Label.Text, p.Y.Label.Text = "answered within, seconds", "share of answered operations"
+	p.X.Label.Text, p.Y.Label.Text = "answered within, seconds", "share of what was answered"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Add(plotter.NewGrid())
 	least, most := 1.0, 0.002
@@ -151,7 +151,7 @@
 func servedChart(s *ExpandedExperiment, rows []Row, allSeries map[int]TimeSeries, seed uint64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, seed %d", chartTitle(s, rows[0]), seed)
-	p.X.Label.Text, p.Y.Label.Text = "seconds of the run", fmt.Sprintf("share of offered utility served, %d s", smoothingSeconds)
+	p.X.Label.Text, p.Y.Label.Text = "seconds of the day", fmt.Sprintf("served of worth asked, %d s", smoothingSeconds)
 	p.Add(plotter.NewGrid())
 	p.Y.Min, p.Y.Max = -0.05, 1.05
 	p.Legend.YOffs, p.Legend.Left = vg.Points(4), true
@@ -202,7 +202,7 @@
 		}
 	}
 	if lines == 0 {
-		return nil, fmt.Errorf("no run of seed %d is complete", seed)
+		return nil, fmt.Errorf("no run of seed %d is done", seed)
 	}
 	return p, nil
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -17,7 +17,7 @@
 		result.Policy, result.Seed, kind, report.Score(true),
 		report.ServedUtility/max(report.OfferedUtility, 1e-9), report.WorstTenSeconds(), report.WorstCustomer())
 	fmt.Fprintf(&text,
-		"%d operations, %d answered; %d commands, %d relays (%d further), %d messages; p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms\n",
+		"%d operations, %d answered; %d commands, %d relays, %d further ones, %d messages; p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms\n",
 		report.Operations, report.Answered, report.Commands, report.Relays, report.FurtherRelays, report.Messages,
 		1000*report.Quantile(0.5), 1000*report.Quantile(0.99), 1000*report.Quantile(0.999))
 	for _, f := range result.Plan {
@@ -29,12 +29,12 @@
 	for _, x := range report.Violations {
 		fmt.Fprintf(&text, "BROKEN %s\n", x)
 	}
-	fmt.Fprintf(&text, "losses, as a share of the offered utility:\n")
+	fmt.Fprintf(&text, "lost, as a part of the worth asked for:\n")
 	for _, l := range report.Losses[:min(12, len(report.Losses))] {
 		fmt.Fprintf(&text, "  %.4f  %6d  %s at %s of tier %d\n",
 			l.Utility/max(report.OfferedUtility, 1e-9), l.Count, l.Cause, l.Place, l.Tier)
 	}
-	text.WriteString("by second: utility offered, share served\n")
+	text.WriteString("by second: asked, part served\n")
 	for t := range report.OfferedBySecond {
 		if report.OfferedBySecond[t] <= 0 {
 			continue
--- a/internal/testbed/table.go
+++ b/internal/testbed/table.go
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, d := range hot {
-		fmt.Fprintf(out, "\nMost CPU time at %s.\n", d)
+		fmt.Fprintf(out, "\nDearest at %s.\n", d)
 	}
 	return nil
 }
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	if text := b.String(); strings.Count(text, "\n| 4 | 100 | ") != 2 || !strings.Contains(text,
-		"Most CPU time at 4 connections, 100 bytes: ") {
+		"Dearest at 4 connections, 100 bytes: ") {
 		t.Error(text)
 	}
 	d, m, err := l.Run(context.Background(), 4, 0)
