--- a/internal/checker/counters.go
+++ b/internal/checker/counters.go
@@ -1,60 +1,64 @@
 package checker
 
-// Asked is told of what a client wants done, and what that is worth.
-func (c *Checker) OperationRequested(at float64, customer int, worth float64) {
-	c.a.Operations++
-	c.a.OfferedUtility += worth
-	c.a.OfferedBySecond[c.second(at)] += worth
-	c.a.OfferedByTenth[min(int(tenth*at), len(c.a.OfferedByTenth)-1)] += worth
-	if customer < len(c.a.customers) {
-		c.a.customers[customer][0] += worth
+// OperationRequested records an operation that a client wants done, and its utility.
+func (c *Checker) OperationRequested(at float64, customer int, utility float64) {
+	c.report.Operations++
+	c.report.OfferedUtility += utility
+	c.report.OfferedBySecond[c.second(at)] += utility
+	c.report.OfferedByTenth[min(int(tenthsPerSecond*at), len(c.report.OfferedByTenth)-1)] += utility
+	if customer < len(c.report.customers) {
+		c.report.customers[customer][0] += utility
 	}
 }
 
-func (c *Checker) second(at float64) int { return min(int(at), len(c.a.OfferedBySecond)-1) }
+// second returns the index of a time in the counts by second.
+func (c *Checker) second(at float64) int { return min(int(at), len(c.report.OfferedBySecond)-1) }
 
-// Answered is told that a client has its answer, for what was due at a time, and of its worth now.
-func (c *Checker) OperationAnswered(due, at float64, customer int, worth float64) {
-	c.a.Answered++
-	c.a.ServedUtility += worth
-	c.a.ServedBySecond[c.second(due)] += worth
-	c.a.ServedByTenth[min(int(tenth*due), len(c.a.ServedByTenth)-1)] += worth
-	if customer < len(c.a.customers) {
-		c.a.customers[customer][1] += worth
+// OperationAnswered records that a client received its answer to an operation that was due at a time, and the utility of
+// the answer now.
+func (c *Checker) OperationAnswered(due, at float64, customer int, utility float64) {
+	c.report.Answered++
+	c.report.ServedUtility += utility
+	c.report.ServedBySecond[c.second(due)] += utility
+	c.report.ServedByTenth[min(int(tenthsPerSecond*due), len(c.report.ServedByTenth)-1)] += utility
+	if customer < len(c.report.customers) {
+		c.report.customers[customer][1] += utility
 	}
-	_ = c.a.Latency.Add(max(at-due, 1e-6)) // fails only for what is no number
+	_ = c.report.Latency.Add(max(at-due, 1e-6)) // fails only for NaN
 }
 
-// Lost is told that worth was lost, and how.
-func (c *Checker) OperationLost(l Loss, worth float64) {
-	s := &c.a.loss[l.Cause][l.Place][min(max(l.Tier, 0), 7)]
+// OperationLost records utility that was lost, with its cause and place.
+func (c *Checker) OperationLost(loss Loss, utility float64) {
+	s := &c.report.loss[loss.Cause][loss.Place][min(max(loss.Tier, 0), 7)]
 	s.count++
-	s.worth += worth
+	s.utility += utility
 }
 
-// ConnectionOpened is told that an instance opens a connection to a backend.
+// ConnectionOpened records that an instance opens a connection to a backend.
 func (c *Checker) ConnectionOpened(at float64, backend int) {
-	c.tick(c.a.ConnectionsByBackend, backend, at)
+	c.countPerSecond(c.report.ConnectionsByBackend, backend, at)
 }
 
-// ListRequested is told that an instance asks discovery for the whole list.
-func (c *Checker) ListRequested(at float64, instance int) { c.tick(c.a.ListsByInstance, instance, at) }
+// ListRequested records that an instance requests the whole backend list from discovery.
+func (c *Checker) ListRequested(at float64, instance int) {
+	c.countPerSecond(c.report.ListsByInstance, instance, at)
+}
 
-// tick counts one more for who it is of, in the second.
-func (c *Checker) tick(all map[int][]int, who int, at float64) {
-	s := all[who]
+// countPerSecond adds one to the count of a backend or instance in the second of the time at.
+func (c *Checker) countPerSecond(counts map[int][]int, id int, at float64) {
+	s := counts[id]
 	for n := c.second(max(0, at)); len(s) <= n; {
 		s = append(s, 0)
 	}
 	s[c.second(max(0, at))]++
-	all[who] = s
+	counts[id] = s
 }
 
-// RejectedLate is told of a refusal after more than half of the time, with nothing ever sent.
-func (c *Checker) DeclinedLate(worth float64) {
-	c.a.LateDeclines++
-	c.a.Costs += c.terms.LateDeclinePrice * worth
+// DeclinedLate records a command that was declined after more than half of its time without ever being relayed.
+func (c *Checker) DeclinedLate(utility float64) {
+	c.report.LateDeclines++
+	c.report.Costs += c.config.LateDeclinePrice * utility
 }
 
-// MessageSent is told of a message to a peer.
-func (c *Checker) MessageSent() { c.a.Messages++ }
+// MessageSent records a message to a peer.
+func (c *Checker) MessageSent() { c.report.Messages++ }
--- a/internal/checker/facts.go
+++ b/internal/checker/facts.go
@@ -4,229 +4,236 @@
 	"slices"
 )
 
-// Accepted is told that a live instance has a request, and owes it one final answer.
-func (c *Checker) CommandAccepted(at float64, request Command) {
-	if _, ok := c.taken[request.ID]; ok {
-		c.broken(OneAnswer, at, "id %x is given twice: the world that reports is wrong", request.ID)
+// CommandAccepted records that a live instance received a command. From now on it owes the command one final answer.
+func (c *Checker) CommandAccepted(at float64, command Command) {
+	if _, ok := c.open[command.ID]; ok {
+		c.violated(OneAnswer, at, "id %x is used twice: the reports to the checker are wrong", command.ID)
 		return
 	}
-	c.a.Commands++
-	var t *openRequest
-	if n := len(c.spare); n > 0 {
-		t, c.spare = c.spare[n-1], c.spare[:n-1]
-		*t = openRequest{attempts: t.attempts[:0]}
+	c.report.Commands++
+	var cmd *openCommand
+	if n := len(c.free); n > 0 {
+		cmd, c.free = c.free[n-1], c.free[:n-1]
+		*cmd = openCommand{relays: cmd.relays[:0]}
 	} else {
-		t = &openRequest{}
+		cmd = &openCommand{}
 	}
-	t.Command = request
-	if c.terms.BudgetWindow > 0 {
-		c.came[request.Instance] = append(c.came[request.Instance], at)
+	cmd.Command = command
+	if c.config.BudgetWindow > 0 {
+		c.commandTimes[command.Instance] = append(c.commandTimes[command.Instance], at)
 	}
-	c.taken[request.ID] = t
+	c.open[command.ID] = cmd
 }
 
-// AttemptSent is told of a attempt to a backend as the instance named it.
+// RelaySent records a relay to the backend that the instance named, and whether it crosses zones.
 func (c *Checker) RelaySent(at float64, id uint64, backend, zone, cell int, crosses bool) {
-	c.a.Relays++
-	c.tick(c.a.RelaysByBackend, backend, at)
+	c.report.Relays++
+	c.countPerSecond(c.report.RelaysByBackend, backend, at)
 	if crosses {
-		c.a.ZoneCrossings++
+		c.report.ZoneCrossings++
 	}
-	t := c.taken[id]
-	if t == nil {
-		c.broken(OneAnswer, at, "an attempt for request %x, which is not open", id)
+	cmd := c.open[id]
+	if cmd == nil {
+		c.violated(OneAnswer, at, "a relay for command %x, which is not open", id)
 		return
 	}
-	if t.ended {
-		c.broken(OneAnswer, at, "instance %d sends request %x after its final answer", t.Instance, id)
+	if cmd.ended {
+		c.violated(OneAnswer, at, "instance %d relays command %x after its final answer", cmd.Instance, id)
 	}
-	if since, ok := c.out[instanceBackend{t.Instance, backend}]; ok && at > since+c.terms.DrainGrace {
-		c.broken(DrainKept, at, "instance %d sends request %x to backend %d, %.0f ms after word that it drains or is gone",
-			t.Instance, id, backend, 1000*(at-since))
+	if since, ok := c.drainedAt[instanceBackend{cmd.Instance, backend}]; ok && at > since+c.config.DrainGrace {
+		c.violated(DrainKept, at, "instance %d sends request %x to backend %d, %.0f ms after word that it drains or is gone",
+			cmd.Instance, id, backend, 1000*(at-since))
 	}
-	if len(t.attempts) > 0 {
-		c.a.FurtherRelays++
-		c.budget(at, t)
+	if len(cmd.relays) > 0 {
+		c.report.FurtherRelays++
+		c.checkBudget(at, cmd)
 	}
-	c.again(at, t, backend, zone, cell)
-	t.attempts = append(t.attempts, attempt{zone, cell, at, false, true, backend})
-	t.outs++
+	c.checkFurtherRelay(at, cmd, backend, zone, cell)
+	cmd.relays = append(cmd.relays, relay{zone, cell, at, false, true, backend})
+	cmd.pending++
 }
 
-// budget counts one more retry or hedge of an instance. Moot ones count as well, which is stricter than the rule.
-func (c *Checker) budget(at float64, t *openRequest) {
-	if c.terms.BudgetWindow <= 0 {
+// checkBudget counts one further relay of an instance and checks the budget. Relays that turn out to be unnecessary count
+// as well, which is stricter than the rule.
+func (c *Checker) checkBudget(at float64, cmd *openCommand) {
+	if c.config.BudgetWindow <= 0 {
 		return
 	}
-	recent := func(all []float64) []float64 {
-		i, _ := slices.BinarySearch(all, at-c.terms.BudgetWindow)
-		return all[i:]
+	recent := func(times []float64) []float64 {
+		i, _ := slices.BinarySearch(times, at-c.config.BudgetWindow)
+		return times[i:]
 	}
-	i := t.Instance
-	c.came[i], c.further[i] = recent(c.came[i]), append(recent(c.further[i]), at)
-	if sent, may := float64(len(c.further[i])), c.terms.FreeRelays+c.terms.FreeRelayRatio*float64(len(c.came[i])); sent > may {
-		c.broken(RelayBudget, at, "instance %d makes %.0f retries and hedges in %.3g s, where %.1f are allowed", i, sent, c.terms.BudgetWindow, may)
+	i := cmd.Instance
+	c.commandTimes[i], c.furtherRelayTimes[i] = recent(c.commandTimes[i]), append(recent(c.furtherRelayTimes[i]), at)
+	if sent, allowed := float64(len(c.furtherRelayTimes[i])),
+		c.config.FreeRelays+c.config.FreeRelayRatio*float64(len(c.commandTimes[i])); sent > allowed {
+		c.violated(RelayBudget, at, "instance %d sends %.0f further relays in %.3g s, where %.1f are allowed", i, sent,
+			c.config.BudgetWindow, allowed)
 	}
 }
 
-// again holds a retry or hedge to the rule on effects.
-func (c *Checker) again(at float64, t *openRequest, backend, zone, cell int) {
-	first := slices.IndexFunc(t.attempts, func(s attempt) bool { return !s.proven })
+// checkFurtherRelay checks a relay beyond a command's first against the rule that no effect takes place twice.
+func (c *Checker) checkFurtherRelay(at float64, cmd *openCommand, backend, zone, cell int) {
+	first := slices.IndexFunc(cmd.relays, func(r relay) bool { return !r.neverRan })
 	if first < 0 {
 		return
 	}
-	if !c.terms.SecondCopies && slices.ContainsFunc(t.attempts, func(s attempt) bool { return s.out }) {
-		c.broken(NoDoubleEffect, at, "instance %d has two attempts of request %x out where that is not allowed", t.Instance, t.ID)
+	if !c.config.SecondCopies && slices.ContainsFunc(cmd.relays, func(r relay) bool { return r.pending }) {
+		c.violated(NoDoubleEffect, at, "instance %d has two relays of command %x pending where that is not allowed", cmd.Instance,
+			cmd.ID)
 	}
-	f := t.attempts[first]
+	firstRelay := cmd.relays[first]
 	switch {
-	case t.Effect == Effectful:
-		c.broken(NoDoubleEffect, at, "instance %d sends non-idempotent request %x to backend %d while attempt %d to backend %d may have run",
-			t.Instance, t.ID, backend, first, f.backend)
-	case t.Effect == Receipted && at > f.at+t.DedupWindow:
-		c.broken(NoDoubleEffect, at, "instance %d sends deduplicated request %x %.3f s after attempt %d, its window is %.3f s",
-			t.Instance, t.ID, at-f.at, first, t.DedupWindow)
-	case t.Effect == Receipted && (t.Scope == ScopeZone && zone != f.zone || t.Scope == ScopeCell && cell != f.cell):
-		c.broken(NoDoubleEffect, at, "instance %d sends deduplicated request %x to backend %d, outside of the group of attempt %d",
-			t.Instance, t.ID, backend, first)
+	case cmd.Effect == Effectful:
+		c.violated(NoDoubleEffect, at, "instance %d relays effectful command %x to backend %d while relay %d to backend %d may have run",
+			cmd.Instance, cmd.ID, backend, first, firstRelay.backend)
+	case cmd.Effect == Receipted && at > firstRelay.sentAt+cmd.DedupWindow:
+		c.violated(NoDoubleEffect, at, "instance %d relays receipted command %x %.3f s after relay %d, its window is %.3f s",
+			cmd.Instance, cmd.ID, at-firstRelay.sentAt, first, cmd.DedupWindow)
+	case cmd.Effect == Receipted && (cmd.Scope == ScopeZone && zone != firstRelay.zone || cmd.Scope == ScopeCell &&
+		cell != firstRelay.cell):
+		c.violated(NoDoubleEffect, at, "instance %d relays receipted command %x to backend %d, outside of the group of relay %d",
+			cmd.Instance, cmd.ID, backend, first)
 	}
 }
 
-// AttemptEnded is told that an instance has heard how a attempt ended, and whether that proves it never ran.
-func (c *Checker) RelayEnded(id uint64, relay int, never bool) {
-	if t := c.taken[id]; t != nil && relay < len(t.attempts) && t.attempts[relay].out {
-		t.attempts[relay].out, t.attempts[relay].proven = false, never
-		t.outs--
-		c.forget(t)
+// RelayEnded records that an instance learned how a relay ended, and whether that proves that the backend did not execute it.
+func (c *Checker) RelayEnded(id uint64, number int, neverRan bool) {
+	if cmd := c.open[id]; cmd != nil && number < len(cmd.relays) && cmd.relays[number].pending {
+		cmd.relays[number].pending, cmd.relays[number].neverRan = false, neverRan
+		cmd.pending--
+		c.release(cmd)
 	}
 }
 
-// RequestEnded is told of a request's final answer: rejected says whether it promised that trying again is harmless, and
-// made whether a backend made an answer for it.
-func (c *Checker) CommandEnded(at float64, id uint64, declined, answered, made bool) {
-	t := c.taken[id]
-	if t == nil {
-		c.broken(OneAnswer, at, "a final answer for request %x, which is not open", id)
+// CommandEnded records a command's final answer. declined says whether it promised that a repeat is harmless, answered
+// whether it carries an answer, and executed whether a backend produced one.
+func (c *Checker) CommandEnded(at float64, id uint64, declined, answered, executed bool) {
+	cmd := c.open[id]
+	if cmd == nil {
+		c.violated(OneAnswer, at, "a final answer for command %x, which is not open", id)
 		return
 	}
-	if t.ended {
-		c.broken(OneAnswer, at, "request %x at instance %d gets a second final answer", id, t.Instance)
+	if cmd.ended {
+		c.violated(OneAnswer, at, "command %x at instance %d gets a second final answer", id, cmd.Instance)
 		return
 	}
-	if at > t.Expires+c.terms.AnswerSlack+c.terms.DeadlineError {
-		c.broken(OneAnswer, at, "request %x at instance %d has its final answer %.0f ms after its limit",
-			id, t.Instance, 1000*(at-t.Expires))
+	if at > cmd.Expires+c.config.AnswerSlack+c.config.DeadlineError {
+		c.violated(OneAnswer, at, "command %x at instance %d has its final answer %.0f ms after its limit",
+			id, cmd.Instance, 1000*(at-cmd.Expires))
 	}
-	if answered && !made {
-		c.broken(OneAnswer, at, "request %x at instance %d is answered with what no backend made", id, t.Instance)
+	if answered && !executed {
+		c.violated(OneAnswer, at, "command %x at instance %d is answered with what no backend made", id, cmd.Instance)
 	}
-	if declined && t.Effect != Pure && !(t.Effect == Receipted && t.Scope == ScopeAll) {
-		if i := slices.IndexFunc(t.attempts, func(s attempt) bool { return !s.proven }); i >= 0 {
-			c.broken(NoDoubleEffect, at, "instance %d rejects request %x while attempt %d to backend %d may have run",
-				t.Instance, id, i, t.attempts[i].backend)
+	if declined && cmd.Effect != Pure && !(cmd.Effect == Receipted && cmd.Scope == ScopeAll) {
+		if i := slices.IndexFunc(cmd.relays, func(r relay) bool { return !r.neverRan }); i >= 0 {
+			c.violated(NoDoubleEffect, at, "instance %d declines command %x while relay %d to backend %d may have run",
+				cmd.Instance, id, i, cmd.relays[i].backend)
 		}
 	}
-	t.ended = true
-	c.forget(t)
+	cmd.ended = true
+	c.release(cmd)
 }
 
-// ClientLeft is told that nothing is owed for a request any more.
+// ClientDisconnected records that the client of a command left, so that no answer is owed any more.
 func (c *Checker) ClientDisconnected(id uint64) {
-	if t := c.taken[id]; t != nil {
-		t.ended = true
-		c.forget(t)
+	if cmd := c.open[id]; cmd != nil {
+		cmd.ended = true
+		c.release(cmd)
 	}
 }
 
-func (c *Checker) forget(t *openRequest) {
-	if t.ended && t.outs == 0 {
-		delete(c.taken, t.ID)
-		c.spare = append(c.spare, t)
+// release recycles a command that has ended and has no relay pending.
+func (c *Checker) release(cmd *openCommand) {
+	if cmd.ended && cmd.pending == 0 {
+		delete(c.open, cmd.ID)
+		c.free = append(c.free, cmd)
 	}
 }
 
-// Stalled is told that an instance stalled from one time to another, by no doing of its own: what it owes by then is
-// due when it goes on.
+// InstanceStalled records that an instance was stalled from one time to another through no fault of its own. Answers that
+// were due in between are due when it resumes.
 func (c *Checker) InstanceStalled(instance int, from, to float64) {
-	for _, t := range c.taken { // each by itself, so no order is needed
-		if t.Instance == instance && t.Expires > from-c.terms.AnswerSlack {
-			t.Expires = max(t.Expires, to)
+	for _, cmd := range c.open { // the order does not matter: each is independent
+		if cmd.Instance == instance && cmd.Expires > from-c.config.AnswerSlack {
+			cmd.Expires = max(cmd.Expires, to)
 		}
 	}
 }
 
-// InstanceKilled is told that an instance is no more: what it held is its clients' affair, and what it knew is gone.
+// InstanceKilled records that an instance was killed. It owes no answers any more, and what it was informed of is lost.
 func (c *Checker) InstanceKilled(instance int) {
-	for id, t := range c.taken { // no order is needed: each is judged by itself
-		if t.Instance == instance {
-			delete(c.taken, id)
+	for id, cmd := range c.open { // the order does not matter: each is independent
+		if cmd.Instance == instance {
+			delete(c.open, id)
 		}
 	}
-	for p := range c.out {
+	for p := range c.drainedAt {
 		if p.instance == instance {
-			delete(c.out, p)
+			delete(c.drainedAt, p)
 		}
 	}
-	for p := range c.starts {
+	for p := range c.startTimes {
 		if p.instance == instance {
-			delete(c.starts, p)
+			delete(c.startTimes, p)
 		}
 	}
 }
 
-// EndpointReceived is told that an instance was told of a backend: whether it is ready, and when it started.
+// BackendUpdateReceived records what an instance was informed of a backend: whether it is ready, and when it started.
 func (c *Checker) BackendUpdateReceived(at float64, instance, backend int, ready bool, started float64) {
 	p := instanceBackend{instance, backend}
 	if ready {
-		delete(c.out, p)
-	} else if _, ok := c.out[p]; !ok {
-		c.out[p] = at
+		delete(c.drainedAt, p)
+	} else if _, ok := c.drainedAt[p]; !ok {
+		c.drainedAt[p] = at
 	}
 	if started > 0 {
-		c.starts[p] = started
+		c.startTimes[p] = started
 	}
 }
 
-// Executed is told that a request's effect took place at a backend, whatever becomes of the answer. The window in which
-// repeats are dropped is one of sends.
-func (c *Checker) EffectExecuted(at, sent float64, op uint64, e Effect, s Scope, span float64, zone, cell int) {
-	if e == Pure {
+// EffectExecuted records that the effect of an operation took place at a backend, whatever becomes of the answer. The window
+// in which repeats are dropped is measured between the times at which the relays were sent.
+func (c *Checker) EffectExecuted(at, sent float64, operation uint64, effect Effect, scope Scope, window float64, zone, cell int) {
+	if effect == Pure {
 		return
 	}
-	r, before := c.effect[op]
-	if before && (e == Effectful || sent > r.sent+span || s == ScopeZone && zone != r.zone || s == ScopeCell && cell != r.cell) {
-		c.broken(NoDoubleEffect, at, "the effect of operation %x took place twice, first at %.4f s", op, r.at)
+	r, before := c.executions[operation]
+	if before && (effect == Effectful || sent > r.sent+window || scope == ScopeZone && zone != r.zone || scope == ScopeCell &&
+		cell != r.cell) {
+		c.violated(NoDoubleEffect, at, "the effect of operation %x took place twice, first at %.4f s", operation, r.at)
 	}
 	if !before {
-		c.effect[op] = execution{at: at, sent: sent, zone: zone, cell: cell}
+		c.executions[operation] = execution{at: at, sent: sent, zone: zone, cell: cell}
 	}
 }
 
-// ReachedWarmingUp is told of work that reached a backend that is cold: capacity is what it can do just now.
+// ColdBackendReached records work that reached a cold backend. capacity is the work per second that it can do now.
 func (c *Checker) ColdBackendReached(at float64, backend, instance int, work, capacity, started float64) {
-	load := c.cold[backend]
+	load := c.coldLoads[backend]
 	if load == nil {
 		load = &warmUpLoad{}
-		c.cold[backend] = load
+		c.coldLoads[backend] = load
 	}
-	c.work, c.works = c.work+work, c.works+1
-	told := c.starts[instanceBackend{instance, backend}] >= started
-	load.recent = append(load.recent, arrival{at, work, told})
+	c.coldWork, c.coldCommands = c.coldWork+work, c.coldCommands+1
+	informed := c.startTimes[instanceBackend{instance, backend}] >= started
+	load.recent = append(load.recent, arrival{at, work, informed})
 	load.work += work
-	if told {
+	if informed {
 		load.informed += work
 	}
-	for load.recent[0].at < at-c.terms.ColdWindow {
+	for load.recent[0].at < at-c.config.ColdWindow {
 		load.work -= load.recent[0].work
-		if load.recent[0].told {
+		if load.recent[0].informed {
 			load.informed -= load.recent[0].work
 		}
 		load.recent = load.recent[1:]
 	}
-	over := load.work > c.terms.ColdMultiple*capacity*c.terms.ColdWindow+coldSlack*c.work/c.works
-	if over && !load.over && load.informed >= toldPart*load.work {
-		c.broken(ColdProtected, at, "backend %d, %.2f s after its start, got %.3f s of work within %.2f s; it bears %.3f s",
-			backend, at-started, load.work, c.terms.ColdWindow, c.terms.ColdMultiple*capacity*c.terms.ColdWindow)
+	over := load.work > c.config.ColdMultiple*capacity*c.config.ColdWindow+coldSlackCommands*c.coldWork/c.coldCommands
+	if over && !load.over && load.informed >= informedShare*load.work {
+		c.violated(ColdProtected, at, "backend %d, %.2f s after its start, got %.3f s of work within %.2f s; its maximum is %.3f s",
+			backend, at-started, load.work, c.config.ColdWindow, c.config.ColdMultiple*capacity*c.config.ColdWindow)
 	}
 	load.over = over
 }
--- a/internal/checker/loss.go
+++ b/internal/checker/loss.go
@@ -1,43 +1,45 @@
 package checker
 
-// How says in which way a request was lost.
+// LossCause is the way in which an operation lost utility.
 type LossCause int
 
 const (
-	Declined     LossCause = iota // told to come back, and did not get it in the end
-	Terminated                    // ended without a promise, before its limit
-	TimedOut                      // nothing ended it before its limit
-	Late                          // answered past its goal
-	ClientLeft                    // its client left early
+	Declined     LossCause = iota // declined, and not answered by a later try
+	Terminated                    // ended before its time limit without a promise that a repeat is harmless
+	TimedOut                      // not ended before its time limit
+	Late                          // answered after its response goal
+	ClientLeft                    // its client disconnected early
 	Unreached                     // no instance could be reached
 	InstanceDied                  // its instance was killed
-	hows
+	lossCauses
 )
 
-func (h LossCause) String() string {
-	return [...]string{"declined", "terminated", "limit", "late", "left", "unreached", "died"}[h]
+// String returns the name of the cause in results.
+func (c LossCause) String() string {
+	return [...]string{"declined", "terminated", "limit", "late", "left", "unreached", "died"}[c]
 }
 
-// Where says at which place the last of it was, or the most of its time was spent.
+// LossPlace is where an operation was last, or where it spent most of its time.
 type LossPlace int
 
 const (
-	Instance      LossPlace = iota // held, or never sent on
-	Connecting                     // no connection came up
-	Refused                        // backends turned it away unseen
+	Instance      LossPlace = iota // held by an instance, or never relayed
+	Connecting                     // no connection was established
+	Refused                        // backends refused it before starting it
 	Queue                          // in a backend's queue
-	Work                           // in a backend's work
-	Hung                           // at a backend that finishes nothing
-	BackendFailed                  // a backend failed it
-	Network                        // lost or broken on the way
-	wheres
+	Work                           // being executed by a backend
+	Hung                           // at a backend that finishes no work
+	BackendFailed                  // a backend returned an error
+	Network                        // lost in the network, or its connection was reset
+	lossPlaces
 )
 
-func (w LossPlace) String() string {
-	return [...]string{"instance", "connecting", "refused", "queue", "work", "stuck", "failed", "network"}[w]
+// String returns the name of the place in results.
+func (p LossPlace) String() string {
+	return [...]string{"instance", "connecting", "refused", "queue", "work", "stuck", "failed", "network"}[p]
 }
 
-// Loss is where and how worth was lost; Tier is the one whose backends or instances had it last.
+// Loss is the cause and place of lost utility. Tier is the tier whose backends or instances had the command last.
 type Loss struct {
 	Cause LossCause
 	Place LossPlace
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -4,29 +4,32 @@
 	"fmt"
 )
 
-// Rule numbers the four, and the budget that only some state.
+// Rule identifies one of the four rules, or the budget of further relays, which is optional.
 type Rule int
 
 const (
-	OneAnswer      Rule = 1 + iota // one final answer in time, only what a backend made for it
-	NoDoubleEffect                 // no effect twice
-	DrainKept                      // nothing new past the grace
-	ColdProtected                  // no cold backend pushed over
-	RelayBudget                    // retries and hedges within their budget
-	rules          = 5
+	OneAnswer      Rule = 1 + iota // one final answer in time, and only one that a backend produced for the command
+	NoDoubleEffect                 // no effect takes place twice
+	DrainKept                      // no new relay to a draining backend after the grace period
+	ColdProtected                  // no cold backend is overloaded until it fails
+	RelayBudget                    // further relays stay within their budget
+	ruleCount      = 5
 )
 
+// String returns a short description of the rule.
 func (r Rule) String() string {
-	return [...]string{"", "no request lost", "no effect twice", "drains kept", "cold not pushed over", "retries and hedges in their budget"}[r]
+	return [...]string{"", "one final answer", "no effect twice", "drains kept", "cold backends not overloaded",
+		"further relays within budget"}[r]
 }
 
-// Broken is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule Rule
 	At   float64
 	Text string
 }
 
+// String returns the violation as a line with its time and rule.
 func (b Violation) String() string {
 	return fmt.Sprintf("%.4f s: rule %d (%s): %s", b.At, b.Rule, b.Rule, b.Text)
 }
