--- a/internal/checker/facts.go
+++ b/internal/checker/facts.go
@@ -90,8 +90,8 @@
 	case cmd.Effect == Receipted && at > firstRelay.sentAt+cmd.DedupWindow:
 		c.violated(NoDoubleEffect, at, "instance %d relays receipted command %x %.3f s after relay %d, its window is %.3f s",
 			cmd.Instance, cmd.ID, at-firstRelay.sentAt, first, cmd.DedupWindow)
-	case cmd.Effect == Receipted && (cmd.Scope == ScopeZone && zone != firstRelay.zone || cmd.Scope == ScopeCell &&
-		cell != firstRelay.cell):
+	case cmd.Effect == Receipted && (cmd.Scope == ScopeZone && zone != firstRelay.zone ||
+		cmd.Scope == ScopeCell && cell != firstRelay.cell):
 		c.violated(NoDoubleEffect, at, "instance %d relays receipted command %x to backend %d, outside of the group of relay %d",
 			cmd.Instance, cmd.ID, backend, first)
 	}
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -5,30 +5,30 @@
 	"testing"
 )
 
-var extent = Bounds{Length: 40, Backends: []int{20, 10}, Zones: 3, Customers: 4}
+var testBounds = Bounds{Length: 40, Backends: []int{20, 10}, Zones: 3, Customers: 4}
 
-func TestDrawnPlansAreSensibleAndTheSame(t *testing.T) {
+func TestRandomPlansAreValidAndReproducible(t *testing.T) {
 	seen := map[Kind]bool{}
 	for seed := range uint64(300) {
-		p, q := Random(seed, 3, extent), Random(seed, 3, extent)
-		if err := p.Check(extent); err != nil {
+		p, q := Random(seed, 3, testBounds), Random(seed, 3, testBounds)
+		if err := p.Check(testBounds); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		for i := range p {
 			if p[i] != q[i] {
-				t.Fatalf("seed %d drew %v, then %v", seed, p[i], q[i])
+				t.Fatalf("seed %d drew %v the first time and %v the second", seed, p[i], q[i])
 			}
 			seen[p[i].Kind] = true
 		}
 	}
-	for _, k := range Kinds()[:len(forms)-byHand] {
+	for _, k := range Kinds()[:len(kindSpecs)-notRandom] {
 		if !seen[k] {
 			t.Errorf("%s is never drawn", k)
 		}
 	}
 }
 
-func TestWhatAWorldLacks(t *testing.T) {
+func TestCheckRejectsInvalidFaults(t *testing.T) {
 	for _, c := range []struct {
 		f    Fault
 		want string
@@ -42,7 +42,7 @@
 		{Fault{Kind: Partition, To: 7}, "to 7 is not one of 3 zones"},
 		{Fault{Kind: CustomerFlood, Zone: 9, Hard: 1}, "customer 9 is not one of 4"},
 	} {
-		err := Plan{{Kind: Crash, Zone: -1}, c.f}.Check(extent)
+		err := Plan{{Kind: Crash, Zone: -1}, c.f}.Check(testBounds)
 		if err == nil || !strings.Contains(err.Error(), "fault[1]") || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %v, want fault[1] and %q", c.f, err, c.want)
 		}
@@ -58,18 +58,18 @@
 	}
 }
 
-func TestSmallerPlansEnd(t *testing.T) {
-	p := Random(5, 4, extent)
+func TestReductionsTerminate(t *testing.T) {
+	p := Random(5, 4, testBounds)
 	for steps := 0; len(p) > 0; steps++ {
 		if steps > 4 {
-			t.Fatal("the first of the smaller plans has no fault less")
+			t.Fatal("the first reduction does not remove a fault")
 		}
 		p = p.Reductions()[0]
 	}
 	if len(p.Reductions()) != 0 {
-		t.Fatal("an empty plan can't be smaller")
+		t.Fatal("an empty plan has reductions")
 	}
-	// The mildest of all is reached too.
+	// Repeating the last reduction ends as well.
 	p = Plan{{Kind: Slow, Share: 1, For: 20, Ramp: 1, Hard: 0.9}}
 	for steps := 0; ; steps++ {
 		s := p.Reductions()
@@ -77,7 +77,7 @@
 			break
 		}
 		if p = s[len(s)-1]; steps > 40 {
-			t.Fatal("plans never get small")
+			t.Fatal("repeated reductions do not end")
 		}
 	}
 }
