--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,7 +1,8 @@
-// Package baseline holds plain policies behind the same Host as the module's Balancer, to compare it with.
+// Package baseline provides simple load balancing policies on the same Host interface as balance.Balancer, for comparison.
 //
-// All keep the four rules (drains, no effect twice, one final answer in time, cold backends left to others while
-// there are any) and differ in how they pick. They must never be used to serve, nor grow into a second mechanism.
+// All keep the four rules: no relays to draining backends, no effect twice, one final answer in time, and no relays to cold
+// backends while a warm one is usable. They differ in how they choose a backend. They must not be used in production, and
+// must not grow into a second implementation of the balancer.
 package baseline
 
 import (
@@ -15,366 +16,385 @@
 	"sandpass/internal/emulator"
 )
 
-// Oracle is the name of the policy that sees the true state, in experiments and results.
+// Oracle is the name, in experiments and results, of the policy that knows the true state of the backends.
 const Oracle = "top"
 
 const (
-	late     = 2.0  // ticks before its limit at which a command is ended
-	comeBack = 0.5  // of the response goal, after which a declined client is to come back
-	looks    = 0.02 // seconds between the looks that the oracle takes at what it has out
-	spare    = 0.6  // part of what a backend bears at its best that the oracle gives to commands of no utility
+	terminateTicks    = 2.0  // ticks before its limit at which a command is terminated
+	retryAfterShare   = 0.5  // share of the response goal that a declined client is advised to wait
+	oraclePollSeconds = 0.02 // interval at which the oracle checks its pending relays
+	lowUtilityShare   = 0.6  // share of a backend's efficient load that the oracle gives to commands of no utility
 )
 
-// makers by name, in the order in which they are told.
-var makers = []struct {
-	name  string
-	about string
-	make  emulator.PolicyFactory
+// policies lists all policies in the order in which they are shown.
+var policies = []struct {
+	name        string
+	description string
+	factory     emulator.PolicyFactory
 }{
-	{"module", "the decision module as it is", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
+	{"module", "the balancer as it is", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
 		return balance.New(h, seed, now)
 	}},
-	{"nocopies", "the module without second copies", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
-		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.SecondCopies = false }}
-	}},
-	{"fixed", "the module with shares by all siblings there should be, whoever is there", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
-		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.FixedInstances = true }}
-	}},
-	{"random", "any backend", plainly(random)},
-	{"robin", "one after another", plainly(robin)},
-	{"least", "the least own commands out", plainly(leastOut)},
-	{"two", "the better of two drawn, by own commands out", plainly(two)},
-	{Oracle, "sees the true state of all backends", plainly(oracle)},
+	{"nocopies", "the balancer without second copies",
+		func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
+			return &changedLimits{balance.New(h, seed, now), func(l *balance.Limits) { l.SecondCopies = false }}
+		}},
+	{"fixed", "the balancer with shares by the configured number of instances, whether they run or not",
+		func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
+			return &changedLimits{balance.New(h, seed, now), func(l *balance.Limits) { l.FixedInstances = true }}
+		}},
+	{"random", "a random backend", plainFactory(random)},
+	{"robin", "round robin", plainFactory(roundRobin)},
+	{"least", "the fewest own pending relays", plainFactory(leastPending)},
+	{"two", "the better of two random backends, by own pending relays", plainFactory(twoChoices)},
+	{Oracle, "knows the true state of all backends", plainFactory(oracle)},
 }
 
-// Names of all policies.
+// Names returns the names of all policies.
 func Names() []string {
 	var all []string
-	for _, m := range makers {
-		all = append(all, m.name)
+	for _, policy := range policies {
+		all = append(all, policy.name)
 	}
 	return all
 }
 
-// About is a line on a policy.
+// Describe returns a one-line description of a policy, or an empty string if the policy is unknown.
 func Describe(name string) string {
-	for _, m := range makers {
-		if m.name == name {
-			return m.about
+	for _, policy := range policies {
+		if policy.name == name {
+			return policy.description
 		}
 	}
 	return ""
 }
 
-// Maker by its name.
+// Factory returns the factory of the policy with a name.
 func Factory(name string) (emulator.PolicyFactory, error) {
-	for _, m := range makers {
-		if m.name == name {
-			return m.make, nil
+	for _, policy := range policies {
+		if policy.name == name {
+			return policy.factory, nil
 		}
 	}
-	return nil, fmt.Errorf("policy %q is unknown; known are %s", name, strings.Join(Names(), ", "))
+	return nil, fmt.Errorf("policy %q is unknown; known policies are %s", name, strings.Join(Names(), ", "))
 }
 
-// limited is the module with other limits than it is told.
-type limited struct {
+// changedLimits is the balancer with changed limits.
+type changedLimits struct {
 	*balance.Balancer
 	change func(*balance.Limits)
 }
 
-// Turn hands the settings on with the limits changed.
-func (m *limited) Configure(now, tick float64, place balance.Placement, verbs []balance.Verb, customers []balance.Customer,
+// Configure passes the settings on with the limits changed.
+func (m *changedLimits) Configure(now, tick float64, place balance.Placement, verbs []balance.Verb, customers []balance.Customer,
 	overage float64, limits balance.Limits, cold balance.ColdStart, mustAsk bool) {
 	m.change(&limits)
 	m.Balancer.Configure(now, tick, place, verbs, customers, overage, limits, cold, mustAsk)
 }
 
-type server struct {
+// backend is a listed backend and the number of own relays pending there.
+type backend struct {
 	balance.Entry
-	out int
+	pending int
 }
 
-type sentTo struct {
-	to    *server
-	out   bool
-	never bool
-	at    float64
+// relay is one relay of a command.
+type relay struct {
+	backend  *backend
+	pending  bool
+	neverRan bool
+	sentAt   float64
 }
 
-type request struct {
+// command is a command that has no final answer yet, or has relays pending.
+type command struct {
 	id      uint64
 	verb    *balance.Verb
 	expires float64
-	sent    []sentTo
+	relays  []relay
 	done    bool
-	out     int
+	pending int
 }
 
-// plain relays at once to whom its pick names, tries again by the rules after a failure, and gives up then.
-type plain struct {
-	host   balance.Host
-	sight  emulator.TrueState
-	chance *rand.Rand
-	now    float64
-	tick   float64
-	place  balance.Placement
-	most   float64 // highest utility of a verb
-	verbs  []balance.Verb
-	limits balance.Limits
-	cold   balance.ColdStart
-	all    []*server
-	open   map[uint64]*request
-	wakes  map[uint64]uint64 // token to command
-	tokens uint64
-	turn   int
-	asks   bool
-	pick   func(p *plain, r *request, from []*server) *server
-	usable []*server
+// plainPolicy relays each command at once to the backend that pick chooses. After a failure it relays the command again if
+// the rules allow it, and else declines or terminates it.
+type plainPolicy struct {
+	host       balance.Host
+	state      emulator.TrueState
+	rand       *rand.Rand
+	now        float64
+	tick       float64
+	placement  balance.Placement
+	maxUtility float64 // highest utility of any verb
+	verbs      []balance.Verb
+	limits     balance.Limits
+	cold       balance.ColdStart
+	backends   []*backend
+	open       map[uint64]*command
+	timers     map[uint64]uint64 // command by timer token, 0 to request the backend list
+	lastToken  uint64
+	turn       int
+	mustAsk    bool
+	pick       func(p *plainPolicy, cmd *command, candidates []*backend) *backend
+	usable     []*backend
 }
 
-func plainly(pick func(*plain, *request, []*server) *server) emulator.PolicyFactory {
+// plainFactory returns the factory of a plainPolicy with a function that picks a backend.
+func plainFactory(pick func(*plainPolicy, *command, []*backend) *backend) emulator.PolicyFactory {
 	return func(h balance.Host, s emulator.TrueState, seed uint64, now float64) emulator.Policy {
-		return &plain{host: h, sight: s, chance: rand.New(rand.NewPCG(seed, 1)), now: now, pick: pick,
-			open: map[uint64]*request{}, wakes: map[uint64]uint64{}}
+		return &plainPolicy{host: h, state: s, rand: rand.New(rand.NewPCG(seed, 1)), now: now, pick: pick,
+			open: map[uint64]*command{}, timers: map[uint64]uint64{}}
 	}
 }
 
-func random(p *plain, _ *request, from []*server) *server { return from[p.chance.IntN(len(from))] }
+// random picks a random candidate.
+func random(p *plainPolicy, _ *command, candidates []*backend) *backend {
+	return candidates[p.rand.IntN(len(candidates))]
+}
 
-func robin(p *plain, _ *request, from []*server) *server {
+// roundRobin picks the candidates one after another, starting at the instance's index.
+func roundRobin(p *plainPolicy, _ *command, candidates []*backend) *backend {
 	p.turn++
-	return from[(p.turn+p.place.Index)%len(from)]
+	return candidates[(p.turn+p.placement.Index)%len(candidates)]
 }
 
-func leastOut(p *plain, _ *request, from []*server) *server {
-	best := from[0]
+// leastPending picks a candidate with the fewest own pending relays, at random among equals.
+func leastPending(p *plainPolicy, _ *command, candidates []*backend) *backend {
+	best := candidates[0]
 	ties := 0
-	for _, s := range from {
-		if s.out < best.out {
-			best, ties = s, 1
-		} else if s.out == best.out {
-			if ties++; p.chance.IntN(ties) == 0 {
-				best = s
+	for _, b := range candidates {
+		if b.pending < best.pending {
+			best, ties = b, 1
+		} else if b.pending == best.pending {
+			if ties++; p.rand.IntN(ties) == 0 {
+				best = b
 			}
 		}
 	}
 	return best
 }
 
-func two(p *plain, _ *request, from []*server) *server {
-	a, b := from[p.chance.IntN(len(from))], from[p.chance.IntN(len(from))]
-	if b.out < a.out {
+// twoChoices picks the better of two random candidates by own pending relays.
+func twoChoices(p *plainPolicy, _ *command, candidates []*backend) *backend {
+	a, b := candidates[p.rand.IntN(len(candidates))], candidates[p.rand.IntN(len(candidates))]
+	if b.pending < a.pending {
 		return b
 	}
 	return a
 }
 
-// oracle goes where the command would be through first, and nowhere where all are crowded.
-func oracle(p *plain, r *request, from []*server) *server {
-	var best *server
+// oracle picks the backend that would finish the command first, or none if all are overloaded.
+func oracle(p *plainPolicy, cmd *command, candidates []*backend) *backend {
+	var best *backend
 	least := math.Inf(1)
-	for _, s := range from {
-		open, wait, speed, crowd := p.sight.BackendState(s.ID)
-		if !open || crowd >= spare+(1-spare)*r.verb.Utility/p.most { // what is worth little makes room for the rest
+	for _, b := range candidates {
+		open, wait, speed, load := p.state.BackendState(b.ID)
+		// commands of low utility leave capacity to the others
+		if !open || load >= lowUtilityShare+(1-lowUtilityShare)*cmd.verb.Utility/p.maxUtility {
 			continue
 		}
-		cost := wait + 0.01/speed + p.chance.Float64()*1e-6
-		if s.Zone != p.place.Zone {
+		cost := wait + 0.01/speed + p.rand.Float64()*1e-6
+		if b.Zone != p.placement.Zone {
 			cost += 0.002
 		}
 		if cost < least {
-			best, least = s, cost
+			best, least = b, cost
 		}
 	}
 	if best != nil {
-		p.tokens++
-		p.wakes[p.tokens] = r.id
-		p.host.StartTimer(looks, p.tokens)
+		p.lastToken++
+		p.timers[p.lastToken] = cmd.id
+		p.host.StartTimer(oraclePollSeconds, p.lastToken)
 	}
 	return best
 }
 
-// watch is the oracle's look at what it has out: where its backend is lost, it is called back and goes elsewhere.
-func (p *plain) watch(r *request) {
-	for i, x := range r.sent {
-		if !x.out || r.done {
+// pollRelays checks the oracle's pending relays of a command. A relay to a backend that makes no progress is cancelled, so
+// that the command can be relayed elsewhere.
+func (p *plainPolicy) pollRelays(cmd *command) {
+	for i, r := range cmd.relays {
+		if !r.pending || cmd.done {
 			continue
 		}
-		if _, _, speed, _ := p.sight.BackendState(x.to.ID); speed <= 0 {
-			if r.verb.Effect != balance.Effectful && p.limits.CancelRelays {
-				p.host.Cancel(r.id, i)
+		if _, _, speed, _ := p.state.BackendState(r.backend.ID); speed <= 0 {
+			if cmd.verb.Effect != balance.Effectful && p.limits.CancelRelays {
+				p.host.Cancel(cmd.id, i)
 			}
 			continue
 		}
-		p.tokens++
-		p.wakes[p.tokens] = r.id
-		p.host.StartTimer(looks, p.tokens)
+		p.lastToken++
+		p.timers[p.lastToken] = cmd.id
+		p.host.StartTimer(oraclePollSeconds, p.lastToken)
 	}
 }
 
-// Turn is told the settings.
-func (p *plain) Configure(now, tick float64, place balance.Placement, verbs []balance.Verb, _ []balance.Customer, _ float64,
+// Configure sets the settings.
+func (p *plainPolicy) Configure(now, tick float64, place balance.Placement, verbs []balance.Verb, _ []balance.Customer, _ float64,
 	limits balance.Limits, cold balance.ColdStart, mustAsk bool) {
-	p.now, p.tick, p.place, p.verbs, p.limits, p.cold, p.asks = now, tick, place, verbs, limits, cold, mustAsk
-	p.most = 1e-9
+	p.now, p.tick, p.placement, p.verbs, p.limits, p.cold, p.mustAsk = now, tick, place, verbs, limits, cold, mustAsk
+	p.maxUtility = 1e-9
 	for _, v := range verbs {
-		p.most = max(p.most, v.Utility)
+		p.maxUtility = max(p.maxUtility, v.Utility)
 	}
 	if mustAsk {
 		p.host.WatchBackends()
 	}
 }
 
-// Fleet is told the list.
-func (p *plain) UpdateBackends(now float64, whole bool, entries []balance.Entry) {
+// UpdateBackends updates the known backends.
+func (p *plainPolicy) UpdateBackends(now float64, whole bool, entries []balance.Entry) {
 	p.now = now
-	named := map[balance.BackendID]bool{}
+	listed := map[balance.BackendID]bool{}
 	for _, e := range entries {
-		named[e.ID] = true
-		i := slices.IndexFunc(p.all, func(s *server) bool { return s.ID == e.ID })
+		listed[e.ID] = true
+		i := slices.IndexFunc(p.backends, func(b *backend) bool { return b.ID == e.ID })
 		if i < 0 {
-			i = len(p.all)
-			p.all = append(p.all, &server{})
+			i = len(p.backends)
+			p.backends = append(p.backends, &backend{})
 		}
-		p.all[i].Entry = e
+		p.backends[i].Entry = e
 	}
-	for _, s := range p.all {
-		if whole && !named[s.ID] {
-			s.State = balance.Gone
+	for _, b := range p.backends {
+		if whole && !listed[b.ID] {
+			b.State = balance.Gone
 		}
 	}
-	p.all = slices.DeleteFunc(p.all, func(s *server) bool { return s.State == balance.Gone && s.out == 0 })
+	p.backends = slices.DeleteFunc(p.backends, func(b *backend) bool { return b.State == balance.Gone && b.pending == 0 })
 }
 
-// ListFailed asks again after a while.
-func (p *plain) BackendListFailed(now float64) {
+// BackendListFailed schedules another request for the backend list.
+func (p *plainPolicy) BackendListFailed(now float64) {
 	p.now = now
-	if p.asks {
-		p.tokens++
-		p.host.StartTimer(1+p.chance.Float64(), p.tokens)
-		p.wakes[p.tokens] = 0
+	if p.mustAsk {
+		p.lastToken++
+		p.host.StartTimer(1+p.rand.Float64(), p.lastToken)
+		p.timers[p.lastToken] = 0
 	}
 }
 
-// Heard is not used.
-func (p *plain) MessageReceived(now float64, _ int, _ []byte) { p.now = now }
+// MessageReceived ignores messages of peers.
+func (p *plainPolicy) MessageReceived(now float64, _ int, _ []byte) { p.now = now }
 
-// Command sends it at once.
-func (p *plain) CommandReceived(now float64, id uint64, verb, _ int, expires float64, _ uint64) {
+// CommandReceived relays a command at once.
+func (p *plainPolicy) CommandReceived(now float64, id uint64, verb, _ int, expires float64, _ uint64) {
 	p.now = now
-	r := &request{id: id, verb: &p.verbs[verb], expires: expires}
-	p.open[id] = r
-	p.tokens++
-	p.wakes[p.tokens] = id
-	p.host.StartTimer(expires-now-late*p.tick, p.tokens)
-	p.next(r)
+	cmd := &command{id: id, verb: &p.verbs[verb], expires: expires}
+	p.open[id] = cmd
+	p.lastToken++
+	p.timers[p.lastToken] = id
+	p.host.StartTimer(expires-now-terminateTicks*p.tick, p.lastToken)
+	p.relayOrEnd(cmd)
 }
 
-func (p *plain) may(r *request, s *server) bool {
-	if s.State != balance.Ready || slices.ContainsFunc(r.sent, func(x sentTo) bool { return x.to == s }) {
+// mayRelay tells whether the rules allow a relay of the command to the backend.
+func (p *plainPolicy) mayRelay(cmd *command, b *backend) bool {
+	if b.State != balance.Ready || slices.ContainsFunc(cmd.relays, func(r relay) bool { return r.backend == b }) {
 		return false
 	}
-	i := slices.IndexFunc(r.sent, func(x sentTo) bool { return !x.never })
-	if i < 0 || r.verb.Effect == balance.Pure {
+	i := slices.IndexFunc(cmd.relays, func(r relay) bool { return !r.neverRan })
+	if i < 0 || cmd.verb.Effect == balance.Pure {
 		return true
 	}
-	first := r.sent[i]
-	if r.verb.Effect == balance.Effectful || p.now > first.at+r.verb.DedupWindow-p.tick {
+	first := cmd.relays[i]
+	if cmd.verb.Effect == balance.Effectful || p.now > first.sentAt+cmd.verb.DedupWindow-p.tick {
 		return false
 	}
-	return r.verb.Scope == balance.ScopeAll || r.verb.Scope == balance.ScopeZone && s.Zone == first.to.Zone ||
-		r.verb.Scope == balance.ScopeCell && s.Cell == first.to.Cell
+	return cmd.verb.Scope == balance.ScopeAll || cmd.verb.Scope == balance.ScopeZone && b.Zone == first.backend.Zone ||
+		cmd.verb.Scope == balance.ScopeCell && b.Cell == first.backend.Cell
 }
 
-// next sends a command on, or gives it up.
-func (p *plain) next(r *request) {
+// relayOrEnd relays a command to a warm backend, or to a cold one if no warm one is usable. Without any it ends the command.
+func (p *plainPolicy) relayOrEnd(cmd *command) {
 	for _, cold := range []bool{false, true} {
 		p.usable = p.usable[:0]
-		for _, s := range p.all {
-			warm := s.StartedAt <= 0 || p.now-s.StartedAt >= p.cold.WarmUp
-			if warm != cold && p.may(r, s) {
-				p.usable = append(p.usable, s)
+		for _, b := range p.backends {
+			warm := b.StartedAt <= 0 || p.now-b.StartedAt >= p.cold.WarmUp
+			if warm != cold && p.mayRelay(cmd, b) {
+				p.usable = append(p.usable, b)
 			}
 		}
 		if len(p.usable) > 0 {
 			break
 		}
 	}
-	if len(p.usable) > 0 && len(r.sent) < p.limits.MaxRelays && r.expires > p.now+2*p.tick {
-		if s := p.pick(p, r, p.usable); s != nil {
-			r.sent = append(r.sent, sentTo{to: s, out: true, at: p.now})
-			r.out++
-			s.out++
-			p.host.Relay(r.id, s.ID)
+	if len(p.usable) > 0 && len(cmd.relays) < p.limits.MaxRelays && cmd.expires > p.now+2*p.tick {
+		if b := p.pick(p, cmd, p.usable); b != nil {
+			cmd.relays = append(cmd.relays, relay{backend: b, pending: true, sentAt: p.now})
+			cmd.pending++
+			b.pending++
+			p.host.Relay(cmd.id, b.ID)
 			return
 		}
 	}
-	harmless := r.verb.Effect == balance.Pure || r.verb.Effect == balance.Receipted && r.verb.Scope == balance.ScopeAll ||
-		!slices.ContainsFunc(r.sent, func(x sentTo) bool { return !x.never })
-	r.done = true
+	harmless := cmd.verb.Effect == balance.Pure || cmd.verb.Effect == balance.Receipted && cmd.verb.Scope == balance.ScopeAll ||
+		!slices.ContainsFunc(cmd.relays, func(r relay) bool { return !r.neverRan })
+	cmd.done = true
 	if harmless {
-		p.host.Decline(r.id, min(p.limits.MaxRetryAfter, comeBack*r.verb.Goal))
+		p.host.Decline(cmd.id, min(p.limits.MaxRetryAfter, retryAfterShare*cmd.verb.Goal))
 	} else {
-		p.host.Terminate(r.id)
+		p.host.Terminate(cmd.id)
 	}
-	p.forget(r)
+	p.forget(cmd)
 }
 
-func (p *plain) forget(r *request) {
-	if r.done && r.out == 0 {
-		delete(p.open, r.id)
+// forget drops a command that has ended and has no relay pending.
+func (p *plainPolicy) forget(cmd *command) {
+	if cmd.done && cmd.pending == 0 {
+		delete(p.open, cmd.id)
 	}
 }
 
-// Outcome is told how a relay ended.
-func (p *plain) RelayEnded(now float64, id uint64, n int, result balance.Result, _ float64, final bool, _ balance.LoadReport) {
+// RelayEnded records how a relay ended, and relays the command again if none is pending.
+func (p *plainPolicy) RelayEnded(now float64, id uint64, n int, result balance.Result, _ float64, final bool,
+	_ balance.LoadReport) {
 	p.now = now
-	r := p.open[id]
-	if r == nil || n >= len(r.sent) || !r.sent[n].out {
+	cmd := p.open[id]
+	if cmd == nil || n >= len(cmd.relays) || !cmd.relays[n].pending {
 		return
 	}
-	x := &r.sent[n]
-	x.out, x.never = false, result.NeverRan()
-	x.to.out--
-	r.out--
-	r.done = r.done || final
-	if !r.done && r.out == 0 {
-		p.next(r)
+	ended := &cmd.relays[n]
+	ended.pending, ended.neverRan = false, result.NeverRan()
+	ended.backend.pending--
+	cmd.pending--
+	cmd.done = cmd.done || final
+	if !cmd.done && cmd.pending == 0 {
+		p.relayOrEnd(cmd)
 		return
 	}
-	p.forget(r)
+	p.forget(cmd)
 }
 
-// Departed is told that nothing is owed any more.
-func (p *plain) ClientDisconnected(now float64, id uint64) {
+// ClientDisconnected stops a command whose client left.
+func (p *plainPolicy) ClientDisconnected(now float64, id uint64) {
 	p.now = now
-	if r := p.open[id]; r != nil {
-		p.stop(r)
+	if cmd := p.open[id]; cmd != nil {
+		p.stop(cmd)
 	}
 }
 
-func (p *plain) stop(r *request) {
-	r.done = true
-	for i, x := range r.sent {
-		if x.out && p.limits.CancelRelays {
-			p.host.Cancel(r.id, i)
+// stop ends a command and cancels its pending relays.
+func (p *plainPolicy) stop(cmd *command) {
+	cmd.done = true
+	for i, r := range cmd.relays {
+		if r.pending && p.limits.CancelRelays {
+			p.host.Cancel(cmd.id, i)
 		}
 	}
-	p.forget(r)
+	p.forget(cmd)
 }
 
-// Wake is a time limit that is near, or a list to be asked for.
-func (p *plain) TimerFired(now float64, token uint64) {
+// TimerFired requests the backend list, polls the oracle's relays, or terminates a command whose limit is near.
+func (p *plainPolicy) TimerFired(now float64, token uint64) {
 	p.now = now
-	id, ok := p.wakes[token]
-	delete(p.wakes, token)
+	id, ok := p.timers[token]
+	delete(p.timers, token)
 	if ok && id == 0 {
 		p.host.WatchBackends()
 	}
-	if r := p.open[id]; r != nil && !r.done && now < r.expires-(late+0.5)*p.tick {
-		p.watch(r)
-	} else if r != nil && !r.done {
-		p.host.Terminate(r.id)
-		p.stop(r)
+	if cmd := p.open[id]; cmd != nil && !cmd.done && now < cmd.expires-(terminateTicks+0.5)*p.tick {
+		p.pollRelays(cmd)
+	} else if cmd != nil && !cmd.done {
+		p.host.Terminate(cmd.id)
+		p.stop(cmd)
 	}
 }
--- a/internal/checker/facts.go
+++ b/internal/checker/facts.go
@@ -119,7 +119,7 @@
 		return
 	}
 	if at > cmd.Expires+c.config.AnswerSlack+c.config.DeadlineError {
-		c.violated(OneAnswer, at, "command %x at instance %d has its final answer %.0f ms after its limit",
+		c.violated(OneAnswer, at, "request %x at instance %d has its final answer %.0f ms after its limit",
 			id, cmd.Instance, 1000*(at-cmd.Expires))
 	}
 	if answered && !executed {
--- a/internal/emulator/day_test.go
+++ b/internal/emulator/day_test.go
@@ -230,7 +230,7 @@
 					w.host.Relay(id, w.known[int(id)%len(w.known)])
 				}
 			}})},
-		{"declines what may have run", checker.NoDoubleEffect, "rejects request", spoil,
+		{"declines what may have run", checker.NoDoubleEffect, "declines command", spoil,
 			build(nil, wrong{after: func(w *wrong, id uint64, result balance.Result) {
 				if result == balance.Reset {
 					w.host.Decline(id, 0)
