--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -45,6 +45,7 @@
 	zone, cell int
 }
 
+// instanceBackend is a pair of an instance and a backend.
 type instanceBackend struct{ instance, backend int }
 
 // arrival is work that reached a cold backend. informed tells whether its instance knew when the backend started.
--- a/internal/checker/facts.go
+++ b/internal/checker/facts.go
@@ -85,7 +85,8 @@
 	firstRelay := cmd.relays[first]
 	switch {
 	case cmd.Effect == Effectful:
-		c.violated(NoDoubleEffect, at, "instance %d relays effectful command %x to backend %d while relay %d to backend %d may have run",
+		c.violated(NoDoubleEffect, at,
+			"instance %d relays effectful command %x to backend %d while relay %d to backend %d may have run",
 			cmd.Instance, cmd.ID, backend, first, firstRelay.backend)
 	case cmd.Effect == Receipted && at > firstRelay.sentAt+cmd.DedupWindow:
 		c.violated(NoDoubleEffect, at, "instance %d relays receipted command %x %.3f s after relay %d, its window is %.3f s",
@@ -232,7 +233,8 @@
 	}
 	over := load.work > c.config.ColdMultiple*capacity*c.config.ColdWindow+coldSlackCommands*c.coldWork/c.coldCommands
 	if over && !load.over && load.informed >= informedShare*load.work {
-		c.violated(ColdProtected, at, "backend %d, %.2f s after its start, got %.3f s of work within %.2f s; its maximum is %.3f s",
+		c.violated(ColdProtected, at,
+			"backend %d, %.2f s after its start, got %.3f s of work within %.2f s; its maximum is %.3f s",
 			backend, at-started, load.work, c.config.ColdWindow, c.config.ColdMultiple*capacity*c.config.ColdWindow)
 	}
 	load.over = over
--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -1,5 +1,5 @@
-// This file owns backends: their machines, queues, connection tables and lives. It must never know who chose them,
-// nor why.
+// Backends: their machines, queues, connection tables and processes. Nothing here may depend on which policy chose a backend,
+// or why.
 
 package emulator
 
@@ -14,272 +14,284 @@
 	"sandpass/internal/faults"
 )
 
-// burden is what a backend bears: of faults, and of a machine that has fallen silent.
-type burden struct {
+// impairment is the effect of faults on a backend. silent means that its machine does not respond.
+type impairment struct {
 	faults.Impairment
 	silent bool
 }
 
+// backend is a simulated backend: a machine with a queue, a connection table and a process that crashes and restarts.
 type backend struct {
-	serial, tier, place, zone, cell int
-	id                              balance.BackendID
-	speed, size                     float64
-	own                             *instance // that makes its calls to the next tier
-	heir                            *backend  // who answers at its address now
-	alive, gone                     bool      // gone: left for good
-	started                         float64   // 0 is long ago
-	burden                          burden
-
-	// Commands in work share the cores evenly. done is what each one in work since the start would have got; a
-	// command is through when done reaches what it needs.
-	done, doneAt, rate float64
-	next               float64 // when onFinish is due, or infinite
-	jobs               jobs
-	waiting            []*relay
-	locked             []*relay // hold a slot and wait for their turn at a lock
-	calling            int      // hold a slot and wait, for the next tier or a turn
-	conns              int
-	refreshing         bool
-	recent             []arrived // while it is cold
-	pushed             float64
-}
-
-// warmKey is a key at a cell: its backends do less for what one of them met lately.
+	serial, tier, position, zone, cell int
+	id                                 balance.BackendID
+	speed, nominalCapacity             float64
+	caller                             *instance // makes its calls to the next tier
+	successor                          *backend  // the backend that took over its address, if any
+	alive, retired                     bool      // retired: stopped for good
+	startedAt                          float64   // 0: long ago
+	impairment                         impairment
+
+	// Running commands share the cores evenly. progress is the work that each command running since the start would have
+	// received; a command is finished when progress reaches its finishProgress.
+	progress, progressAt, rate float64
+	nextFinish                 float64 // time of the next onFinish, or infinite
+	running                    runHeap
+	queue                      []*relay
+	lockWaiters                []*relay // hold a slot and wait for a lock
+	blocked                    int      // number of commands that hold a slot and wait for the next tier or a lock
+	connections                int
+	refreshPending             bool
+	coldArrivals               []coldArrival // in the last ColdWindow, while it is cold
+	coldWork                   float64
+}
+
+// warmKey is a key in a cell. The cell's backends do less work for a key that one of them handled recently.
 type warmKey struct {
 	tier, cell int
 	key        uint64
 }
 
-type arrived struct{ at, work float64 }
+// coldArrival is work that reached a cold backend.
+type coldArrival struct{ at, work float64 }
 
-type jobs []*relay
+// runHeap is a heap of the running commands by finishProgress.
+type runHeap []*relay
 
-func (h jobs) Len() int { return len(h) }
-func (h jobs) Less(i, j int) bool {
-	return h[i].need < h[j].need || h[i].need == h[j].need && h[i].serial < h[j].serial
+func (h runHeap) Len() int { return len(h) }
+func (h runHeap) Less(i, j int) bool {
+	return h[i].finishProgress < h[j].finishProgress || h[i].finishProgress == h[j].finishProgress && h[i].serial < h[j].serial
 }
-func (h jobs) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].index, h[j].index = i, j }
-func (h *jobs) Push(x any)   { r := x.(*relay); r.index = len(*h); *h = append(*h, r) }
-func (h *jobs) Pop() any {
+func (h runHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
+func (h *runHeap) Push(x any)   { r := x.(*relay); r.heapIndex = len(*h); *h = append(*h, r) }
+func (h *runHeap) Pop() any {
 	old := *h
 	r := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	r.index = -1
+	r.heapIndex = -1
 	return r
 }
 
-func (d *Simulation) newBackend(tier, place int, speed float64) *backend {
-	t := &d.w.Tiers[tier]
-	zone := place % d.w.Zones
-	b := &backend{serial: len(d.backends), tier: tier, place: place, zone: zone,
-		cell: place/d.w.Zones/t.CellSize*d.w.Zones + zone, speed: speed, alive: true, next: math.Inf(1), doneAt: d.now}
-	b.size = t.Cores * (1 + t.WeightFidelity*(speed-1))
+// newBackend creates a backend at a position of a tier.
+func (sim *Simulation) newBackend(tier, position int, speed float64) *backend {
+	t := &sim.world.Tiers[tier]
+	zone := position % sim.world.Zones
+	b := &backend{serial: len(sim.backends), tier: tier, position: position, zone: zone,
+		cell: position/sim.world.Zones/t.CellSize*sim.world.Zones + zone, speed: speed, alive: true, nextFinish: math.Inf(1),
+		progressAt: sim.now}
+	b.nominalCapacity = t.Cores * (1 + t.WeightFidelity*(speed-1))
 	binary.BigEndian.PutUint32(b.id[:4], uint32(b.serial))
 	b.id[4], b.id[5] = byte(tier), 1
-	d.backends = append(d.backends, b)
+	sim.backends = append(sim.backends, b)
 	return b
 }
 
-func (d *Simulation) named(id balance.BackendID) *backend {
+// backendByID returns the backend with an id, or nil if there is none.
+func (sim *Simulation) backendByID(id balance.BackendID) *backend {
 	n := int(binary.BigEndian.Uint32(id[:4]))
-	if n <= 0 || n >= len(d.backends) {
+	if n <= 0 || n >= len(sim.backends) {
 		return nil
 	}
-	return d.backends[n]
+	return sim.backends[n]
 }
 
-// occupant is who answers at the address of a backend.
-func (b *backend) occupant() *backend {
-	for b.heir != nil {
-		b = b.heir
+// atAddress returns the backend that currently answers at the backend's address.
+func (b *backend) atAddress() *backend {
+	for b.successor != nil {
+		b = b.successor
 	}
 	return b
 }
 
-func (d *Simulation) tierOf(b *backend) *Tier { return &d.w.Tiers[b.tier] }
+// tierConfig returns the configuration of the backend's tier.
+func (sim *Simulation) tierConfig(b *backend) *Tier { return &sim.world.Tiers[b.tier] }
 
-// warmth is the part of its capacity that it has, and whether that still grows.
-func (d *Simulation) warmth(b *backend) (float64, bool) {
-	r := &d.w.Rules
-	if b.started <= 0 || d.now-b.started >= r.WarmUp {
+// capacityShare returns the share of its capacity that a backend has now, and whether it is still warming up.
+func (sim *Simulation) capacityShare(b *backend) (float64, bool) {
+	r := &sim.world.Rules
+	if b.startedAt <= 0 || sim.now-b.startedAt >= r.WarmUp {
 		return 1, false
 	}
-	return r.ColdShare + (1-r.ColdShare)*(d.now-b.started)/r.WarmUp, true
+	return r.ColdShare + (1-r.ColdShare)*(sim.now-b.startedAt)/r.WarmUp, true
 }
 
-// retake counts what was done until now, takes the rate anew and asks for the next end.
-func (d *Simulation) retake(b *backend) {
-	b.done += b.rate * (d.now - b.doneAt)
-	b.doneAt = d.now
-	n, t := len(b.jobs), d.tierOf(b)
+// updateRate advances the progress to now, updates the rate and schedules the next finish.
+func (sim *Simulation) updateRate(b *backend) {
+	b.progress += b.rate * (sim.now - b.progressAt)
+	b.progressAt = sim.now
+	n, t := len(b.running), sim.tierConfig(b)
 	if n == 0 {
-		b.rate, b.next = 0, math.Inf(1)
+		b.rate, b.nextFinish = 0, math.Inf(1)
 		return
 	}
-	warm, grows := d.warmth(b)
-	held := float64(n+b.calling+len(b.waiting)) / t.Cores
-	b.rate = b.speed * min(1, t.Cores/float64(n)) * warm * (1 - b.burden.Slow) / (1 + t.OverloadLoss*max(0, held-t.OverloadFrom))
-	if b.burden.Hang || !b.alive {
+	share, warming := sim.capacityShare(b)
+	held := float64(n+b.blocked+len(b.queue)) / t.Cores
+	b.rate = b.speed * min(1, t.Cores/float64(n)) * share * (1 - b.impairment.Slow) /
+		(1 + t.OverloadLoss*max(0, held-t.OverloadFrom))
+	if b.impairment.Hang || !b.alive {
 		b.rate = 0
 	}
-	if grows && !b.refreshing {
-		b.refreshing = true
-		d.queue.push(onRefresh, event{at: d.now + refresh, n: uint64(b.serial)})
+	if warming && !b.refreshPending {
+		b.refreshPending = true
+		sim.queue.push(onRefresh, event{at: sim.now + rateRefreshSeconds, number: uint64(b.serial)})
 	}
 	at := math.Inf(1)
 	if b.rate > 0 {
-		at = d.now + max(0, b.jobs[0].need-b.done)/b.rate
+		at = sim.now + max(0, b.running[0].finishProgress-b.progress)/b.rate
 	}
-	// An event that comes too early asks again, so only an earlier end needs a new one.
-	if at < b.next {
-		b.next = at
-		d.queue.push(onFinish, event{at: at, n: uint64(b.serial)})
+	// An event that comes too early schedules another one, so only an earlier finish needs a new event.
+	if at < b.nextFinish {
+		b.nextFinish = at
+		sim.queue.push(onFinish, event{at: at, number: uint64(b.serial)})
 	}
 }
 
-func (d *Simulation) refreshed(b *backend) {
-	b.refreshing = false
-	d.retake(b)
+// handleRefresh updates the rate of a backend that is warming up.
+func (sim *Simulation) handleRefresh(b *backend) {
+	b.refreshPending = false
+	sim.updateRate(b)
 }
 
-// finished ends the part of work that is due, if it is.
-func (d *Simulation) finished(b *backend) {
-	if b.next > d.now { // an older one, overtaken
+// handleFinish ends the parts of work that are finished.
+func (sim *Simulation) handleFinish(b *backend) {
+	if b.nextFinish > sim.now { // an outdated event
 		return
 	}
-	b.next = math.Inf(1)
-	b.done += b.rate * (d.now - b.doneAt)
-	b.doneAt = d.now
-	for len(b.jobs) > 0 && b.rate > 0 && b.jobs[0].need <= b.done+1e-9 {
-		d.through(b, heap.Pop(&b.jobs).(*relay))
+	b.nextFinish = math.Inf(1)
+	b.progress += b.rate * (sim.now - b.progressAt)
+	b.progressAt = sim.now
+	for len(b.running) > 0 && b.rate > 0 && b.running[0].finishProgress <= b.progress+1e-9 {
+		sim.workPartDone(b, heap.Pop(&b.running).(*relay))
 	}
-	d.retake(b)
+	sim.updateRate(b)
 }
 
-// through is called when a part of a command's work is done: a call follows, or the end.
-func (d *Simulation) through(b *backend, r *relay) {
-	v := &d.w.Verbs[r.verb]
-	if b.own != nil && b.tier < len(v.Calls) && r.calls < v.Calls[b.tier] {
-		if d.now >= r.expires { // nobody waits any more, though word of that has not come
-			r.blame, r.blamed = checker.Loss{Place: checker.Work, Tier: b.tier}, true
-			d.leave(b, r, balance.Errored)
+// workPartDone ends a part of a command's work: it makes the next call, or ends the command after the last part.
+func (sim *Simulation) workPartDone(b *backend, r *relay) {
+	v := &sim.world.Verbs[r.verb]
+	if b.caller != nil && b.tier < len(v.Calls) && r.callsMade < v.Calls[b.tier] {
+		if sim.now >= r.expires { // past its limit, though no cancellation has arrived
+			r.loss, r.lossKnown = checker.Loss{Place: checker.Work, Tier: b.tier}, true
+			sim.leaveBackend(b, r, balance.Errored)
 			return
 		}
-		r.calls++
+		r.callsMade++
 		r.state = calling
-		b.calling++
-		d.call(b, r)
+		b.blocked++
+		sim.callNextTier(b, r)
 		return
 	}
-	d.ran(b, r)
+	sim.recordExecution(b, r)
 	result := balance.Answered
-	if r.breaks || b.burden.LoseAnswers > 0 && draw(r.seed, 3) < b.burden.LoseAnswers {
+	if r.resetAfterRun || b.impairment.LoseAnswers > 0 && uniform(r.seed, 3) < b.impairment.LoseAnswers {
 		result = balance.Reset
 	}
-	d.leave(b, r, result)
+	sim.leaveBackend(b, r, result)
 }
 
-func (d *Simulation) ran(b *backend, r *relay) {
-	v := &d.verbs[r.verb]
-	r.made = true
-	d.judge.EffectExecuted(d.now, r.sent, r.op, checker.Effect(v.Effect), checker.Scope(v.Scope), v.DedupWindow, b.zone, b.cell)
+// recordExecution reports to the checker that a command's effect took place.
+func (sim *Simulation) recordExecution(b *backend, r *relay) {
+	v := &sim.verbs[r.verb]
+	r.executed = true
+	sim.checker.EffectExecuted(sim.now, r.sentAt, r.operationID, checker.Effect(v.Effect), checker.Scope(v.Scope), v.DedupWindow,
+		b.zone, b.cell)
 }
 
-// leave sends a command's outcome back and lets in the next that waits.
-func (d *Simulation) leave(b *backend, r *relay, result balance.Result) {
+// leaveBackend sends a command's outcome back and starts the next queued command.
+func (sim *Simulation) leaveBackend(b *backend, r *relay, result balance.Result) {
 	r.state = returning
-	d.back(r, result)
-	d.letIn(b)
-	d.release(r)
-}
-
-func (d *Simulation) letIn(b *backend) {
-	for len(b.waiting) > 0 && len(b.jobs)+b.calling < d.tierOf(b).Slots {
-		r := b.waiting[0]
-		copy(b.waiting, b.waiting[1:])
-		b.waiting = b.waiting[:len(b.waiting)-1]
-		if d.now >= r.expires && d.tierOf(b).RejectsExpired {
+	sim.sendToInstance(r, result)
+	sim.startQueued(b)
+	sim.releaseRelay(r)
+}
+
+// startQueued starts queued commands while there are free slots.
+func (sim *Simulation) startQueued(b *backend) {
+	for len(b.queue) > 0 && len(b.running)+b.blocked < sim.tierConfig(b).Slots {
+		r := b.queue[0]
+		copy(b.queue, b.queue[1:])
+		b.queue = b.queue[:len(b.queue)-1]
+		if sim.now >= r.expires && sim.tierConfig(b).RejectsExpired {
 			r.state = returning
-			d.back(r, balance.Full)
-			d.release(r)
+			sim.sendToInstance(r, balance.Full)
+			sim.releaseRelay(r)
 			continue
 		}
-		d.begin(b, r)
+		sim.startWork(b, r)
 	}
 }
 
-// connect is a new connection at its backend's machine.
-func (d *Simulation) connect(r *relay) {
-	if r.told { // closed before it was up: nothing was sent
-		r.state = over
+// handleConnect handles a new connection that reaches its backend's machine.
+func (sim *Simulation) handleConnect(r *relay) {
+	if r.reported { // closed before it was established: nothing was sent
+		r.state = relayEnded
 		return
 	}
-	b := r.to.occupant()
-	r.b = b
+	b := r.target.atAddress()
+	r.backend = b
 	switch {
-	case b.burden.silent:
-		d.answerAt(r, max(d.now, r.sent+d.w.Rules.ConnectTimeout), balance.ConnectFailed)
-	case !b.alive, float64(b.conns) >= float64(d.tierOf(b).Connections)*(1-b.burden.TableFull):
-		d.back(r, balance.ConnectFailed)
+	case b.impairment.silent:
+		sim.scheduleOutcome(r, max(sim.now, r.sentAt+sim.world.Rules.ConnectTimeout), balance.ConnectFailed)
+	case !b.alive, float64(b.connections) >= float64(sim.tierConfig(b).Connections)*(1-b.impairment.TableFull):
+		sim.sendToInstance(r, balance.ConnectFailed)
 	default:
-		b.conns++
-		r.conn = b
-		r.work += d.tierOf(b).Handshake
-		d.forth(r, onArrive, 2)
+		b.connections++
+		r.connection = b
+		r.work += sim.tierConfig(b).Handshake
+		sim.sendToBackend(r, onArrive, 2)
 	}
 }
 
-// arrive is a command whose last byte is at its backend.
-func (d *Simulation) arrive(r *relay) {
-	if r.dropped { // word that it is not wanted came first
-		r.state = over
+// handleArrive handles a command whose last byte has reached its backend.
+func (sim *Simulation) handleArrive(r *relay) {
+	if r.cancelled { // its cancellation came first
+		r.state = relayEnded
 		return
 	}
-	b := r.to.occupant()
-	if r.conn != nil && r.conn != b { // it was made to who was there before
-		b = r.conn
+	b := r.target.atAddress()
+	if r.connection != nil && r.connection != b { // the connection leads to the backend before a takeover
+		b = r.connection
 	}
-	r.b, r.arrived = b, d.now
-	if b.burden.silent {
-		d.strand(r)
+	r.backend, r.arrivedAt = b, sim.now
+	if b.impairment.silent {
+		sim.strand(r)
 		return
 	}
 	if !b.alive {
-		d.back(r, balance.Reset)
+		sim.sendToInstance(r, balance.Reset)
 		return
 	}
-	d.push(b, r)
-	u, t := &b.burden, d.tierOf(b)
-	switch x := d.worldChance.Float64(); {
-	case !b.alive: // this one pushed it over
-		d.back(r, balance.Reset)
+	sim.countColdWork(b, r)
+	u, t := &b.impairment, sim.tierConfig(b)
+	switch x := sim.backendRand.Float64(); {
+	case !b.alive: // this command overloaded it
+		sim.sendToInstance(r, balance.Reset)
 	case u.Reset > 0 && x < u.Reset/2:
-		d.back(r, balance.Reset)
-	case u.Refuse > 0 && d.worldChance.Float64() < u.Refuse, len(b.waiting) >= t.Queue && len(b.jobs)+b.calling >= t.Slots:
-		d.back(r, balance.Full)
-	case d.spoilt(b, r), d.unable(b, r):
-		d.back(r, balance.Errored)
-	case u.Errors > 0 && d.worldChance.Float64() < u.Errors:
-		if d.worldChance.Float64() < 0.5 {
-			d.ran(b, r)
+		sim.sendToInstance(r, balance.Reset)
+	case u.Refuse > 0 && sim.backendRand.Float64() < u.Refuse, len(b.queue) >= t.Queue && len(b.running)+b.blocked >= t.Slots:
+		sim.sendToInstance(r, balance.Full)
+	case sim.failsKey(b, r), sim.failsVerb(b, r):
+		sim.sendToInstance(r, balance.Errored)
+	case u.Errors > 0 && sim.backendRand.Float64() < u.Errors:
+		if sim.backendRand.Float64() < 0.5 {
+			sim.recordExecution(b, r)
 		}
-		d.back(r, balance.Errored)
+		sim.sendToInstance(r, balance.Errored)
 	default:
-		r.breaks = u.Reset > 0 && x < u.Reset
-		r.holds++
-		if len(b.jobs)+b.calling < t.Slots {
-			d.begin(b, r)
+		r.resetAfterRun = u.Reset > 0 && x < u.Reset
+		r.refs++
+		if len(b.running)+b.blocked < t.Slots {
+			sim.startWork(b, r)
 		} else {
 			r.state = inQueue
-			b.waiting = append(b.waiting, r)
+			b.queue = append(b.queue, r)
 		}
 	}
 }
 
-// spoilt tells that a command fails wherever it is sent.
-func (d *Simulation) spoilt(b *backend, r *relay) bool {
-	for _, f := range d.during(faults.FailingKeys) {
+// failsKey tells whether a command fails because of its key, at every backend of the tier.
+func (sim *Simulation) failsKey(b *backend, r *relay) bool {
+	for _, f := range sim.activeFaults(faults.FailingKeys) {
 		if f.Tier == b.tier && f.HitsKey(r.key) {
 			return true
 		}
@@ -287,293 +299,297 @@
 	return false
 }
 
-// unable tells that a backend fails a command for its verb, which others do.
-func (d *Simulation) unable(b *backend, r *relay) bool {
-	for i, f := range d.during(faults.FailingVerb) {
-		if uint64(r.verb) == f.Seed%uint64(len(d.w.Verbs)) &&
-			slices.Contains(d.targets[i], b) && draw(r.seed, 21) < f.SeverityAt(d.now) {
+// failsVerb tells whether a backend fails a command because of its verb, which other backends execute.
+func (sim *Simulation) failsVerb(b *backend, r *relay) bool {
+	for i, f := range sim.activeFaults(faults.FailingVerb) {
+		if uint64(r.verb) == f.Seed%uint64(len(sim.world.Verbs)) &&
+			slices.Contains(sim.targets[i], b) && uniform(r.seed, 21) < f.SeverityAt(sim.now) {
 			return true
 		}
 	}
 	return false
 }
 
-// begin takes a command into work. Work is cut evenly by the calls that it makes.
-func (d *Simulation) begin(b *backend, r *relay) {
-	r.began = d.now
-	if t := d.tierOf(b); t.CacheSaving > 0 && r.key != 0 {
+// startWork starts a command. Its calls split its work into equal parts.
+func (sim *Simulation) startWork(b *backend, r *relay) {
+	r.startedAt = sim.now
+	if t := sim.tierConfig(b); t.CacheSaving > 0 && r.key != 0 {
 		k := warmKey{b.tier, b.cell, r.key}
-		if met, ok := d.met[k]; ok && d.now < met+t.CacheLifetime {
+		if usedAt, ok := sim.warmKeys[k]; ok && sim.now < usedAt+t.CacheLifetime {
 			r.work *= 1 - t.CacheSaving
 		}
-		d.met[k] = d.now
+		sim.warmKeys[k] = sim.now
 	}
-	if turn := d.turn(b, r); turn > d.now {
+	if turn := sim.lockTurn(b, r); turn > sim.now {
 		r.state = locked
-		r.holds++
-		b.locked = append(b.locked, r)
-		b.calling++
-		d.later(turn, func() { d.unlocked(b, r); d.release(r) })
+		r.refs++
+		b.lockWaiters = append(b.lockWaiters, r)
+		b.blocked++
+		sim.schedule(turn, func() { sim.handleLockTurn(b, r); sim.releaseRelay(r) })
 		return
 	}
-	d.goOn(b, r)
+	sim.continueWork(b, r)
 }
 
-// turn is when a command may go on that has to wait for a lock behind its tier, or now.
-func (d *Simulation) turn(b *backend, r *relay) float64 {
-	at := d.now
-	for i, f := range d.during(faults.LockedKeys) {
+// lockTurn returns the time at which a command gets the lock on its key, or now if it needs none.
+func (sim *Simulation) lockTurn(b *backend, r *relay) float64 {
+	at := sim.now
+	for i, f := range sim.activeFaults(faults.LockedKeys) {
 		if f.Tier == b.tier && f.HitsKey(r.key) {
-			at = max(at, d.turns[i])
-			d.turns[i] = at + f.Hard
+			at = max(at, sim.lockFreeAt[i])
+			sim.lockFreeAt[i] = at + f.Hard
 		}
 	}
 	return at
 }
 
-// unlocked has a command go on whose turn has come, unless it was dropped meanwhile.
-func (d *Simulation) unlocked(b *backend, r *relay) {
-	if r.state == locked && d.unlock(b, r) {
-		d.goOn(b, r)
+// handleLockTurn continues a command that got its lock, unless it was cancelled meanwhile.
+func (sim *Simulation) handleLockTurn(b *backend, r *relay) {
+	if r.state == locked && sim.removeLockWaiter(b, r) {
+		sim.continueWork(b, r)
 	}
 }
 
-// unlock takes a command out of those that wait in their slots, if its backend still holds it.
-func (d *Simulation) unlock(b *backend, r *relay) bool {
-	for i, x := range b.locked {
-		if x == r {
-			b.locked = append(b.locked[:i], b.locked[i+1:]...)
-			b.calling--
+// removeLockWaiter removes a command from those that wait for a lock. It tells whether the backend still had it.
+func (sim *Simulation) removeLockWaiter(b *backend, r *relay) bool {
+	for i, other := range b.lockWaiters {
+		if other == r {
+			b.lockWaiters = append(b.lockWaiters[:i], b.lockWaiters[i+1:]...)
+			b.blocked--
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Simulation) goOn(b *backend, r *relay) {
-	b.done += b.rate * (d.now - b.doneAt)
-	b.doneAt = d.now
+// continueWork runs the next part of a command's work.
+func (sim *Simulation) continueWork(b *backend, r *relay) {
+	b.progress += b.rate * (sim.now - b.progressAt)
+	b.progressAt = sim.now
 	parts := 1
-	if v := &d.w.Verbs[r.verb]; b.own != nil && b.tier < len(v.Calls) {
+	if v := &sim.world.Verbs[r.verb]; b.caller != nil && b.tier < len(v.Calls) {
 		parts += v.Calls[b.tier]
 	}
-	r.state, r.need = working, b.done+r.work/float64(parts)
-	heap.Push(&b.jobs, r)
-	d.retake(b)
+	r.state, r.finishProgress = working, b.progress+r.work/float64(parts)
+	heap.Push(&b.running, r)
+	sim.updateRate(b)
 }
 
-// push counts the work that reaches a cold backend, and has it fall where that is too much. Each command counts as the
-// mean of its verb: nobody can know that one is a hundred times as heavy, and one is no crowd.
-func (d *Simulation) push(b *backend, r *relay) {
-	warm, cold := d.warmth(b)
+// countColdWork counts the work that reaches a cold backend, and crashes the backend if it is too much. Each command counts
+// as the mean of its verb: no instance can know that a command is a hundred times heavier, and one command is no overload.
+func (sim *Simulation) countColdWork(b *backend, r *relay) {
+	share, cold := sim.capacityShare(b)
 	if !cold {
 		return
 	}
-	work := d.w.Verbs[r.verb].Work[b.tier]
-	rules, capacity := &d.w.Rules, d.tierOf(b).Cores*b.speed*warm
-	from := r.inst.serial
-	if r.to != b { // it named who was there before: nobody could know
+	work := sim.world.Verbs[r.verb].Work[b.tier]
+	rules, capacity := &sim.world.Rules, sim.tierConfig(b).Cores*b.speed*share
+	from := r.instance.serial
+	if r.target != b { // it was sent to the backend before a takeover: no instance could know
 		from = -1
 	}
-	d.judge.ColdBackendReached(d.now, b.serial, from, work, capacity, b.started)
-	b.recent = append(b.recent, arrived{d.now, work})
-	b.pushed += work
-	for b.recent[0].at < d.now-rules.ColdWindow {
-		b.pushed -= b.recent[0].work
-		b.recent = b.recent[1:]
+	sim.checker.ColdBackendReached(sim.now, b.serial, from, work, capacity, b.startedAt)
+	b.coldArrivals = append(b.coldArrivals, coldArrival{sim.now, work})
+	b.coldWork += work
+	for b.coldArrivals[0].at < sim.now-rules.ColdWindow {
+		b.coldWork -= b.coldArrivals[0].work
+		b.coldArrivals = b.coldArrivals[1:]
 	}
-	if b.pushed > rules.ColdMultiple*capacity*rules.ColdWindow+pushSlack*work {
-		d.die(b, false)
-		d.later(d.now+detect, func() { d.announceGone(b) })
+	if b.coldWork > rules.ColdMultiple*capacity*rules.ColdWindow+coldSlackCommands*work {
+		sim.stopBackend(b, false)
+		sim.schedule(sim.now+deathDetectionSeconds, func() { sim.announceGone(b) })
 	}
 }
 
-// cancelled is word at a backend that nobody waits for a command any more: its connection has closed.
-func (d *Simulation) cancelled(r *relay) {
-	b := r.b
-	r.dropped = true
-	if r.conn != nil {
-		r.conn.hangUp()
-		r.conn = nil
+// handleCancel handles the closing of a command's connection, which reaches the backend and cancels the command.
+func (sim *Simulation) handleCancel(r *relay) {
+	b := r.backend
+	r.cancelled = true
+	if r.connection != nil {
+		r.connection.closeConnection()
+		r.connection = nil
 	}
 	if b == nil {
 		return
 	}
 	switch r.state {
 	case inQueue:
-		if !b.burden.IgnoresCancels {
-			d.unqueue(b, r)
-			d.release(r)
+		if !b.impairment.IgnoresCancels {
+			sim.dequeue(b, r)
+			sim.releaseRelay(r)
 		}
 	case working:
-		if d.tierOf(b).CancelStops && !b.burden.IgnoresCancels {
-			b.done += b.rate * (d.now - b.doneAt)
-			b.doneAt = d.now
-			heap.Remove(&b.jobs, r.index)
-			r.state = over
-			d.letIn(b)
-			d.retake(b)
-			d.release(r)
+		if sim.tierConfig(b).CancelStops && !b.impairment.IgnoresCancels {
+			b.progress += b.rate * (sim.now - b.progressAt)
+			b.progressAt = sim.now
+			heap.Remove(&b.running, r.heapIndex)
+			r.state = relayEnded
+			sim.startQueued(b)
+			sim.updateRate(b)
+			sim.releaseRelay(r)
 		}
 	case locked:
-		if d.tierOf(b).CancelStops && !b.burden.IgnoresCancels && d.unlock(b, r) {
-			r.state = over
-			d.letIn(b)
-			d.release(r)
+		if sim.tierConfig(b).CancelStops && !b.impairment.IgnoresCancels && sim.removeLockWaiter(b, r) {
+			r.state = relayEnded
+			sim.startQueued(b)
+			sim.releaseRelay(r)
 		}
 	case calling:
-		if d.tierOf(b).CancelStops && !b.burden.IgnoresCancels {
-			b.calling--
-			r.state = over
-			d.hangUp(b.own, r.callID)
-			d.letIn(b)
-			d.retake(b)
-			d.release(r)
+		if sim.tierConfig(b).CancelStops && !b.impairment.IgnoresCancels {
+			b.blocked--
+			r.state = relayEnded
+			sim.abandonCall(b.caller, r.callID)
+			sim.startQueued(b)
+			sim.updateRate(b)
+			sim.releaseRelay(r)
 		}
 	}
 }
 
-func (d *Simulation) unqueue(b *backend, r *relay) {
-	for i, x := range b.waiting {
-		if x == r {
-			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+// dequeue removes a command from the backend's queue.
+func (sim *Simulation) dequeue(b *backend, r *relay) {
+	for i, other := range b.queue {
+		if other == r {
+			b.queue = append(b.queue[:i], b.queue[i+1:]...)
 			break
 		}
 	}
-	r.state = over
+	r.state = relayEnded
 }
 
-// die ends a backend's process, or takes its machine off the network without a word.
-func (d *Simulation) die(b *backend, silent bool) {
+// stopBackend ends a backend's process, whose connections are reset, or if silent disconnects its machine from the network.
+func (sim *Simulation) stopBackend(b *backend, silent bool) {
 	if !b.alive {
 		return
 	}
-	held := append([]*relay(nil), b.waiting...)
-	held = append(held, b.jobs...)
-	held = append(held, d.liveRelays(b)...)
-	held = append(held, b.locked...)
-	b.locked = nil
-	b.waiting, b.jobs, b.calling, b.conns, b.recent, b.pushed = nil, nil, 0, 0, nil, 0
-	b.alive, b.rate, b.next = false, 0, math.Inf(1)
+	held := append([]*relay(nil), b.queue...)
+	held = append(held, b.running...)
+	held = append(held, sim.callingRelays(b)...)
+	held = append(held, b.lockWaiters...)
+	b.lockWaiters = nil
+	b.queue, b.running, b.blocked, b.connections, b.coldArrivals, b.coldWork = nil, nil, 0, 0, nil, 0
+	b.alive, b.rate, b.nextFinish = false, 0, math.Inf(1)
 	if silent {
-		b.burden.silent = true
+		b.impairment.silent = true
 	}
-	if b.own != nil {
-		d.kill(b.own)
-		b.own = nil
+	if b.caller != nil {
+		sim.killInstance(b.caller)
+		b.caller = nil
 	}
-	for _, x := range d.instances {
-		if x.alive && x.tier == b.tier && !silent {
-			x.forgetLinks(b)
+	for _, inst := range sim.instances {
+		if inst.alive && inst.tier == b.tier && !silent {
+			inst.dropIdleConnections(b)
 		}
 	}
 	for _, r := range held {
-		r.conn = nil
+		r.connection = nil
 		if silent {
-			d.strand(r)
+			sim.strand(r)
 		} else {
 			r.state = returning
-			d.back(r, balance.Reset)
+			sim.sendToInstance(r, balance.Reset)
 		}
-		d.release(r)
+		sim.releaseRelay(r)
 	}
 }
 
-// liveRelays are those that wait for the next tier, in the order in which they were sent.
-func (d *Simulation) liveRelays(b *backend) []*relay {
+// callingRelays returns the relays at a backend that wait for the next tier, in the order of the calls' slots.
+func (sim *Simulation) callingRelays(b *backend) []*relay {
 	var all []*relay
-	if b.own == nil {
+	if b.caller == nil {
 		return nil
 	}
-	for _, c := range d.commands {
-		if c.inst == b.own && c.parent != nil && !c.done && c.parent.state == calling && c.parent.b == b {
+	for _, c := range sim.commands {
+		if c.instance == b.caller && c.parent != nil && !c.done && c.parent.state == calling && c.parent.backend == b {
 			all = append(all, c.parent)
 		}
 	}
 	return all
 }
 
-// revive starts a backend's process again: cold, under its own name.
-func (d *Simulation) revive(b *backend) {
-	if b.alive || b.gone {
+// restartBackend starts a backend's process again: cold, with the same id.
+func (sim *Simulation) restartBackend(b *backend) {
+	if b.alive || b.retired {
 		return
 	}
-	b.alive, b.burden.silent, b.started, b.doneAt, b.done = true, false, max(d.now, 1e-9), d.now, 0
-	b.conns = 0
-	for _, x := range d.instances {
-		if x.alive && x.tier == b.tier {
-			x.forgetLinks(b)
+	b.alive, b.impairment.silent, b.startedAt, b.progressAt, b.progress = true, false, max(sim.now, 1e-9), sim.now, 0
+	b.connections = 0
+	for _, inst := range sim.instances {
+		if inst.alive && inst.tier == b.tier {
+			inst.dropIdleConnections(b)
 		}
 	}
-	d.unstrand(func(r *relay) bool { return r.b == b })
-	if b.tier+1 < len(d.w.Tiers) && d.tiers[b.tier][b.place] == b {
-		b.own = d.newInstance(b.tier+1, b.place, b.zone)
+	sim.resetStranded(func(r *relay) bool { return r.backend == b })
+	if b.tier+1 < len(sim.world.Tiers) && sim.tierBackends[b.tier][b.position] == b {
+		b.caller = sim.newInstance(b.tier+1, b.position, b.zone)
 	}
-	d.announce(b, balance.Ready)
+	sim.announce(b, balance.Ready)
 }
 
-// replace puts a new backend in the place of one, that one being drained first or not; at its address where takeover.
-func (d *Simulation) replace(b *backend, takeover bool) {
-	if b.gone || d.tiers[b.tier][b.place] != b {
+// replaceBackend replaces a backend by a new one at its position. The old one is drained first; in a takeover it crashes
+// instead, and the new one answers at its address.
+func (sim *Simulation) replaceBackend(b *backend, takeover bool) {
+	if b.retired || sim.tierBackends[b.tier][b.position] != b {
 		return
 	}
 	start := func() {
-		x := d.newBackend(b.tier, b.place, b.speed)
-		x.started = max(d.now, 1e-9)
-		d.tiers[b.tier][b.place] = x
+		replacement := sim.newBackend(b.tier, b.position, b.speed)
+		replacement.startedAt = max(sim.now, 1e-9)
+		sim.tierBackends[b.tier][b.position] = replacement
 		if takeover {
-			b.heir = x
+			b.successor = replacement
 		}
-		if b.tier+1 < len(d.w.Tiers) {
-			x.own = d.newInstance(b.tier+1, b.place, b.zone)
+		if b.tier+1 < len(sim.world.Tiers) {
+			replacement.caller = sim.newInstance(b.tier+1, b.position, b.zone)
 		}
-		d.announce(x, balance.Ready)
+		sim.announce(replacement, balance.Ready)
 	}
 	if takeover {
-		d.die(b, false)
-		b.gone = true
+		sim.stopBackend(b, false)
+		b.retired = true
 		start()
-		d.later(d.now+detect, func() { d.announceGone(b) })
+		sim.schedule(sim.now+deathDetectionSeconds, func() { sim.announceGone(b) })
 		return
 	}
-	d.announce(b, balance.Draining)
-	d.later(d.now+d.w.Rules.DrainTime, func() {
-		d.die(b, false)
-		b.gone = true
-		d.announceGone(b)
+	sim.announce(b, balance.Draining)
+	sim.schedule(sim.now+sim.world.Rules.DrainTime, func() {
+		sim.stopBackend(b, false)
+		b.retired = true
+		sim.announceGone(b)
 		start()
 	})
 }
 
-func (d *Simulation) announceGone(b *backend) {
+// announceGone announces a backend as gone unless it is running again.
+func (sim *Simulation) announceGone(b *backend) {
 	if !b.alive {
-		d.announce(b, balance.Gone)
+		sim.announce(b, balance.Gone)
 	}
 }
 
-// Look is Sight: it shows the true state to the policy that is to be the oracle.
-func (x *instance) BackendState(to balance.BackendID) (open bool, wait, speed, crowd float64) {
-	d := x.d
-	b := d.named(to)
+// BackendState implements TrueState.
+func (inst *instance) BackendState(to balance.BackendID) (open bool, wait, speed, load float64) {
+	sim := inst.sim
+	b := sim.backendByID(to)
 	if b == nil {
 		return false, 0, 0, 0
 	}
-	b = b.occupant()
-	t := d.tierOf(b)
-	warm, _ := d.warmth(b)
-	speed = b.speed * warm * (1 - b.burden.Slow)
-	held := len(b.jobs) + b.calling + len(b.waiting)
-	if !b.alive || b.burden.silent || b.burden.Hang {
+	b = b.atAddress()
+	t := sim.tierConfig(b)
+	share, _ := sim.capacityShare(b)
+	speed = b.speed * share * (1 - b.impairment.Slow)
+	held := len(b.running) + b.blocked + len(b.queue)
+	if !b.alive || b.impairment.silent || b.impairment.Hang {
 		return false, 0, 0, 0
 	}
-	open = speed > 0 && b.burden.Errors+b.burden.Refuse+b.burden.LoseAnswers < 0.5 &&
-		(len(b.waiting) < t.Queue || len(b.jobs)+b.calling < t.Slots)
-	open = open && (float64(b.conns) < float64(t.Connections)*(1-b.burden.TableFull) || x.link(b).idle > 0)
-	open = open && d.passes(x.zone, b.zone) && d.passes(b.zone, x.zone)
+	open = speed > 0 && b.impairment.Errors+b.impairment.Refuse+b.impairment.LoseAnswers < 0.5 &&
+		(len(b.queue) < t.Queue || len(b.running)+b.blocked < t.Slots)
+	open = open && (float64(b.connections) < float64(t.Connections)*(1-b.impairment.TableFull) || inst.pool(b).idle > 0)
+	open = open && sim.reachable(inst.zone, b.zone) && sim.reachable(b.zone, inst.zone)
 	work := 0.0
-	for i := range d.w.Verbs {
-		work += d.w.Verbs[i].Work[b.tier]
+	for i := range sim.world.Verbs {
+		work += sim.world.Verbs[i].Work[b.tier]
 	}
-	work /= float64(len(d.w.Verbs))
+	work /= float64(len(sim.world.Verbs))
 	return open, float64(held) * work / (t.Cores * max(speed, 1e-6)), speed, float64(held) / t.Cores / max(t.OverloadFrom, 1e-6)
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -1,5 +1,5 @@
-// This file owns clients: they come by themselves, in open loop, whatever became of those before, and try again by
-// the rules. It must never hold an arrival back because an instance is slow.
+// Clients. They arrive in open loop and retry as the rules allow. An arrival must never be delayed because an instance is
+// slow.
 
 package emulator
 
@@ -13,45 +13,47 @@
 )
 
 const (
-	step  = 0.1  // seconds for which a rate of arrivals holds at most
-	least = 0.02 // seconds that must be left for another try
+	maxRateSeconds = 0.1  // longest time for which an arrival rate is used
+	minTrySeconds  = 0.02 // least time that must be left for a retry
 )
 
-// answer is what a client gets.
-type answer int32
+// replyKind is what a client receives for a try.
+type replyKind int32
 
 const (
-	answered answer = iota
+	answered replyKind = iota
 	declined
-	failed
-	died      // the connection broke: its instance is no more
-	unreached // no connection came up
-	unheard   // nothing came before the try was given up
+	terminated
+	instanceDied // the connection was reset: its instance was killed
+	unreached    // no connection was established
+	tryTimedOut  // no reply came before the try timed out
 )
 
-// operation is what a client wants done, over all its tries. It lives while an event or a command holds it.
+// operation is what a client wants done, over all its tries. It is reused when no event or command refers to it.
 type operation struct {
-	holds          int
-	id, seed, key  uint64
-	verb, customer int
-	zone           int
-	due, leaves    float64
-	worth          float64
-	counts         bool // it came after the warm-up
-	done           bool
-	tries          int
-	try            uint32 // number of the latest try
-	first          float64
-	tried          float64 // when the latest try was sent
-	command        uint64
-	loss           checker.Loss
-	mayHaveRun     bool // a try that ended without a promise
+	refs            int
+	id, seed, key   uint64
+	verb, customer  int
+	zone            int
+	due, leavesAt   float64
+	utility         float64
+	measured        bool // it is due after the warm-up
+	done            bool
+	tries           int
+	try             uint32 // number of the latest try
+	firstAcceptedAt float64
+	triedAt         float64 // when the latest try was sent
+	command         uint64
+	loss            checker.Loss
+	mayHaveRun      bool // a try ended without a promise that a repeat is harmless
 }
 
-type bucket struct{ tokens, at float64 }
+// tokenBucket measures whether a customer is within its allowance.
+type tokenBucket struct{ tokens, at float64 }
 
-func (b *bucket) take(now, rate, most float64) bool {
-	b.tokens = min(most, b.tokens+rate*(now-b.at))
+// take takes a token if there is one.
+func (b *tokenBucket) take(now, rate, capacity float64) bool {
+	b.tokens = min(capacity, b.tokens+rate*(now-b.at))
 	b.at = now
 	if b.tokens < 1 {
 		return false
@@ -60,342 +62,355 @@
 	return true
 }
 
-// front deals the clients of a zone out among the instances that it believes to be there.
+// front distributes the tries of a zone's clients over the instances that it considers alive, by weight.
 type front struct {
-	all []*instance
-	sum []float64
+	instances         []*instance
+	cumulativeWeights []float64
 }
 
-func (f *front) add(x *instance) {
-	f.all = append(f.all, x)
-	f.total()
+// add adds an instance.
+func (f *front) add(inst *instance) {
+	f.instances = append(f.instances, inst)
+	f.updateWeights()
 }
 
-func (f *front) remove(x *instance) {
-	f.all = slices.DeleteFunc(f.all, func(y *instance) bool { return x == y })
-	f.total()
+// remove removes an instance.
+func (f *front) remove(inst *instance) {
+	f.instances = slices.DeleteFunc(f.instances, func(other *instance) bool { return inst == other })
+	f.updateWeights()
 }
 
-func (f *front) total() {
-	f.sum = f.sum[:0]
-	s := 0.0
-	for _, x := range f.all {
-		s += x.weight
-		f.sum = append(f.sum, s)
+// updateWeights recomputes the cumulative weights.
+func (f *front) updateWeights() {
+	f.cumulativeWeights = f.cumulativeWeights[:0]
+	sum := 0.0
+	for _, inst := range f.instances {
+		sum += inst.weight
+		f.cumulativeWeights = append(f.cumulativeWeights, sum)
 	}
 }
 
+// choose returns the instance for a random number u in [0, 1), or nil if there is none.
 func (f *front) choose(u float64) *instance {
-	if len(f.all) == 0 {
+	if len(f.instances) == 0 {
 		return nil
 	}
-	i, _ := slices.BinarySearch(f.sum, u*f.sum[len(f.sum)-1])
-	return f.all[min(i, len(f.all)-1)]
+	i, _ := slices.BinarySearch(f.cumulativeWeights, u*f.cumulativeWeights[len(f.cumulativeWeights)-1])
+	return f.instances[min(i, len(f.instances)-1)]
 }
 
-// openDoors starts the arrivals of each zone.
-func (d *Simulation) openDoors() {
-	for range d.w.Customers {
-		d.accounts = append(d.accounts, bucket{})
+// startArrivals schedules the first arrival of each zone.
+func (sim *Simulation) startArrivals() {
+	for range sim.world.Customers {
+		sim.allowances = append(sim.allowances, tokenBucket{})
 	}
-	for z := range d.w.Zones {
-		d.arrivals = append(d.arrivals, d.stream("arrivals", z))
-		d.queue.push(onArrival, event{at: d.arrivals[z].Float64() * step, n: uint64(z)})
+	for z := range sim.world.Zones {
+		sim.arrivalRands = append(sim.arrivalRands, sim.randStream("arrivals", z))
+		sim.queue.push(onArrival, event{at: sim.arrivalRands[z].Float64() * maxRateSeconds, number: uint64(z)})
 	}
 }
 
-// rate is how many commands a second come in a zone now, in all and of floods alone.
-func (d *Simulation) rate(zone int) (all, flood float64) {
-	base := d.w.CommandRate() / float64(d.w.Zones)
-	level, shift, gets := 1+d.w.LoadSwing*math.Sin(2*math.Pi*d.now/d.w.SwingPeriod), 1.0, 0.0
-	for i, f := range d.plan {
-		if !d.active[i] {
+// arrivalRate returns the number of commands per second that arrive in a zone now: in total, and from floods alone.
+func (sim *Simulation) arrivalRate(zone int) (all, flood float64) {
+	base := sim.world.CommandRate() / float64(sim.world.Zones)
+	level, staying, shiftedIn := 1+sim.world.LoadSwing*math.Sin(2*math.Pi*sim.now/sim.world.SwingPeriod), 1.0, 0.0
+	for i, f := range sim.plan {
+		if !sim.active[i] {
 			continue
 		}
-		switch hard := f.SeverityAt(d.now); f.Kind {
+		switch severity := f.SeverityAt(sim.now); f.Kind {
 		case faults.LoadBurst:
-			level += hard
+			level += severity
 		case faults.ZoneShift:
 			if f.Zone == zone {
-				gets += hard * float64(d.w.Zones-1)
+				shiftedIn += severity * float64(sim.world.Zones-1)
 			} else {
-				shift *= 1 - hard
+				staying *= 1 - severity
 			}
 		case faults.CustomerFlood:
-			flood += base * hard * d.share(f.Zone)
+			flood += base * severity * sim.customerShare(f.Zone)
 		}
 	}
-	return base*level*(shift+gets) + flood, flood
+	return base*level*(staying+shiftedIn) + flood, flood
 }
 
-func (d *Simulation) share(customer int) float64 {
+// customerShare returns a customer's share of the load.
+func (sim *Simulation) customerShare(customer int) float64 {
 	sum := 0.0
-	for _, c := range d.w.Customers {
+	for _, c := range sim.world.Customers {
 		sum += c.Share
 	}
-	return d.w.Customers[customer].Share / max(sum, 1e-9)
+	return sim.world.Customers[customer].Share / max(sum, 1e-9)
 }
 
-// arrival is one command coming from a zone, or a moment to look at the rate again.
-func (d *Simulation) arrival(zone int) {
-	if d.now >= d.w.Duration {
+// handleArrival schedules the next arrival in a zone, and a new operation for it. If none is due within maxRateSeconds it
+// only schedules itself again, to use the new rate.
+func (sim *Simulation) handleArrival(zone int) {
+	if sim.now >= sim.world.Duration {
 		return
 	}
-	chance := d.arrivals[zone]
-	all, flood := d.rate(zone)
-	gap := chance.ExpFloat64() / max(all, 1e-9)
-	if gap > step { // memoryless: drawing again at the new rate is right
-		d.queue.push(onArrival, event{at: d.now + step, n: uint64(zone), a: 1})
+	random := sim.arrivalRands[zone]
+	all, flood := sim.arrivalRate(zone)
+	gap := random.ExpFloat64() / max(all, 1e-9)
+	if gap > maxRateSeconds { // exponential gaps are memoryless, so drawing again at the new rate is correct
+		sim.queue.push(onArrival, event{at: sim.now + maxRateSeconds, number: uint64(zone), argument: 1})
 		return
 	}
-	at := d.now + gap
-	d.queue.push(onArrival, event{at: at, n: uint64(zone)})
-	if at >= d.w.Duration {
+	at := sim.now + gap
+	sim.queue.push(onArrival, event{at: at, number: uint64(zone)})
+	if at >= sim.world.Duration {
 		return
 	}
-	o := d.newOperation()
-	o.seed, o.zone, o.due = chance.Uint64(), zone, at
-	o.id = d.opsMade
-	o.verb = weighted(draw(o.seed, 10), len(d.w.Verbs), func(i int) float64 { return d.w.Verbs[i].Share })
-	if flood > 0 && draw(o.seed, 11) < flood/all {
-		o.customer = d.flooder(draw(o.seed, 12))
-	} else if len(d.w.Customers) > 0 {
-		o.customer = weighted(draw(o.seed, 13), len(d.w.Customers), func(i int) float64 { return d.w.Customers[i].Share })
-	}
-	if k := d.w.Clients.Keys; k > 0 {
-		o.key = 1 + uint64(float64(k)*math.Pow(draw(o.seed, 14), 2)) // a few are asked for often
-	}
-	o.worth = d.w.Verbs[o.verb].Utility
-	if len(d.w.Customers) > 0 {
-		rate := d.w.Customers[o.customer].Allowance * d.w.CommandRate()
-		if !d.accounts[o.customer].take(at, rate, max(1, rate)) {
-			o.worth *= d.w.Clients.OverageUtility
+	o := sim.newOperation()
+	o.seed, o.zone, o.due = random.Uint64(), zone, at
+	o.id = sim.lastSerial
+	o.verb = weightedIndex(uniform(o.seed, 10), len(sim.world.Verbs), func(i int) float64 { return sim.world.Verbs[i].Share })
+	if flood > 0 && uniform(o.seed, 11) < flood/all {
+		o.customer = sim.floodCustomer(uniform(o.seed, 12))
+	} else if len(sim.world.Customers) > 0 {
+		o.customer = weightedIndex(uniform(o.seed, 13), len(sim.world.Customers),
+			func(i int) float64 { return sim.world.Customers[i].Share })
+	}
+	if k := sim.world.Clients.Keys; k > 0 {
+		o.key = 1 + uint64(float64(k)*math.Pow(uniform(o.seed, 14), 2)) // a few keys are requested often
+	}
+	o.utility = sim.world.Verbs[o.verb].Utility
+	if len(sim.world.Customers) > 0 {
+		rate := sim.world.Customers[o.customer].Allowance * sim.world.CommandRate()
+		if !sim.allowances[o.customer].take(at, rate, max(1, rate)) {
+			o.utility *= sim.world.Clients.OverageUtility
 		}
 	}
-	if o.counts = at >= d.w.Warmup; o.counts {
-		d.judge.OperationRequested(at, o.customer, o.worth)
+	if o.measured = at >= sim.world.Warmup; o.measured {
+		sim.checker.OperationRequested(at, o.customer, o.utility)
 	}
-	o.holds++
-	d.queue.push(onTry, event{at: at, o: o})
-	early := d.w.Clients.EarlyLeaveShare
-	for _, f := range d.during(faults.ClientsLeave) {
+	o.refs++
+	sim.queue.push(onTry, event{at: at, operation: o})
+	early := sim.world.Clients.EarlyLeaveShare
+	for _, f := range sim.activeFaults(faults.ClientsLeave) {
 		early += f.Hard
 	}
-	if draw(o.seed, 15) < early {
-		o.leaves = at + (0.1+0.9*draw(o.seed, 16))*d.w.Verbs[o.verb].Goal
-		o.holds++
-		d.queue.push(onGiveUp, event{at: o.leaves, o: o, a: 1})
+	if uniform(o.seed, 15) < early {
+		o.leavesAt = at + (0.1+0.9*uniform(o.seed, 16))*sim.world.Verbs[o.verb].Goal
+		o.refs++
+		sim.queue.push(onGiveUp, event{at: o.leavesAt, operation: o, argument: 1})
 	}
-	d.drop(o)
+	sim.releaseOperation(o)
 }
 
-func weighted(u float64, n int, of func(int) float64) int {
+// weightedIndex returns the index below n that a number u in [0, 1) selects by weight.
+func weightedIndex(u float64, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
-		sum += of(i)
+		sum += weight(i)
 	}
 	u *= sum
 	for i := range n {
-		if u -= of(i); u < 0 {
+		if u -= weight(i); u < 0 {
 			return i
 		}
 	}
 	return n - 1
 }
 
-// flooder is the customer of a command that a flood has brought.
-func (d *Simulation) flooder(u float64) int {
-	var who []int
-	var hard []float64
-	for _, f := range d.during(faults.CustomerFlood) {
-		who, hard = append(who, f.Zone), append(hard, f.SeverityAt(d.now)*d.share(f.Zone))
+// floodCustomer returns the customer of a command that a flood caused.
+func (sim *Simulation) floodCustomer(u float64) int {
+	var customers []int
+	var rates []float64
+	for _, f := range sim.activeFaults(faults.CustomerFlood) {
+		customers, rates = append(customers, f.Zone), append(rates, f.SeverityAt(sim.now)*sim.customerShare(f.Zone))
 	}
-	return who[weighted(u, len(who), func(i int) float64 { return hard[i] })]
+	return customers[weightedIndex(u, len(customers), func(i int) float64 { return rates[i] })]
 }
 
-func (d *Simulation) newOperation() *operation {
-	d.opsMade++
-	if n := len(d.ops); n > 0 {
-		o := d.ops[n-1]
-		d.ops = d.ops[:n-1]
-		*o = operation{holds: 1}
+// newOperation returns an operation, reused if possible.
+func (sim *Simulation) newOperation() *operation {
+	sim.lastSerial++
+	if n := len(sim.freeOperations); n > 0 {
+		o := sim.freeOperations[n-1]
+		sim.freeOperations = sim.freeOperations[:n-1]
+		*o = operation{refs: 1}
 		return o
 	}
-	return &operation{holds: 1}
+	return &operation{refs: 1}
 }
 
-func (d *Simulation) drop(o *operation) {
-	if o.holds--; o.holds == 0 {
-		d.ops = append(d.ops, o)
+// releaseOperation drops one reference to an operation.
+func (sim *Simulation) releaseOperation(o *operation) {
+	if o.refs--; o.refs == 0 {
+		sim.freeOperations = append(sim.freeOperations, o)
 	}
 }
 
-// client schedules something with an operation.
-func (d *Simulation) client(k kind, at float64, o *operation, a int32, n uint64) {
-	o.holds++
-	d.queue.push(k, event{at: at, o: o, gen: o.try, a: a, n: n})
+// scheduleClient schedules an event of an operation's current try.
+func (sim *Simulation) scheduleClient(k eventKind, at float64, o *operation, argument int32, number uint64) {
+	o.refs++
+	sim.queue.push(k, event{at: at, operation: o, generation: o.try, argument: argument, number: number})
 }
 
-// try sends an operation to an instance, as a new command.
-func (d *Simulation) try(o *operation) {
+// sendTry sends an operation to an instance as a new command.
+func (sim *Simulation) sendTry(o *operation) {
 	if o.done {
 		return
 	}
 	o.try++
 	o.tries++
-	o.tried = d.now
-	x := d.fronts[o.zone].choose(d.clientChance.Float64())
-	for z := 1; x == nil && z < len(d.fronts); z++ { // a zone without any goes to the next that has some
-		x = d.fronts[(o.zone+z)%len(d.fronts)].choose(d.clientChance.Float64())
+	o.triedAt = sim.now
+	inst := sim.fronts[o.zone].choose(sim.clientRand.Float64())
+	for z := 1; inst == nil && z < len(sim.fronts); z++ { // without instances in its zone it goes to the next zone that has some
+		inst = sim.fronts[(o.zone+z)%len(sim.fronts)].choose(sim.clientRand.Float64())
 	}
-	if x == nil {
+	if inst == nil {
 		o.loss = checker.Loss{Cause: checker.Unreached}
-		d.client(onReply, d.now+d.w.Net.Client, o, int32(unreached), 0)
+		sim.scheduleClient(onReply, sim.now+sim.world.Net.Client, o, int32(unreached), 0)
 		return
 	}
-	v := &d.w.Verbs[o.verb]
-	at := min(d.now+d.w.Clients.TryShare*v.Limit, o.due+v.Limit)
-	d.client(onAccept, d.now+d.w.Net.Client, o, int32(x.serial), 0)
-	d.client(onGiveUp, at+2*d.w.Net.Client+d.w.Rules.AnswerSlack, o, 0, 0)
+	v := &sim.world.Verbs[o.verb]
+	at := min(sim.now+sim.world.Clients.TryShare*v.Limit, o.due+v.Limit)
+	sim.scheduleClient(onAccept, sim.now+sim.world.Net.Client, o, int32(inst.serial), 0)
+	sim.scheduleClient(onGiveUp, at+2*sim.world.Net.Client+sim.world.Rules.AnswerSlack, o, 0, 0)
 }
 
-// accept is a try at its instance.
-func (d *Simulation) accept(o *operation, try uint32, x *instance) {
+// handleAccept handles a try that reaches its instance.
+func (sim *Simulation) handleAccept(o *operation, try uint32, inst *instance) {
 	if o.done || o.try != try {
 		return
 	}
-	if !x.alive {
+	if !inst.alive {
 		o.loss = checker.Loss{Cause: checker.Unreached}
-		d.client(onReply, d.now+d.w.Net.Client, o, int32(unreached), 0)
+		sim.scheduleClient(onReply, sim.now+sim.world.Net.Client, o, int32(unreached), 0)
 		return
 	}
-	v := &d.w.Verbs[o.verb]
-	sent := o.tried
-	c := d.newCommand(x)
-	c.verb, c.customer, c.op, c.try, c.opID = o.verb, o.customer, o, try, o.id
+	v := &sim.world.Verbs[o.verb]
+	sent := o.triedAt
+	c := sim.newCommand(inst)
+	c.verb, c.customer, c.operation, c.try, c.operationID = o.verb, o.customer, o, try, o.id
 	c.seed, c.key = o.seed, o.key
-	c.expires = max(d.now, min(sent+d.w.Clients.TryShare*v.Limit, o.due+v.Limit))
-	if o.first == 0 {
-		o.first = d.now
+	c.expires = max(sim.now, min(sent+sim.world.Clients.TryShare*v.Limit, o.due+v.Limit))
+	if o.firstAcceptedAt == 0 {
+		o.firstAcceptedAt = sim.now
 	}
-	o.holds++
+	o.refs++
 	o.command = c.id
-	d.take(c)
+	sim.acceptCommand(c)
 }
 
-// answerClient sends a final answer on its way to the client.
-func (d *Simulation) answerClient(c *command, a answer, comeBack float64) {
-	o := c.op
-	o.holds++
-	d.queue.push(onReply, event{at: d.now + d.w.Net.Client, o: o, gen: c.try, a: int32(a), n: uint64(1000 * comeBack)})
+// sendReply sends a final answer to the client.
+func (sim *Simulation) sendReply(c *command, kind replyKind, retryAfter float64) {
+	o := c.operation
+	o.refs++
+	sim.queue.push(onReply, event{at: sim.now + sim.world.Net.Client, operation: o, generation: c.try, argument: int32(kind),
+		number: uint64(1000 * retryAfter)})
 }
 
-// reply is an answer at the client. That of a try which was given up crosses the next one, and is not read.
-func (d *Simulation) reply(o *operation, try uint32, a answer, comeBack float64) {
+// handleReply handles a reply that reaches the client. A reply to a try that has timed out is ignored.
+func (sim *Simulation) handleReply(o *operation, try uint32, kind replyKind, retryAfter float64) {
 	if o.done || o.try != try {
 		return
 	}
-	v := &d.w.Verbs[o.verb]
-	if a == answered {
+	v := &sim.world.Verbs[o.verb]
+	if kind == answered {
 		o.done = true
-		if !o.counts {
+		if !o.measured {
 			return
 		}
-		worth := o.worth
-		if d.now-o.due > v.Goal {
-			worth *= v.LateShare
-			d.judge.OperationLost(o.loss, o.worth-worth)
+		utility := o.utility
+		if sim.now-o.due > v.Goal {
+			utility *= v.LateShare
+			sim.checker.OperationLost(o.loss, o.utility-utility)
 		}
-		d.judge.OperationAnswered(o.due, d.now, o.customer, worth)
+		sim.checker.OperationAnswered(o.due, sim.now, o.customer, utility)
 		return
 	}
-	d.again(o, a, comeBack)
+	sim.retry(o, kind, retryAfter)
 }
 
-// giveUp ends a try that had no answer, or the whole where the client leaves early.
-func (d *Simulation) giveUp(o *operation, try uint32, leaves bool) {
-	if o.done || !leaves && o.try != try {
+// handleGiveUp ends a try that had no reply, or the operation if the client disconnects early.
+func (sim *Simulation) handleGiveUp(o *operation, try uint32, disconnects bool) {
+	if o.done || !disconnects && o.try != try {
 		return
 	}
-	if c := d.command(o.command); c != nil && c.op == o && !c.done {
-		if o.loss = d.where(c); leaves {
+	if c := sim.command(o.command); c != nil && c.operation == o && !c.done {
+		if o.loss = sim.commandLoss(c); disconnects {
 			o.loss.Cause = checker.ClientLeft
 		} else {
 			o.loss.Cause = checker.TimedOut
 		}
-		if c.inst.alive && leaves {
-			d.hangUp(c.inst, c.id)
+		if c.instance.alive && disconnects {
+			sim.abandonCall(c.instance, c.id)
 		}
 	}
-	if leaves {
+	if disconnects {
 		o.loss.Cause = checker.ClientLeft
-		d.end(o)
+		sim.endOperation(o)
 		return
 	}
-	d.again(o, unheard, 0)
+	sim.retry(o, tryTimedOut, 0)
 }
 
-// again has the client try once more, if the rules and its patience let it.
-func (d *Simulation) again(o *operation, a answer, comeBack float64) {
-	v, w := &d.verbs[o.verb], &d.w.Clients
-	most, backoff := w.Retries, w.RetryBackoff*math.Pow(2, float64(o.tries-1))*(0.5+draw(o.seed, uint64(20+o.tries)))
-	for _, f := range d.during(faults.RetryStorm) {
-		most += int(math.Ceil(f.Hard))
+// retry schedules another try if the rules, the number of retries and the remaining time allow it.
+func (sim *Simulation) retry(o *operation, kind replyKind, retryAfter float64) {
+	v, w := &sim.verbs[o.verb], &sim.world.Clients
+	maxRetries, backoff := w.Retries, w.RetryBackoff*math.Pow(2, float64(o.tries-1))*(0.5+uniform(o.seed, uint64(20+o.tries)))
+	for _, f := range sim.activeFaults(faults.RetryStorm) {
+		maxRetries += int(math.Ceil(f.Hard))
 		backoff /= 1 + f.Hard
 	}
-	o.mayHaveRun = o.mayHaveRun || a == failed || a == died || a == unheard
+	o.mayHaveRun = o.mayHaveRun || kind == terminated || kind == instanceDied || kind == tryTimedOut
 	allowed := v.Effect == balance.Pure || !o.mayHaveRun ||
-		v.Effect == balance.Receipted && v.Scope == balance.ScopeAll && d.now < o.first+v.DedupWindow
-	if a == declined && draw(o.seed, uint64(40+o.tries)) < w.RetryAfterShare {
-		backoff = max(backoff, comeBack)
+		v.Effect == balance.Receipted && v.Scope == balance.ScopeAll && sim.now < o.firstAcceptedAt+v.DedupWindow
+	if kind == declined && uniform(o.seed, uint64(40+o.tries)) < w.RetryAfterShare {
+		backoff = max(backoff, retryAfter)
 	}
-	if !allowed || o.tries > most || d.now+backoff+least > o.due+v.TimeLimit {
-		d.end(o)
+	if !allowed || o.tries > maxRetries || sim.now+backoff+minTrySeconds > o.due+v.TimeLimit {
+		sim.endOperation(o)
 		return
 	}
-	o.try++ // an answer to the last one that still comes is not read
-	d.client(onTry, d.now+backoff, o, 0, 0)
+	o.try++ // a late reply to the previous try is ignored
+	sim.scheduleClient(onTry, sim.now+backoff, o, 0, 0)
 }
 
-func (d *Simulation) end(o *operation) {
+// endOperation ends an operation that was not answered.
+func (sim *Simulation) endOperation(o *operation) {
 	o.done = true
-	if o.counts {
-		d.judge.OperationLost(o.loss, o.worth)
+	if o.measured {
+		sim.checker.OperationLost(o.loss, o.utility)
 	}
 }
 
-// Arrival is one operation as its client wants it, for a world that is played elsewhere.
+// Arrival is one operation of a client, for load that is generated outside the emulator.
 type Arrival struct {
 	Due            float64
 	Zone           int
 	Verb, Customer int
 	Seed, Key      uint64
 	Utility        float64
-	Measured       bool    // it comes after the warm-up
-	LeavesAt       float64 // when its client leaves early, 0 if it does not
+	Measured       bool    // it is due after the warm-up
+	LeavesAt       float64 // when its client disconnects early, 0 if it does not
 }
 
-// Arrivals are all operations of a day in the order in which they are due: the very ones that Run plays.
+// Arrivals returns all operations of a run in the order in which they are due: the same ones that Run simulates.
 func Arrivals(w World, plan faults.Plan, seed uint64) []Arrival {
-	d := &Simulation{w: w, plan: plan, seed: seed, active: make([]bool, len(plan)), judge: checker.New(checker.Config{Duration: w.Duration})}
+	sim := &Simulation{world: w, plan: plan, seed: seed, active: make([]bool, len(plan)),
+		checker: checker.New(checker.Config{Duration: w.Duration})}
 	for i, f := range plan {
-		d.queue.push(onFault, event{at: f.From, n: uint64(i), a: 1})
-		d.queue.push(onFault, event{at: f.From + f.For, n: uint64(i)})
+		sim.queue.push(onFault, event{at: f.From, number: uint64(i), argument: 1})
+		sim.queue.push(onFault, event{at: f.From + f.For, number: uint64(i)})
 	}
-	d.openDoors()
+	sim.startArrivals()
 	var all []Arrival
-	for len(d.queue.all) > 0 {
-		e := d.queue.pop()
-		d.now = e.at
+	for len(sim.queue.events) > 0 {
+		e := sim.queue.pop()
+		sim.now = e.at
 		switch e.kind() {
 		case onFault:
-			d.active[e.n] = e.a == 1
+			sim.active[e.number] = e.argument == 1
 		case onArrival:
-			d.arrival(int(e.n))
+			sim.handleArrival(int(e.number))
 		case onTry:
-			o := e.o
+			o := e.operation
 			all = append(all, Arrival{Due: o.due, Zone: o.zone, Verb: o.verb, Customer: o.customer, Seed: o.seed, Key: o.key,
-				Utility: o.worth, Measured: o.counts, LeavesAt: o.leaves})
+				Utility: o.utility, Measured: o.measured, LeavesAt: o.leavesAt})
 		}
 	}
 	return all
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -1,4 +1,5 @@
-// This file owns what instances are told of backends, and when. It must never be right before its time.
+// Discovery: what instances are informed of backends, and when. An instance must never be informed of a change before its
+// delay has passed.
 
 package emulator
 
@@ -7,183 +8,188 @@
 	"sandpass/internal/faults"
 )
 
-// change is a line of a tier's history.
-type change struct {
-	at      float64
-	b       *backend
-	state   balance.State
-	started float64
+// backendChange is an entry of a tier's change log.
+type backendChange struct {
+	at        float64
+	backend   *backend
+	state     balance.State
+	startedAt float64
 }
 
-func (d *Simulation) entry(c change) balance.Entry {
-	e := balance.Entry{ID: c.b.id, Zone: c.b.zone, Cell: c.b.cell, State: c.state, Capacity: c.b.size, StartedAt: c.started}
-	if c.started > 0 {
-		e.StartedAt = max(1e-9, c.started+d.drift(c.b))
+// entry returns a change as it is sent to instances.
+func (sim *Simulation) entry(c backendChange) balance.Entry {
+	e := balance.Entry{ID: c.backend.id, Zone: c.backend.zone, Cell: c.backend.cell, State: c.state,
+		Capacity: c.backend.nominalCapacity, StartedAt: c.startedAt}
+	if c.startedAt > 0 {
+		e.StartedAt = max(1e-9, c.startedAt+sim.startTimeError(c.backend))
 	}
 	return e
 }
 
-// drift is by how much a backend's start is told wrong.
-func (d *Simulation) drift(b *backend) (off float64) {
-	for _, f := range d.during(faults.StartTimeError) {
+// startTimeError returns the error in seconds of a backend's listed start time.
+func (sim *Simulation) startTimeError(b *backend) (seconds float64) {
+	for _, f := range sim.activeFaults(faults.StartTimeError) {
 		if f.Tier != b.tier {
 			continue
 		}
-		if u := draw(f.Seed, uint64(b.serial)); u < f.Share {
-			off -= f.Hard
+		if u := uniform(f.Seed, uint64(b.serial)); u < f.Share {
+			seconds -= f.Hard
 		} else if u > 1-f.Share {
-			off += f.Hard
+			seconds += f.Hard
 		}
 	}
-	return off
+	return seconds
 }
 
-// announce lets discovery know; each instance hears of it when its time has come.
-func (d *Simulation) announce(b *backend, state balance.State) {
-	d.logs[b.tier] = append(d.logs[b.tier], change{d.now, b, state, b.started})
-	d.tellAll(b.tier, false)
+// announce records a change of a backend at discovery. Each instance is informed after its own delay.
+func (sim *Simulation) announce(b *backend, state balance.State) {
+	sim.changeLogs[b.tier] = append(sim.changeLogs[b.tier], backendChange{sim.now, b, state, b.startedAt})
+	sim.notifyAll(b.tier, false)
 }
 
-func (d *Simulation) tellAll(tier int, whole bool) {
-	for _, x := range d.places[tier] {
-		if x != nil && x.alive {
-			x.whole = x.whole || whole
-			d.soon(x)
+// notifyAll schedules an update of all instances of a tier.
+func (sim *Simulation) notifyAll(tier int, whole bool) {
+	for _, inst := range sim.tierInstances[tier] {
+		if inst != nil && inst.alive {
+			inst.nextUpdateWhole = inst.nextUpdateWhole || whole
+			sim.scheduleUpdate(inst)
 		}
 	}
 }
 
-// soon asks for word to an instance after the usual lag.
-func (d *Simulation) soon(x *instance) {
-	if x.due || !x.watching {
+// scheduleUpdate schedules an update of an instance after the usual delay.
+func (sim *Simulation) scheduleUpdate(inst *instance) {
+	if inst.updatePending || !inst.watching {
 		return
 	}
-	x.due = true
-	lag := d.w.Discovery.Lag
-	at := d.now + lag[0] + (lag[1]-lag[0])*d.listChance.Float64()
-	for _, f := range d.during(faults.DiscoveryLag) {
+	inst.updatePending = true
+	lag := sim.world.Discovery.Lag
+	at := sim.now + lag[0] + (lag[1]-lag[0])*sim.discoveryRand.Float64()
+	for _, f := range sim.activeFaults(faults.DiscoveryLag) {
 		at += f.Hard
 	}
-	d.queue.push(onList, event{at: at, n: uint64(x.serial)})
+	sim.queue.push(onUpdate, event{at: at, number: uint64(inst.serial)})
 }
 
-// inForce is the end of a fault of the kind that is in force, or 0.
-func (d *Simulation) inForce(k faults.Kind) (until float64, f faults.Fault) {
-	for _, x := range d.during(k) {
-		if x.From+x.For > until {
-			until, f = x.From+x.For, x
+// activeFault returns the active fault of a kind that ends last, and its end, or 0 if none is active.
+func (sim *Simulation) activeFault(k faults.Kind) (until float64, f faults.Fault) {
+	for _, candidate := range sim.activeFaults(k) {
+		if candidate.From+candidate.For > until {
+			until, f = candidate.From+candidate.For, candidate
 		}
 	}
 	return until, f
 }
 
-// list is the time for an instance to hear what changed.
-func (d *Simulation) list(x *instance) {
-	x.due = false
-	if !x.alive || !x.watching {
+// handleUpdate sends an instance its scheduled update, or postpones it while discovery is silent.
+func (sim *Simulation) handleUpdate(inst *instance) {
+	inst.updatePending = false
+	if !inst.alive || !inst.watching {
 		return
 	}
-	if until, _ := d.inForce(faults.DiscoverySilent); until > d.now {
-		x.due = true
-		d.queue.push(onList, event{at: until + d.listChance.Float64()*d.w.Discovery.Lag[1], n: uint64(x.serial)})
+	if until, _ := sim.activeFault(faults.DiscoverySilent); until > sim.now {
+		inst.updatePending = true
+		sim.queue.push(onUpdate, event{at: until + sim.discoveryRand.Float64()*sim.world.Discovery.Lag[1],
+			number: uint64(inst.serial)})
 		return
 	}
-	d.tell(x)
+	sim.sendUpdate(inst)
 }
 
-// tell gives an instance what discovery has for it now.
-func (d *Simulation) tell(x *instance) {
-	log := d.logs[x.tier]
-	upTo, whole := len(log), x.whole
-	if until, f := d.inForce(faults.DiscoverySilent); until > d.now { // only an instance that starts: it has an old list
+// sendUpdate sends an instance the current state of discovery: a whole list, or the changes since its last update.
+func (sim *Simulation) sendUpdate(inst *instance) {
+	log := sim.changeLogs[inst.tier]
+	upTo, whole := len(log), inst.nextUpdateWhole
+	// Only an instance that starts gets here during a DiscoverySilent. It receives the list from before the fault.
+	if until, f := sim.activeFault(faults.DiscoverySilent); until > sim.now {
 		for upTo > 0 && log[upTo-1].at > f.From {
 			upTo--
 		}
 	}
-	if until, f := d.inForce(faults.DiscoveryStale); until > 0 {
+	if until, f := sim.activeFault(faults.DiscoveryStale); until > 0 {
 		whole = true
-		for upTo > 0 && log[upTo-1].at > max(0, d.now-f.Hard) {
+		for upTo > 0 && log[upTo-1].at > max(0, sim.now-f.Hard) {
 			upTo--
 		}
 	}
 	var entries []balance.Entry
-	var starts []float64 // the true ones
+	var starts []float64 // the true start times
 	if whole {
-		// The latest of each, in the order in which they first came; what is gone is left out.
+		// The latest change of each backend, in the order of the log, without those that are gone.
 		latest := map[int]int{}
 		for i, c := range log[:upTo] {
-			latest[c.b.serial] = i
+			latest[c.backend.serial] = i
 		}
-		until, f := d.inForce(faults.DiscoveryPartial)
+		until, f := sim.activeFault(faults.DiscoveryPartial)
 		for i, c := range log[:upTo] {
-			if latest[c.b.serial] != i || c.state == balance.Gone {
+			if latest[c.backend.serial] != i || c.state == balance.Gone {
 				continue
 			}
-			if until > 0 && f.Tier == x.tier && draw(f.Seed, uint64(c.b.serial)) < f.Hard {
+			if until > 0 && f.Tier == inst.tier && uniform(f.Seed, uint64(c.backend.serial)) < f.Hard {
 				continue
 			}
-			entries, starts = append(entries, d.entry(c)), append(starts, c.started)
+			entries, starts = append(entries, sim.entry(c)), append(starts, c.startedAt)
 		}
-		d.listedWhole(x, entries)
+		sim.reportUnlisted(inst, entries)
 	} else {
-		for _, c := range log[min(x.at, upTo):upTo] {
-			entries, starts = append(entries, d.entry(c)), append(starts, c.started)
+		for _, c := range log[min(inst.logPosition, upTo):upTo] {
+			entries, starts = append(entries, sim.entry(c)), append(starts, c.startedAt)
 		}
 	}
-	x.at, x.whole = upTo, false
+	inst.logPosition, inst.nextUpdateWhole = upTo, false
 	for i, e := range entries {
-		d.judge.BackendUpdateReceived(d.now, x.serial, d.named(e.ID).serial, e.State == balance.Ready, starts[i])
+		sim.checker.BackendUpdateReceived(sim.now, inst.serial, sim.backendByID(e.ID).serial, e.State == balance.Ready, starts[i])
 	}
 	if len(entries) > 0 || whole {
-		x.policy.UpdateBackends(d.now, whole, entries)
+		inst.policy.UpdateBackends(sim.now, whole, entries)
 	}
 }
 
-// listedWhole tells the judge of those that a whole list leaves out: that is word that they are gone.
-func (d *Simulation) listedWhole(x *instance, entries []balance.Entry) {
-	named := make([]bool, len(d.backends))
+// reportUnlisted reports to the checker the backends that a whole list omits, which means that they are gone.
+func (sim *Simulation) reportUnlisted(inst *instance, entries []balance.Entry) {
+	listed := make([]bool, len(sim.backends))
 	for _, e := range entries {
-		named[d.named(e.ID).serial] = true
+		listed[sim.backendByID(e.ID).serial] = true
 	}
-	for _, b := range d.backends[1:] {
-		if b.tier == x.tier && !named[b.serial] {
-			d.judge.BackendUpdateReceived(d.now, x.serial, b.serial, false, 0)
+	for _, b := range sim.backends[1:] {
+		if b.tier == inst.tier && !listed[b.serial] {
+			sim.checker.BackendUpdateReceived(sim.now, inst.serial, b.serial, false, 0)
 		}
 	}
 }
 
-// Watch is the policy's word: where discovery must be asked, a call that costs it work and may fail.
-func (x *instance) WatchBackends() {
-	d := x.d
-	if !d.w.Discovery.OnRequest {
+// WatchBackends implements balance.Host. If discovery works on request, it is a call that takes time and may fail.
+func (inst *instance) WatchBackends() {
+	sim := inst.sim
+	if !sim.world.Discovery.OnRequest {
 		return
 	}
-	x.watching = false
-	d.judge.ListRequested(d.now, x.serial)
-	until, _ := d.inForce(faults.DiscoverySilent)
-	if until > d.now || d.busyList > d.now+queued {
-		d.later(d.now+silence, func() {
-			if x.alive {
-				x.policy.BackendListFailed(d.now)
+	inst.watching = false
+	sim.checker.ListRequested(sim.now, inst.serial)
+	until, _ := sim.activeFault(faults.DiscoverySilent)
+	if until > sim.now || sim.discoveryBusyUntil > sim.now+maxDiscoveryQueueSeconds {
+		sim.schedule(sim.now+discoveryTimeoutSeconds, func() {
+			if inst.alive {
+				inst.policy.BackendListFailed(sim.now)
 			}
 		})
 		return
 	}
-	d.busyList = max(d.busyList, d.now) + 1/d.w.Discovery.MaxCallRate
-	d.later(d.busyList+d.w.Net.SameZone, func() {
-		if x.alive && !x.watching {
-			x.watching, x.whole = true, true
-			d.tell(x)
+	sim.discoveryBusyUntil = max(sim.discoveryBusyUntil, sim.now) + 1/sim.world.Discovery.MaxCallRate
+	sim.schedule(sim.discoveryBusyUntil+sim.world.Net.SameZone, func() {
+		if inst.alive && !inst.watching {
+			inst.watching, inst.nextUpdateWhole = true, true
+			sim.sendUpdate(inst)
 		}
 	})
 }
 
-// breakWatches ends all subscriptions, as a discovery does that goes down.
-func (d *Simulation) breakWatches() {
-	for _, x := range d.instances {
-		if x.alive && x.watching && d.w.Discovery.OnRequest {
-			x.watching = false
-			x.policy.BackendListFailed(d.now)
+// breakWatches ends all subscriptions, as a discovery service that goes down does.
+func (sim *Simulation) breakWatches() {
+	for _, inst := range sim.instances {
+		if inst.alive && inst.watching && sim.world.Discovery.OnRequest {
+			inst.watching = false
+			inst.policy.BackendListFailed(sim.now)
 		}
 	}
 }
--- a/internal/emulator/events.go
+++ b/internal/emulator/events.go
@@ -1,75 +1,81 @@
-// This file owns the order of events. It must never know what one means.
+// The order of events. Nothing here may depend on what an event means.
 
 package emulator
 
-// kind of an event. At one instant lower kinds come first, and of one kind those that were asked for first: troubles
-// before what they hit, answers before the limits that they beat, limits before what clients do next.
-type kind uint8
+// eventKind is the kind of an event. At equal times lower kinds come first, and events of one kind come in the order in
+// which they were scheduled: faults before what they affect, answers before the limits that they meet, and limits before
+// what clients do next.
+type eventKind uint8
 
 const (
-	onFault   kind = iota // n: number of the fault, a: 1 when it comes, 0 when it ends, 2 while it ramps
-	onLife                // r: none; n: what is to be done
-	onList                // n: instance
-	onRefresh             // n: backend
-	onFinish              // n: backend
-	onConnect             // r: reaches its backend with a new connection
-	onArrive              // r: reaches its backend
-	onAnswer              // r: its outcome reaches its instance
-	onCalled              // r: the call that its work made has ended; a: 1 if answered
-	onCancel              // r: word that nobody waits any more reaches its backend
-	onNote                // n: number of a message
-	onTimer               // n: token; a: instance
-	onLimit               // n: command
-	onAccept              // o: a try reaches its instance
-	onReply               // o: an answer reaches the client
-	onGiveUp              // o: the client gives up its try
-	onTry                 // o: the client tries again
-	onIdle                // a: instance, n: backend
-	onArrival             // n: number of the zone
+	onFault     eventKind = iota // number: of the fault; argument: 1 at its start, 0 at its end, 2 while it changes
+	onCallback                   // number: of the callback
+	onUpdate                     // number: of the instance
+	onRefresh                    // number: of the backend
+	onFinish                     // number: of the backend
+	onConnect                    // relay: its new connection reaches the backend
+	onArrive                     // relay: reaches its backend
+	onAnswer                     // relay: its outcome reaches its instance; generation 1: it was cancelled
+	onCallEnded                  // relay: a call of its work has ended; number: of the call; argument: 1 if answered
+	onCancel                     // relay: its cancellation reaches its backend
+	onMessage                    // number: of the message
+	onTimer                      // number: token; argument: instance
+	onLimit                      // number: id of the command
+	onAccept                     // operation: a try reaches its instance; argument: instance
+	onReply                      // operation: a reply reaches the client; argument: replyKind; number: retry delay in ms
+	onGiveUp                     // operation: the client gives up; argument: 1 if it disconnects
+	onTry                        // operation: the client sends a try
+	onIdle                       // argument: instance; number: backend
+	onArrival                    // number: of the zone
 )
 
-// event is one thing to come. Of r and o only the one that gen belongs to still is what was meant.
+// event is a scheduled event. An operation may have started another try since; generation is the try that is meant.
 type event struct {
-	at   float64
-	rank uint64 // kind, then a count
-	n    uint64
-	r    *relay
-	o    *operation
-	a    int32
-	gen  uint32
+	at         float64
+	order      uint64 // the kind in the highest 8 bits, then a counter
+	number     uint64
+	relay      *relay
+	operation  *operation
+	argument   int32
+	generation uint32
 }
 
-func (e *event) kind() kind { return kind(e.rank >> 56) }
+// kind returns the event's kind.
+func (e *event) kind() eventKind { return eventKind(e.order >> 56) }
 
-func (e *event) before(f *event) bool { return e.at < f.at || e.at == f.at && e.rank < f.rank }
+// before tells whether the event comes before another one.
+func (e *event) before(f *event) bool { return e.at < f.at || e.at == f.at && e.order < f.order }
 
-// queue is a heap of events, four to a knot: half as deep as one of two, and most of a knot lies in one line of cache.
-type queue struct {
-	all  []event
-	made uint64
+// eventQueue is a heap with four children per node: it is half as deep as a binary heap, and most children of a node share
+// a cache line.
+type eventQueue struct {
+	events []event
+	pushed uint64
 }
 
-func (q *queue) push(k kind, e event) {
-	q.made++
-	e.rank = uint64(k)<<56 | q.made
-	q.all = append(q.all, e)
-	i := len(q.all) - 1
+// push schedules an event of a kind.
+func (q *eventQueue) push(k eventKind, e event) {
+	q.pushed++
+	e.order = uint64(k)<<56 | q.pushed
+	q.events = append(q.events, e)
+	i := len(q.events) - 1
 	for i > 0 {
 		up := (i - 1) / 4
-		if !e.before(&q.all[up]) {
+		if !e.before(&q.events[up]) {
 			break
 		}
-		q.all[i] = q.all[up]
+		q.events[i] = q.events[up]
 		i = up
 	}
-	q.all[i] = e
+	q.events[i] = e
 }
 
-func (q *queue) pop() event {
-	first, n := q.all[0], len(q.all)-1
-	e := q.all[n]
-	q.all[n] = event{}
-	q.all = q.all[:n]
+// pop removes and returns the first event.
+func (q *eventQueue) pop() event {
+	first, n := q.events[0], len(q.events)-1
+	e := q.events[n]
+	q.events[n] = event{}
+	q.events = q.events[:n]
 	i := 0
 	for {
 		down := 4*i + 1
@@ -78,18 +84,18 @@
 		}
 		least := down
 		for k := down + 1; k < min(down+4, n); k++ {
-			if q.all[k].before(&q.all[least]) {
+			if q.events[k].before(&q.events[least]) {
 				least = k
 			}
 		}
-		if !q.all[least].before(&e) {
+		if !q.events[least].before(&e) {
 			break
 		}
-		q.all[i] = q.all[least]
+		q.events[i] = q.events[least]
 		i = least
 	}
 	if n > 0 {
-		q.all[i] = e
+		q.events[i] = e
 	}
 	return first
 }
--- a/internal/emulator/instances.go
+++ b/internal/emulator/instances.go
@@ -1,5 +1,5 @@
-// This file owns instances and the commands that they hold: it is the Host that a policy speaks to, and it keeps the
-// world's word towards it. It must never decide for a policy, nor call one from within its own call.
+// Instances and their commands. An instance implements balance.Host for its policy. It must never decide for the policy, nor
+// call the policy from within one of the policy's own calls.
 
 package emulator
 
@@ -9,574 +9,590 @@
 	"sandpass/internal/faults"
 )
 
-// closing marks the event that forgets a command which its policy has just ended.
-const closing = 1 << 63
+// forgetFlag marks an onLimit event that releases a command which its policy has just ended.
+const forgetFlag = 1 << 63
 
-// instance is one running policy. A restart makes a new one.
+// instance is one running policy. A restart creates a new instance.
 type instance struct {
-	d                      *Simulation
-	serial, tier, me, zone int
-	weight                 float64
-	alive, watching        bool
-	still                  float64 // stands still until then
-	policy                 Policy
-	links                  []link // by backend
-	at                     int    // place in its tier's log up to which it was told
-	due                    bool   // word is under way
-	whole                  bool   // the next word is a whole list
-	reading                int    // places held by answers that clients read
-	unread                 []*relay
-}
-
-// command is one that an instance took and has to answer.
+	sim                          *Simulation
+	serial, tier, position, zone int
+	weight                       float64
+	alive, watching              bool
+	stalledUntil                 float64 // it is stalled until then
+	policy                       Policy
+	pools                        []connectionPool // by the backend's serial
+	logPosition                  int              // number of entries of its tier's change log that it has received
+	updatePending                bool             // an update is scheduled
+	nextUpdateWhole              bool             // the next update is a whole list
+	answersBeingRead             int              // number of answers that clients are reading
+	unreadAnswers                []*relay
+}
+
+// command is a command that an instance received and must answer.
 type command struct {
-	id              uint64
-	slot            uint32
-	age             uint32
-	inst            *instance
-	verb, customer  int
-	op              *operation // of the client, in the first tier
-	try             uint32
-	parent          *relay // whose work it is a part of, in the others
-	opID, seed, key uint64
-	came, expires   float64
-	done            bool
-	out             int
-	relays          []*relay
-}
-
-func (d *Simulation) newInstance(tier, me, zone int) *instance {
-	x := &instance{d: d, serial: len(d.instances), tier: tier, me: me, zone: zone, weight: 1, alive: true, watching: true}
-	d.instances = append(d.instances, x)
-	d.places[tier][me] = x
-	x.policy = d.maker(x, x, MixSeeds(d.seed, uint64(x.serial)), d.now)
+	id                     uint64
+	slot                   uint32
+	generation             uint32
+	instance               *instance
+	verb, customer         int
+	operation              *operation // of the client, in the first tier
+	try                    uint32
+	parent                 *relay // the relay whose work made the call, in the other tiers
+	operationID, seed, key uint64
+	receivedAt, expires    float64
+	done                   bool
+	pendingRelays          int
+	relays                 []*relay
+}
+
+// newInstance starts an instance at a position of a tier and sends it the backend list.
+func (sim *Simulation) newInstance(tier, position, zone int) *instance {
+	inst := &instance{sim: sim, serial: len(sim.instances), tier: tier, position: position, zone: zone, weight: 1, alive: true,
+		watching: true}
+	sim.instances = append(sim.instances, inst)
+	sim.tierInstances[tier][position] = inst
+	inst.policy = sim.newPolicy(inst, inst, MixSeeds(sim.seed, uint64(inst.serial)), sim.now)
 	var customers []balance.Customer
 	if tier == 0 {
-		rate := d.w.CommandRate()
-		for _, c := range d.w.Customers {
+		rate := sim.world.CommandRate()
+		for _, c := range sim.world.Customers {
 			customers = append(customers, balance.Customer{Allowance: c.Allowance * rate, PreviousIndex: -1})
 		}
 	}
-	r := &d.w.Rules
-	x.policy.Configure(d.now, d.w.Tick, balance.Placement{Index: me, Instances: len(d.places[tier]), Tier: tier, Zone: zone}, d.verbs,
-		customers, d.w.Clients.OverageUtility, d.limits, balance.ColdStart{InitialCapacity: r.ColdShare, WarmUp: r.WarmUp, OverloadMultiple: r.ColdMultiple, StartError: r.StartTimeError},
-		d.w.Discovery.OnRequest)
-	x.whole = true
-	d.tell(x)
-	return x
+	r := &sim.world.Rules
+	inst.policy.Configure(sim.now, sim.world.Tick,
+		balance.Placement{Index: position, Instances: len(sim.tierInstances[tier]), Tier: tier, Zone: zone},
+		sim.verbs, customers, sim.world.Clients.OverageUtility, sim.limits,
+		balance.ColdStart{InitialCapacity: r.ColdShare, WarmUp: r.WarmUp, OverloadMultiple: r.ColdMultiple,
+			StartError: r.StartTimeError},
+		sim.world.Discovery.OnRequest)
+	inst.nextUpdateWhole = true
+	sim.sendUpdate(inst)
+	return inst
 }
 
-// kill ends an instance at once. What it held is its clients' affair.
-func (d *Simulation) kill(x *instance) {
-	if !x.alive {
+// killInstance ends an instance at once. The clients of its commands get a reset.
+func (sim *Simulation) killInstance(inst *instance) {
+	if !inst.alive {
 		return
 	}
-	x.alive = false
-	d.judge.InstanceKilled(x.serial)
-	if x.tier == 0 {
-		d.later(d.now+d.w.Clients.DeathDetection, func() { d.fronts[x.zone].remove(x) })
+	inst.alive = false
+	sim.checker.InstanceKilled(inst.serial)
+	if inst.tier == 0 {
+		sim.schedule(sim.now+sim.world.Clients.DeathDetection, func() { sim.fronts[inst.zone].remove(inst) })
 	}
-	for _, c := range d.commands {
-		if c.inst != x || c.id == 0 {
+	for _, c := range sim.commands {
+		if c.instance != inst || c.id == 0 {
 			continue
 		}
-		if !c.done && c.op != nil {
-			d.lose(c, checker.InstanceDied)
-			d.answerClient(c, died, 0)
+		if !c.done && c.operation != nil {
+			sim.recordLoss(c, checker.InstanceDied)
+			sim.sendReply(c, instanceDied, 0)
 		}
 		c.done = true
 		for _, r := range c.relays {
-			if !r.told {
-				r.told = true
-				d.closeConn(r)
+			if !r.reported {
+				r.reported = true
+				sim.closeConnection(r)
 			}
 		}
-		c.out = 0
-		d.forget(c)
+		c.pendingRelays = 0
+		sim.releaseCommand(c)
 	}
-	for serial, l := range x.links {
-		if b := d.backends[serial]; b != nil && l.idle > 0 && b.alive {
-			b.conns = max(0, b.conns-l.idle)
+	for serial, pool := range inst.pools {
+		if b := sim.backends[serial]; b != nil && pool.idle > 0 && b.alive {
+			b.connections = max(0, b.connections-pool.idle)
 		}
 	}
-	x.links = nil
+	inst.pools = nil
 }
 
-func (d *Simulation) newCommand(x *instance) *command {
+// newCommand returns a command of an instance, reused if possible, with a new id.
+func (sim *Simulation) newCommand(inst *instance) *command {
 	var c *command
-	if n := len(d.free); n > 0 {
-		c = d.commands[d.free[n-1]]
-		d.free = d.free[:n-1]
-		*c = command{slot: c.slot, age: c.age, relays: c.relays[:0]}
+	if n := len(sim.freeCommands); n > 0 {
+		c = sim.commands[sim.freeCommands[n-1]]
+		sim.freeCommands = sim.freeCommands[:n-1]
+		*c = command{slot: c.slot, generation: c.generation, relays: c.relays[:0]}
 	} else {
-		c = &command{slot: uint32(len(d.commands))}
-		d.commands = append(d.commands, c)
+		c = &command{slot: uint32(len(sim.commands))}
+		sim.commands = append(sim.commands, c)
 	}
-	c.age++
-	c.id, c.inst, c.came = uint64(c.age)<<32|uint64(c.slot), x, d.now
+	c.generation++
+	c.id, c.instance, c.receivedAt = uint64(c.generation)<<32|uint64(c.slot), inst, sim.now
 	return c
 }
 
-// command by its id, or nil if it is no more.
-func (d *Simulation) command(id uint64) *command {
+// command returns the command with an id, or nil if it has been released.
+func (sim *Simulation) command(id uint64) *command {
 	slot := uint32(id)
-	if int(slot) >= len(d.commands) || d.commands[slot].id != id {
+	if int(slot) >= len(sim.commands) || sim.commands[slot].id != id {
 		return nil
 	}
-	return d.commands[slot]
+	return sim.commands[slot]
 }
 
-func (d *Simulation) forget(c *command) {
-	if !c.done || c.out > 0 {
+// releaseCommand recycles a command that is done and has no relay pending.
+func (sim *Simulation) releaseCommand(c *command) {
+	if !c.done || c.pendingRelays > 0 {
 		return
 	}
 	for i, r := range c.relays {
 		c.relays[i] = nil
-		d.release(r)
+		sim.releaseRelay(r)
 	}
-	if c.op != nil {
-		d.drop(c.op)
+	if c.operation != nil {
+		sim.releaseOperation(c.operation)
 	}
 	if c.parent != nil {
-		d.release(c.parent)
+		sim.releaseRelay(c.parent)
 	}
-	c.id, c.op, c.parent, c.inst = 0, nil, nil, nil
-	d.free = append(d.free, c.slot)
+	c.id, c.operation, c.parent, c.instance = 0, nil, nil, nil
+	sim.freeCommands = append(sim.freeCommands, c.slot)
 }
 
-// take hands a command to its instance.
-func (d *Simulation) take(c *command) {
-	v := &d.verbs[c.verb]
-	d.judge.CommandAccepted(d.now, checker.Command{ID: c.id, Operation: c.opID, Instance: c.inst.serial, Expires: c.expires,
-		Effect: checker.Effect(v.Effect), Scope: checker.Scope(v.Scope), DedupWindow: v.DedupWindow})
-	d.queue.push(onLimit, event{at: c.expires, n: c.id})
-	c.inst.policy.CommandReceived(d.now, c.id, c.verb, c.customer, c.expires-d.skew(c.inst), c.key)
+// acceptCommand passes a command to its instance's policy.
+func (sim *Simulation) acceptCommand(c *command) {
+	v := &sim.verbs[c.verb]
+	sim.checker.CommandAccepted(sim.now, checker.Command{ID: c.id, Operation: c.operationID, Instance: c.instance.serial,
+		Expires: c.expires, Effect: checker.Effect(v.Effect), Scope: checker.Scope(v.Scope), DedupWindow: v.DedupWindow})
+	sim.queue.push(onLimit, event{at: c.expires, number: c.id})
+	c.instance.policy.CommandReceived(sim.now, c.id, c.verb, c.customer, c.expires-sim.deadlineSkew(c.instance), c.key)
 }
 
-// skew is by how much an instance is told limits too short.
-func (d *Simulation) skew(x *instance) (off float64) {
-	for _, f := range d.during(faults.DeadlineSkew) {
-		if x.tier == f.Tier && draw(f.Seed, uint64(x.me)) < f.Share {
-			off = max(off, f.Hard)
+// deadlineSkew returns the seconds by which the limits reported to an instance are too short.
+func (sim *Simulation) deadlineSkew(inst *instance) (seconds float64) {
+	for _, f := range sim.activeFaults(faults.DeadlineSkew) {
+		if inst.tier == f.Tier && uniform(f.Seed, uint64(inst.position)) < f.Share {
+			seconds = max(seconds, f.Hard)
 		}
 	}
-	return off
+	return seconds
 }
 
-// call is a backend's work asking the next tier.
-func (d *Simulation) call(b *backend, r *relay) {
-	c := d.newCommand(b.own)
-	c.verb, c.parent, c.opID = r.verb, r, c.id
-	c.seed, c.key, c.expires = MixSeeds(r.seed, uint64(r.calls)), r.key, r.expires
-	r.holds++
+// callNextTier makes a call of a backend's work to the next tier.
+func (sim *Simulation) callNextTier(b *backend, r *relay) {
+	c := sim.newCommand(b.caller)
+	c.verb, c.parent, c.operationID = r.verb, r, c.id
+	c.seed, c.key, c.expires = MixSeeds(r.seed, uint64(r.callsMade)), r.key, r.expires
+	r.refs++
 	r.callID = c.id
-	d.take(c)
+	sim.acceptCommand(c)
 }
 
-// called tells a backend's work what became of its call.
-func (d *Simulation) called(r *relay, id uint64, answered bool) {
+// handleCallEnded continues a backend's work after its call was answered, or fails it.
+func (sim *Simulation) handleCallEnded(r *relay, id uint64, answered bool) {
 	if r.state != calling || r.callID != id {
 		return
 	}
-	b := r.b
-	b.calling--
+	b := r.backend
+	b.blocked--
 	if answered {
-		d.goOn(b, r)
+		sim.continueWork(b, r)
 		return
 	}
-	d.leave(b, r, balance.Errored)
-	d.retake(b)
+	sim.leaveBackend(b, r, balance.Errored)
+	sim.updateRate(b)
 }
 
-// hangUp takes a call back whose caller is no longer interested.
-func (d *Simulation) hangUp(x *instance, id uint64) {
-	c := d.command(id)
-	if x == nil || !x.alive || c == nil || c.done {
+// abandonCall tells an instance that the client or caller of a command has disconnected.
+func (sim *Simulation) abandonCall(inst *instance, id uint64) {
+	c := sim.command(id)
+	if inst == nil || !inst.alive || c == nil || c.done {
 		return
 	}
-	if x.still > d.now {
-		d.later(x.still, func() { d.hangUp(x, id) })
+	if inst.stalledUntil > sim.now {
+		sim.schedule(inst.stalledUntil, func() { sim.abandonCall(inst, id) })
 		return
 	}
 	c.done = true
-	d.judge.ClientDisconnected(id)
-	x.policy.ClientDisconnected(d.now, id)
-	d.forget(c)
+	sim.checker.ClientDisconnected(id)
+	inst.policy.ClientDisconnected(sim.now, id)
+	sim.releaseCommand(c)
 }
 
-// limit is a command's time limit: what is still out has timed out.
-func (d *Simulation) limit(id uint64) {
-	if id&closing != 0 {
-		if c := d.command(id &^ closing); c != nil {
-			d.forget(c)
+// handleDeadline handles a command's time limit: pending relays have timed out.
+func (sim *Simulation) handleDeadline(id uint64) {
+	if id&forgetFlag != 0 {
+		if c := sim.command(id &^ forgetFlag); c != nil {
+			sim.releaseCommand(c)
 		}
 		return
 	}
-	c := d.command(id)
+	c := sim.command(id)
 	if c == nil {
 		return
 	}
-	x := c.inst
+	inst := c.instance
 	for n := 0; n < len(c.relays) && c.id == id; n++ {
-		if r := c.relays[n]; !r.told {
-			r.told = true
-			r.blame, r.blamed = d.at(r), true
-			d.closeConn(r)
-			d.closeBook(r)
-			d.outcome(x, c, r, balance.TimedOut)
+		if r := c.relays[n]; !r.reported {
+			r.reported = true
+			r.loss, r.lossKnown = sim.pendingRelayLoss(r), true
+			sim.closeConnection(r)
+			sim.finishReading(r)
+			sim.reportOutcome(inst, c, r, balance.TimedOut)
 		}
 	}
 }
 
-// answer is an outcome at the instance.
-func (d *Simulation) answer(r *relay, cancel bool) {
-	if r.told || !cancel && r.result == balance.Answered && d.read(r) {
+// deliverOutcome handles the outcome or the cancellation of a relay at the instance.
+func (sim *Simulation) deliverOutcome(r *relay, cancel bool) {
+	if r.reported || !cancel && r.result == balance.Answered && sim.startReading(r) {
 		return
 	}
-	r.told = true
+	r.reported = true
 	if cancel {
-		d.closeBook(r)
+		sim.finishReading(r)
 	}
 	result := r.result
 	switch {
 	case cancel:
 		result = balance.Cancelled
-		r.blame, r.blamed = d.at(r), true
-		d.closeConn(r)
+		r.loss, r.lossKnown = sim.pendingRelayLoss(r), true
+		sim.closeConnection(r)
 	case result == balance.Answered || result == balance.Errored || result == balance.Full:
-		r.state = over
-		if r.inst.alive {
-			d.rest(r)
+		r.state = relayEnded
+		if r.instance.alive {
+			sim.returnConnection(r)
 		}
 	default:
-		r.state = over
-		if r.conn != nil {
-			r.conn.hangUp()
-			r.conn = nil
+		r.state = relayEnded
+		if r.connection != nil {
+			r.connection.closeConnection()
+			r.connection = nil
 		}
 	}
-	if c := d.command(r.command); c != nil && r.inst.alive {
-		d.outcome(r.inst, c, r, result)
+	if c := sim.command(r.command); c != nil && r.instance.alive {
+		sim.reportOutcome(r.instance, c, r, result)
 	}
 }
 
-// read has a client read an answer where that takes it long: it holds one of its instance's places, and while all are
-// taken every answer waits. It tells whether the answer has to wait.
-func (d *Simulation) read(r *relay) bool {
-	x, c := r.inst, d.command(r.command)
-	if x.tier > 0 || d.w.Rules.AnswerSlots == 0 || c == nil || c.done || !x.alive || r.read {
+// startReading has a slow client read an answer, which occupies one of its instance's answer slots. While all slots are in
+// use every answer waits. It tells whether the answer must wait.
+func (sim *Simulation) startReading(r *relay) bool {
+	inst, c := r.instance, sim.command(r.command)
+	if inst.tier > 0 || sim.world.Rules.AnswerSlots == 0 || c == nil || c.done || !inst.alive || r.readingChecked {
 		return false
 	}
-	if x.reading >= d.w.Rules.AnswerSlots {
-		r.holds++
-		x.unread = append(x.unread, r)
+	if inst.answersBeingRead >= sim.world.Rules.AnswerSlots {
+		r.refs++
+		inst.unreadAnswers = append(inst.unreadAnswers, r)
 		return true
 	}
-	long := 0.0
-	for _, f := range d.during(faults.SlowReaders) {
-		if draw(c.seed, 20) < f.Share {
-			long = max(long, f.Hard)
+	readSeconds := 0.0
+	for _, f := range sim.activeFaults(faults.SlowReaders) {
+		if uniform(c.seed, 20) < f.Share {
+			readSeconds = max(readSeconds, f.Hard)
 		}
 	}
-	if r.read = true; long == 0 {
+	if r.readingChecked = true; readSeconds == 0 {
 		return false
 	}
-	x.reading++
-	r.reads = true
-	r.holds++
-	d.later(d.now+long, func() {
-		if d.closeBook(r) && !r.told {
-			d.answer(r, false)
+	inst.answersBeingRead++
+	r.beingRead = true
+	r.refs++
+	sim.schedule(sim.now+readSeconds, func() {
+		if sim.finishReading(r) && !r.reported {
+			sim.deliverOutcome(r, false)
 		}
-		d.release(r)
+		sim.releaseRelay(r)
 	})
 	return true
 }
 
-// closeBook frees the place of an answer that has been read, or that nobody waits for any more.
-func (d *Simulation) closeBook(r *relay) bool {
-	if !r.reads {
+// finishReading frees the slot of an answer that has been read or is not wanted any more.
+func (sim *Simulation) finishReading(r *relay) bool {
+	if !r.beingRead {
 		return false
 	}
-	x := r.inst
-	r.reads = false
-	x.reading--
-	for len(x.unread) > 0 && x.alive && x.reading < d.w.Rules.AnswerSlots {
-		next := x.unread[0]
-		x.unread = x.unread[1:]
-		if !next.told {
-			d.answer(next, false)
+	inst := r.instance
+	r.beingRead = false
+	inst.answersBeingRead--
+	for len(inst.unreadAnswers) > 0 && inst.alive && inst.answersBeingRead < sim.world.Rules.AnswerSlots {
+		next := inst.unreadAnswers[0]
+		inst.unreadAnswers = inst.unreadAnswers[1:]
+		if !next.reported {
+			sim.deliverOutcome(next, false)
 		}
-		d.release(next)
+		sim.releaseRelay(next)
 	}
 	return true
 }
 
-func (b *backend) hangUp() { b.conns = max(0, b.conns-1) }
+// closeConnection removes one connection from the connection table.
+func (b *backend) closeConnection() { b.connections = max(0, b.connections-1) }
 
-// outcome is told to the policy.
-func (d *Simulation) outcome(x *instance, c *command, r *relay, result balance.Result) {
+// reportOutcome reports a relay's outcome to the checker and the policy.
+func (sim *Simulation) reportOutcome(inst *instance, c *command, r *relay, result balance.Result) {
 	r.result = result
-	c.out--
-	d.judge.RelayEnded(c.id, r.n, result.NeverRan())
+	c.pendingRelays--
+	sim.checker.RelayEnded(c.id, r.number, result.NeverRan())
 	final := c.done
 	if result == balance.Answered && !c.done {
 		final = true
-		d.judge.CommandEnded(d.now, c.id, false, true, r.made)
-		d.finish(c, answered, 0, d.slowest(c, r))
+		sim.checker.CommandEnded(sim.now, c.id, false, true, r.executed)
+		sim.completeCommand(c, answered, 0, sim.slowestPhase(c, r))
 	}
-	x.policy.RelayEnded(d.now, c.id, r.n, result, d.now-r.sent, final, balance.LoadReport{Active: -1, Waiting: -1, CPU: -1, Latency: -1})
-	d.forget(c)
+	inst.policy.RelayEnded(sim.now, c.id, r.number, result, sim.now-r.sentAt, final,
+		balance.LoadReport{Active: -1, Waiting: -1, CPU: -1, Latency: -1})
+	sim.releaseCommand(c)
 }
 
-// finish passes the final answer on to who waits for it.
-func (d *Simulation) finish(c *command, a answer, comeBack float64, l checker.Loss) {
+// completeCommand passes the final answer on to the calling relay or the client.
+func (sim *Simulation) completeCommand(c *command, kind replyKind, retryAfter float64, loss checker.Loss) {
 	c.done = true
 	if c.parent != nil {
-		if a != answered {
-			c.parent.blame, c.parent.blamed = l, true
+		if kind != answered {
+			c.parent.loss, c.parent.lossKnown = loss, true
 		}
 		ok := int32(0)
-		if a == answered {
+		if kind == answered {
 			ok = 1
 		}
-		c.parent.holds++
-		d.queue.push(onCalled, event{at: d.now, r: c.parent, n: c.id, a: ok})
+		c.parent.refs++
+		sim.queue.push(onCallEnded, event{at: sim.now, relay: c.parent, number: c.id, argument: ok})
 		return
 	}
-	if c.try == c.op.try {
-		c.op.loss = l
+	if c.try == c.operation.try {
+		c.operation.loss = loss
 	}
-	if a == declined && len(c.relays) == 0 && d.now-c.came > (c.expires-c.came)/2 && c.op.counts {
-		d.judge.DeclinedLate(c.op.worth)
+	if kind == declined && len(c.relays) == 0 && sim.now-c.receivedAt > (c.expires-c.receivedAt)/2 && c.operation.measured {
+		sim.checker.DeclinedLate(c.operation.utility)
 	}
-	d.answerClient(c, a, comeBack)
+	sim.sendReply(c, kind, retryAfter)
 }
 
-func (d *Simulation) lose(c *command, how checker.LossCause) {
-	if c.try == c.op.try {
-		l := d.where(c)
-		l.Cause = how
-		c.op.loss = l
+// recordLoss records the place and cause of a command's loss at its operation, if it is the operation's current try.
+func (sim *Simulation) recordLoss(c *command, cause checker.LossCause) {
+	if c.try == c.operation.try {
+		loss := sim.commandLoss(c)
+		loss.Cause = cause
+		c.operation.loss = loss
 	}
 }
 
-// ---- Host
+// ---- balance.Host
 
-// Relay is the policy's word.
-func (x *instance) Relay(id uint64, to balance.BackendID) {
-	d := x.d
-	b, c := d.named(to), d.command(id)
-	if b == nil || c == nil || c.inst != x {
-		d.judge.RelaySent(d.now, id, -1, -1, -1, false)
+// Relay implements balance.Host.
+func (inst *instance) Relay(id uint64, to balance.BackendID) {
+	sim := inst.sim
+	b, c := sim.backendByID(to), sim.command(id)
+	if b == nil || c == nil || c.instance != inst {
+		sim.checker.RelaySent(sim.now, id, -1, -1, -1, false)
 		return
 	}
-	d.judge.RelaySent(d.now, id, b.serial, b.zone, b.cell, b.zone != x.zone)
-	r := d.newRelay()
-	d.opsMade++
-	r.holds, r.serial, r.command, r.n, r.inst, r.to = 1, d.opsMade, id, len(c.relays), x, b
-	r.op, r.seed, r.verb, r.sent, r.key, r.expires = c.opID, c.seed, c.verb, d.now, c.key, c.expires
-	r.work = DrawWork(&d.w.Verbs[c.verb], c.seed, x.tier)
+	sim.checker.RelaySent(sim.now, id, b.serial, b.zone, b.cell, b.zone != inst.zone)
+	r := sim.newRelay()
+	sim.lastSerial++
+	r.refs, r.serial, r.command, r.number, r.instance, r.target = 1, sim.lastSerial, id, len(c.relays), inst, b
+	r.operationID, r.seed, r.verb, r.sentAt, r.key, r.expires = c.operationID, c.seed, c.verb, sim.now, c.key, c.expires
+	r.work = DrawWork(&sim.world.Verbs[c.verb], c.seed, inst.tier)
 	c.relays = append(c.relays, r)
-	c.out++
-	if c.done || len(c.relays) > d.w.Rules.MaxRelays || d.now >= c.expires {
-		r.state = over
-		d.answerAt(r, d.now, balance.NotSent)
+	c.pendingRelays++
+	if c.done || len(c.relays) > sim.world.Rules.MaxRelays || sim.now >= c.expires {
+		r.state = relayEnded
+		sim.scheduleOutcome(r, sim.now, balance.NotSent)
 		return
 	}
-	if l := x.link(b); l.idle > 0 {
-		l.idle--
-		r.conn = b
-		if d.reaped(l) {
-			d.answerAt(r, d.now+d.way(x.zone, b.zone)+d.way(b.zone, x.zone), balance.Reset)
+	if pool := inst.pool(b); pool.idle > 0 {
+		pool.idle--
+		r.connection = b
+		if sim.idleReset(pool) {
+			sim.scheduleOutcome(r, sim.now+sim.delay(inst.zone, b.zone)+sim.delay(b.zone, inst.zone), balance.Reset)
 			return
 		}
-		d.forth(r, onArrive, 1)
+		sim.sendToBackend(r, onArrive, 1)
 		return
 	}
 	r.state = connecting
-	d.judge.ConnectionOpened(d.now, b.serial)
-	d.forth(r, onConnect, 1)
+	sim.checker.ConnectionOpened(sim.now, b.serial)
+	sim.sendToBackend(r, onConnect, 1)
 }
 
-// Cancel is the policy's word.
-func (x *instance) Cancel(id uint64, n int) {
-	c := x.d.command(id)
-	if c == nil || n < 0 || n >= len(c.relays) || c.relays[n].told {
+// Cancel implements balance.Host.
+func (inst *instance) Cancel(id uint64, n int) {
+	c := inst.sim.command(id)
+	if c == nil || n < 0 || n >= len(c.relays) || c.relays[n].reported {
 		return
 	}
 	r := c.relays[n]
-	r.holds++
-	x.d.queue.push(onAnswer, event{at: x.d.now, r: r, gen: 1})
+	r.refs++
+	inst.sim.queue.push(onAnswer, event{at: inst.sim.now, relay: r, generation: 1})
 }
 
-// Decline is the policy's word.
-func (x *instance) Decline(id uint64, comeBack float64) { x.no(id, declined, comeBack) }
+// Decline implements balance.Host.
+func (inst *instance) Decline(id uint64, retryAfter float64) {
+	inst.endCommand(id, declined, retryAfter)
+}
 
-// Terminate is the policy's word.
-func (x *instance) Terminate(id uint64) { x.no(id, failed, 0) }
+// Terminate implements balance.Host.
+func (inst *instance) Terminate(id uint64) { inst.endCommand(id, terminated, 0) }
 
-func (x *instance) no(id uint64, a answer, comeBack float64) {
-	d := x.d
-	c := d.command(id)
-	if c == nil || c.done || c.inst != x {
+// endCommand ends a command with a final answer that carries no result.
+func (inst *instance) endCommand(id uint64, kind replyKind, retryAfter float64) {
+	sim := inst.sim
+	c := sim.command(id)
+	if c == nil || c.done || c.instance != inst {
 		return
 	}
-	d.judge.CommandEnded(d.now, id, a == declined, false, false)
-	l := d.where(c)
+	sim.checker.CommandEnded(sim.now, id, kind == declined, false, false)
+	loss := sim.commandLoss(c)
 	switch {
-	case a == declined:
-		l.Cause = checker.Declined
-	case d.now >= c.expires-2*d.w.Tick:
-		l.Cause = checker.TimedOut
+	case kind == declined:
+		loss.Cause = checker.Declined
+	case sim.now >= c.expires-2*sim.world.Tick:
+		loss.Cause = checker.TimedOut
 	default:
-		l.Cause = checker.Terminated
+		loss.Cause = checker.Terminated
 	}
-	d.finish(c, a, comeBack, l)
-	if c.out == 0 {
-		// Not from within the policy's call: it may go on to speak of this command.
-		d.queue.push(onLimit, event{at: d.now, n: closing | c.id})
+	sim.completeCommand(c, kind, retryAfter, loss)
+	if c.pendingRelays == 0 {
+		// Released by an event and not within the policy's call, which may still refer to this command.
+		sim.queue.push(onLimit, event{at: sim.now, number: forgetFlag | c.id})
 	}
 }
 
-// WakeAfter is the policy's word.
-func (x *instance) StartTimer(seconds float64, token uint64) {
-	x.d.queue.push(onTimer, event{at: x.d.now + max(0, seconds), n: token, a: int32(x.serial)})
+// StartTimer implements balance.Host.
+func (inst *instance) StartTimer(seconds float64, token uint64) {
+	inst.sim.queue.push(onTimer, event{at: inst.sim.now + max(0, seconds), number: token, argument: int32(inst.serial)})
 }
 
-// Tell is the policy's word.
-func (x *instance) SendToPeer(to int, text []byte) {
-	d := x.d
-	d.judge.MessageSent()
-	if to < 0 || to >= len(d.places[x.tier]) || len(text) > 256 {
+// SendToPeer implements balance.Host.
+func (inst *instance) SendToPeer(to int, message []byte) {
+	sim := inst.sim
+	sim.checker.MessageSent()
+	if to < 0 || to >= len(sim.tierInstances[inst.tier]) || len(message) > 256 {
 		return
 	}
-	y := d.places[x.tier][to]
-	if y == nil || !d.passes(x.zone, y.zone) {
+	peer := sim.tierInstances[inst.tier][to]
+	if peer == nil || !sim.reachable(inst.zone, peer.zone) {
 		return
 	}
-	at := d.way(x.zone, y.zone)
-	if at >= d.w.Net.RetransmitDelay { // a datagram that is lost does not come again
+	at := sim.delay(inst.zone, peer.zone)
+	if at >= sim.world.Net.RetransmitDelay { // a lost datagram is not retransmitted
 		return
 	}
-	if _, f := d.inForce(faults.ReorderMessages); f.Hard > 0 {
-		if d.netChance.Float64() < f.SeverityAt(d.now) {
-			d.carryNote(x, y, text, at+muddled*d.netChance.Float64()) // as well
+	if _, f := sim.activeFault(faults.ReorderMessages); f.Hard > 0 {
+		if sim.networkRand.Float64() < f.SeverityAt(sim.now) {
+			sim.scheduleMessage(inst, peer, message, at+reorderDelaySeconds*sim.networkRand.Float64()) // a duplicate
 		}
-		if d.netChance.Float64() < f.SeverityAt(d.now) {
-			at += muddled
+		if sim.networkRand.Float64() < f.SeverityAt(sim.now) {
+			at += reorderDelaySeconds
 		}
 	}
-	d.carryNote(x, y, text, at)
+	sim.scheduleMessage(inst, peer, message, at)
 }
 
-const muddled = 0.02 // seconds by which a message comes later that lets others pass
+const reorderDelaySeconds = 0.02 // added delay of a message that others overtake
 
-// carryNote has a message arrive after a while.
-func (d *Simulation) carryNote(x, y *instance, text []byte, after float64) {
-	n := len(d.notes)
-	if k := len(d.spare); k > 0 {
-		n, d.spare = d.spare[k-1], d.spare[:k-1]
+// scheduleMessage schedules the arrival of a message.
+func (sim *Simulation) scheduleMessage(inst, peer *instance, message []byte, after float64) {
+	n := len(sim.messages)
+	if k := len(sim.freeMessages); k > 0 {
+		n, sim.freeMessages = sim.freeMessages[k-1], sim.freeMessages[:k-1]
 	} else {
-		d.notes, d.noteTo = append(d.notes, nil), append(d.noteTo, noteWay{})
+		sim.messages, sim.messageRoutes = append(sim.messages, nil), append(sim.messageRoutes, messageRoute{})
 	}
-	d.notes[n] = append(d.notes[n][:0], text...)
-	d.noteTo[n] = noteWay{x.me, y}
-	d.queue.push(onNote, event{at: d.now + after, n: uint64(n)})
+	sim.messages[n] = append(sim.messages[n][:0], message...)
+	sim.messageRoutes[n] = messageRoute{inst.position, peer}
+	sim.queue.push(onMessage, event{at: sim.now + after, number: uint64(n)})
 }
 
-type noteWay struct {
-	from int
-	to   *instance
+// messageRoute is the sender's position and the receiver of a message.
+type messageRoute struct {
+	fromPosition int
+	to           *instance
 }
 
-func (d *Simulation) noted(n int) {
-	w := d.noteTo[n]
-	if w.to.alive {
-		w.to.policy.MessageReceived(d.now, w.from, d.notes[n])
+// handleMessage delivers a message that arrives.
+func (sim *Simulation) handleMessage(n int) {
+	route := sim.messageRoutes[n]
+	if route.to.alive {
+		route.to.policy.MessageReceived(sim.now, route.fromPosition, sim.messages[n])
 	}
-	d.spare = append(d.spare, n)
+	sim.freeMessages = append(sim.freeMessages, n)
 }
 
-// ---- Where a command is, or was lost.
+// ---- Cause and place of losses
 
-func (d *Simulation) where(c *command) checker.Loss {
-	l := checker.Loss{Place: checker.Instance, Tier: c.inst.tier}
+// commandLoss returns the place where a command is, or was lost.
+func (sim *Simulation) commandLoss(c *command) checker.Loss {
+	loss := checker.Loss{Place: checker.Instance, Tier: c.instance.tier}
 	if len(c.relays) == 0 {
-		return l
+		return loss
 	}
 	last := c.relays[len(c.relays)-1]
 	for _, r := range c.relays {
-		if !r.told {
+		if !r.reported {
 			last = r
 		}
 	}
-	if !last.told {
-		return d.at(last)
+	if !last.reported {
+		return sim.pendingRelayLoss(last)
 	}
-	return d.because(last)
+	return sim.endedRelayLoss(last)
 }
 
-// at is where a relay that is out is just now.
-func (d *Simulation) at(r *relay) checker.Loss {
-	l := checker.Loss{Tier: r.to.tier}
+// pendingRelayLoss returns the place where a pending relay is now.
+func (sim *Simulation) pendingRelayLoss(r *relay) checker.Loss {
+	loss := checker.Loss{Tier: r.target.tier}
 	switch r.state {
 	case connecting:
-		l.Place = checker.Connecting
+		loss.Place = checker.Connecting
 	case inQueue:
-		l.Place = checker.Queue
+		loss.Place = checker.Queue
 	case working:
-		if l.Place = checker.Work; r.b.burden.Hang {
-			l.Place = checker.Hung
+		if loss.Place = checker.Work; r.backend.impairment.Hang {
+			loss.Place = checker.Hung
 		}
 	case calling:
-		if c := d.command(r.callID); c != nil {
-			return d.where(c)
+		if c := sim.command(r.callID); c != nil {
+			return sim.commandLoss(c)
 		}
-		l.Place = checker.Work
+		loss.Place = checker.Work
 	case stranded:
-		if l.Place = checker.Hung; r.cut {
-			l.Place = checker.Network
+		if loss.Place = checker.Hung; r.partitioned {
+			loss.Place = checker.Network
 		}
 	default:
-		l.Place = checker.Network
+		loss.Place = checker.Network
 	}
-	return l
+	return loss
 }
 
-// because is why a relay that has ended did not answer.
-func (d *Simulation) because(r *relay) checker.Loss {
-	if r.blamed {
-		return r.blame
+// endedRelayLoss returns the place at which a relay that has ended without an answer failed.
+func (sim *Simulation) endedRelayLoss(r *relay) checker.Loss {
+	if r.lossKnown {
+		return r.loss
 	}
-	l := checker.Loss{Tier: r.to.tier}
+	loss := checker.Loss{Tier: r.target.tier}
 	switch r.result {
 	case balance.Full:
-		l.Place = checker.Refused
+		loss.Place = checker.Refused
 	case balance.ConnectFailed:
-		l.Place = checker.Connecting
+		loss.Place = checker.Connecting
 	case balance.Errored:
-		l.Place = checker.BackendFailed
+		loss.Place = checker.BackendFailed
 	default:
-		l.Place = checker.Network
+		loss.Place = checker.Network
 	}
-	return l
+	return loss
 }
 
-// slowest is where a command that was answered by r spent the most of its time.
-func (d *Simulation) slowest(c *command, r *relay) checker.Loss {
-	l := checker.Loss{Cause: checker.Late, Place: checker.Instance, Tier: c.inst.tier}
-	most := r.sent - c.came
-	for _, x := range []struct {
+// slowestPhase returns the place where a command that r answered spent most of its time.
+func (sim *Simulation) slowestPhase(c *command, r *relay) checker.Loss {
+	loss := checker.Loss{Cause: checker.Late, Place: checker.Instance, Tier: c.instance.tier}
+	most := r.sentAt - c.receivedAt
+	for _, phase := range []struct {
 		took  float64
 		where checker.LossPlace
 	}{
-		{r.arrived - r.sent, checker.Connecting}, {r.began - r.arrived, checker.Queue}, {r.ended - r.began, checker.Work},
-		{d.now - r.ended, checker.Network},
+		{r.arrivedAt - r.sentAt, checker.Connecting}, {r.startedAt - r.arrivedAt, checker.Queue},
+		{r.endedAt - r.startedAt, checker.Work}, {sim.now - r.endedAt, checker.Network},
 	} {
-		if x.took > most {
-			most, l.Place = x.took, x.where
+		if phase.took > most {
+			most, loss.Place = phase.took, phase.where
 		}
 	}
-	return l
+	return loss
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -1,4 +1,4 @@
-// This file owns what is under way between an instance and a backend. It must never know what a command is for.
+// Connections and traffic between instances and backends. Nothing here may depend on what a command does.
 
 package emulator
 
@@ -8,244 +8,250 @@
 	"sandpass/internal/faults"
 )
 
-// stage is where a relay is.
-type stage uint8
+// relayState is the state of a relay.
+type relayState uint8
 
 const (
-	connecting stage = iota
-	flying
+	connecting relayState = iota
+	inTransit
 	inQueue
 	working
 	calling
 	returning
-	stranded // no word gets through
-	locked   // waits in its slot for its turn at a lock
-	over
+	stranded // no outcome can reach the instance
+	locked   // holds a slot and waits for a lock
+	relayEnded
 )
 
-// relay is one try of a command at a backend. It lives while an event, its backend or its instance holds it.
+// relay is one relay of a command to a backend. It is reused when no event, backend or instance refers to it.
 type relay struct {
-	holds               int
-	command             uint64
-	n                   int
-	inst                *instance
-	to, b               *backend // named, and who got it
-	conn                *backend // at whose table its connection counts
-	op, seed, key       uint64
-	expires             float64
-	verb                int
-	sent, arrived       float64
-	began, ended        float64
-	work, need          float64
-	index               int
-	calls               int
-	callID              uint64
-	state               stage
-	result              balance.Result
-	told, made, dropped bool
-	read, reads         bool // its answer was looked at; a client is reading it
-	breaks              bool // its connection breaks once it has run
-	cut                 bool // stranded by a cut, not by its backend
-	blame               checker.Loss
-	blamed              bool
-	serial              uint64 // number among all relays
-}
-
-func (d *Simulation) newRelay() *relay {
-	if n := len(d.relays); n > 0 {
-		r := d.relays[n-1]
-		d.relays = d.relays[:n-1]
-		*r = relay{index: -1}
+	refs                          int
+	command                       uint64
+	number                        int
+	instance                      *instance
+	target, backend               *backend // the backend named, and the one reached
+	connection                    *backend // the backend whose connection table counts its connection
+	operationID, seed, key        uint64
+	expires                       float64
+	verb                          int
+	sentAt, arrivedAt             float64
+	startedAt, endedAt            float64
+	work, finishProgress          float64
+	heapIndex                     int
+	callsMade                     int
+	callID                        uint64
+	state                         relayState
+	result                        balance.Result
+	reported, executed, cancelled bool
+	readingChecked, beingRead     bool // whether the client reads the answer slowly was checked; it does now
+	resetAfterRun                 bool // its connection is reset after execution
+	partitioned                   bool // stranded by a Partition, not by its backend
+	loss                          checker.Loss
+	lossKnown                     bool
+	serial                        uint64 // orders all relays and operations
+}
+
+// newRelay returns a relay, reused if possible.
+func (sim *Simulation) newRelay() *relay {
+	if n := len(sim.freeRelays); n > 0 {
+		r := sim.freeRelays[n-1]
+		sim.freeRelays = sim.freeRelays[:n-1]
+		*r = relay{heapIndex: -1}
 		return r
 	}
-	return &relay{index: -1}
+	return &relay{heapIndex: -1}
 }
 
-func (d *Simulation) release(r *relay) {
-	if r.holds--; r.holds == 0 {
-		d.relays = append(d.relays, r)
+// releaseRelay drops one reference to a relay.
+func (sim *Simulation) releaseRelay(r *relay) {
+	if r.refs--; r.refs == 0 {
+		sim.freeRelays = append(sim.freeRelays, r)
 	}
 }
 
-func (d *Simulation) send(k kind, at float64, r *relay) {
-	r.holds++
-	d.queue.push(k, event{at: at, r: r})
+// scheduleRelay schedules an event of a relay.
+func (sim *Simulation) scheduleRelay(k eventKind, at float64, r *relay) {
+	r.refs++
+	sim.queue.push(k, event{at: at, relay: r})
 }
 
-// passes tells whether anything gets from one zone to another.
-func (d *Simulation) passes(from, to int) bool {
-	for i, f := range d.plan {
-		if d.active[i] && f.Blocks(from, to) {
+// reachable tells whether traffic passes from one zone to another.
+func (sim *Simulation) reachable(from, to int) bool {
+	for i, f := range sim.plan {
+		if sim.active[i] && f.Blocks(from, to) {
 			return false
 		}
 	}
 	return true
 }
 
-// way is how long something takes from one zone to another.
-func (d *Simulation) way(from, to int) float64 {
-	base := d.w.Net.SameZone
+// delay returns a random one-way latency from one zone to another.
+func (sim *Simulation) delay(from, to int) float64 {
+	base := sim.world.Net.SameZone
 	if from != to {
-		base = d.w.Net.CrossZone
+		base = sim.world.Net.CrossZone
 	}
-	t := base * (1 + d.w.Net.Jitter*d.netChance.ExpFloat64())
-	for i, f := range d.plan {
-		if !d.active[i] || f.Kind != faults.Delay && f.Kind != faults.PacketLoss {
+	t := base * (1 + sim.world.Net.Jitter*sim.networkRand.ExpFloat64())
+	for i, f := range sim.plan {
+		if !sim.active[i] || f.Kind != faults.Delay && f.Kind != faults.PacketLoss {
 			continue
 		}
 		if !f.AffectsPath(from, to) {
 			continue
 		}
-		if hard := f.SeverityAt(d.now); f.Kind == faults.Delay {
-			t += hard
-		} else if d.netChance.Float64() < hard {
-			t += d.w.Net.RetransmitDelay
+		if severity := f.SeverityAt(sim.now); f.Kind == faults.Delay {
+			t += severity
+		} else if sim.networkRand.Float64() < severity {
+			t += sim.world.Net.RetransmitDelay
 		}
 	}
 	return t
 }
 
-// forth sends a relay on to its backend, so many ways.
-func (d *Simulation) forth(r *relay, k kind, ways int) {
-	at := d.now
-	for range ways {
-		at += d.way(r.inst.zone, r.to.zone)
+// sendToBackend sends a relay to its backend. It takes the given number of one-way latencies.
+func (sim *Simulation) sendToBackend(r *relay, k eventKind, latencies int) {
+	at := sim.now
+	for range latencies {
+		at += sim.delay(r.instance.zone, r.target.zone)
 	}
-	if d.passes(r.inst.zone, r.to.zone) {
+	if sim.reachable(r.instance.zone, r.target.zone) {
 		if k == onArrive {
-			r.state = flying
+			r.state = inTransit
 		}
-		d.send(k, at, r)
+		sim.scheduleRelay(k, at, r)
 		return
 	}
 	if k == onConnect {
-		d.answerAt(r, d.now+d.w.Rules.ConnectTimeout, balance.ConnectFailed)
+		sim.scheduleOutcome(r, sim.now+sim.world.Rules.ConnectTimeout, balance.ConnectFailed)
 		return
 	}
-	r.cut = true
-	d.strand(r)
+	r.partitioned = true
+	sim.strand(r)
 }
 
-// strand leaves a relay without a word, until something on the way changes.
-func (d *Simulation) strand(r *relay) {
+// strand leaves a relay without an outcome until its backend or the network recovers.
+func (sim *Simulation) strand(r *relay) {
 	r.state = stranded
-	r.holds++
-	d.lost = append(d.lost, r)
+	r.refs++
+	sim.stranded = append(sim.stranded, r)
 }
 
-// unstrand has the connections break that can be heard of again.
-func (d *Simulation) unstrand(which func(*relay) bool) {
-	kept := d.lost[:0]
-	for _, r := range d.lost {
+// resetStranded resets the stranded relays for which selected returns true: their instances can be reached again.
+func (sim *Simulation) resetStranded(selected func(*relay) bool) {
+	remaining := sim.stranded[:0]
+	for _, r := range sim.stranded {
 		switch {
-		case r.told || !r.inst.alive:
-			d.release(r)
-		case which(r):
-			d.answerAt(r, d.now+d.way(r.to.zone, r.inst.zone), balance.Reset)
-			d.release(r)
+		case r.reported || !r.instance.alive:
+			sim.releaseRelay(r)
+		case selected(r):
+			sim.scheduleOutcome(r, sim.now+sim.delay(r.target.zone, r.instance.zone), balance.Reset)
+			sim.releaseRelay(r)
 		default:
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 		}
 	}
-	clear(d.lost[len(kept):])
-	d.lost = kept
+	clear(sim.stranded[len(remaining):])
+	sim.stranded = remaining
 }
 
-// back sends an outcome from a backend to the instance.
-func (d *Simulation) back(r *relay, result balance.Result) {
-	r.ended = d.now
-	if !d.passes(r.to.zone, r.inst.zone) {
-		if r.conn == nil && result == balance.ConnectFailed {
-			d.answerAt(r, max(d.now, r.sent+d.w.Rules.ConnectTimeout), result)
+// sendToInstance sends an outcome from a backend to the instance.
+func (sim *Simulation) sendToInstance(r *relay, result balance.Result) {
+	r.endedAt = sim.now
+	if !sim.reachable(r.target.zone, r.instance.zone) {
+		if r.connection == nil && result == balance.ConnectFailed {
+			sim.scheduleOutcome(r, max(sim.now, r.sentAt+sim.world.Rules.ConnectTimeout), result)
 			return
 		}
-		r.cut = true
-		d.strand(r)
+		r.partitioned = true
+		sim.strand(r)
 		return
 	}
-	d.answerAt(r, d.now+d.way(r.to.zone, r.inst.zone), result)
+	sim.scheduleOutcome(r, sim.now+sim.delay(r.target.zone, r.instance.zone), result)
 }
 
-func (d *Simulation) answerAt(r *relay, at float64, result balance.Result) {
+// scheduleOutcome schedules the arrival of a relay's outcome at its instance.
+func (sim *Simulation) scheduleOutcome(r *relay, at float64, result balance.Result) {
 	r.result = result
-	d.send(onAnswer, at, r)
+	sim.scheduleRelay(onAnswer, at, r)
 }
 
-// link is what an instance has of connections to a backend.
-type link struct {
-	idle    int
-	since   float64 // the last was put back
-	watched bool
+// connectionPool holds the idle connections of an instance to a backend.
+type connectionPool struct {
+	idle         int
+	idleSince    float64 // when the last one was returned
+	timerPending bool
 }
 
-func (x *instance) link(b *backend) *link {
-	for len(x.links) <= b.serial {
-		x.links = append(x.links, link{})
+// pool returns the instance's connection pool for a backend.
+func (inst *instance) pool(b *backend) *connectionPool {
+	for len(inst.pools) <= b.serial {
+		inst.pools = append(inst.pools, connectionPool{})
 	}
-	return &x.links[b.serial]
+	return &inst.pools[b.serial]
 }
 
-// forgetLinks drops the idle connections to a backend whose process ended: each side hears of it.
-func (x *instance) forgetLinks(b *backend) {
-	if b.serial < len(x.links) {
-		x.links[b.serial].idle = 0
+// dropIdleConnections drops the idle connections to a backend whose process ended, which closes them.
+func (inst *instance) dropIdleConnections(b *backend) {
+	if b.serial < len(inst.pools) {
+		inst.pools[b.serial].idle = 0
 	}
 }
 
-// rest puts a connection back that can be used again.
-func (d *Simulation) rest(r *relay) {
-	b := r.conn
-	r.conn = nil
+// returnConnection returns a relay's connection to the pool.
+func (sim *Simulation) returnConnection(r *relay) {
+	b := r.connection
+	r.connection = nil
 	if b == nil || !b.alive {
 		return
 	}
-	l := r.inst.link(b)
-	l.idle++
-	l.since = d.now
-	if !l.watched {
-		l.watched = true
-		d.queue.push(onIdle, event{at: d.now + d.tierOf(b).IdleTimeout, a: int32(r.inst.serial), n: uint64(b.serial)})
+	pool := r.instance.pool(b)
+	pool.idle++
+	pool.idleSince = sim.now
+	if !pool.timerPending {
+		pool.timerPending = true
+		sim.queue.push(onIdle, event{at: sim.now + sim.tierConfig(b).IdleTimeout, argument: int32(r.instance.serial),
+			number: uint64(b.serial)})
 	}
 }
 
-// reaped tells that what stands between has dropped the connection at rest, which neither end was told.
-func (d *Simulation) reaped(l *link) bool {
-	for _, f := range d.during(faults.IdleReset) {
-		if d.now-l.since > f.Hard {
+// idleReset tells whether the network has silently dropped the idle connections.
+func (sim *Simulation) idleReset(pool *connectionPool) bool {
+	for _, f := range sim.activeFaults(faults.IdleReset) {
+		if sim.now-pool.idleSince > f.Hard {
 			return true
 		}
 	}
 	return false
 }
 
-// idle closes what has rested too long.
-func (d *Simulation) idle(x *instance, serial int) {
-	if !x.alive {
+// handleIdle closes connections that were idle too long.
+func (sim *Simulation) handleIdle(inst *instance, serial int) {
+	if !inst.alive {
 		return
 	}
-	b := d.backends[serial]
-	l := x.link(b)
-	l.watched = false
-	if l.idle == 0 {
+	b := sim.backends[serial]
+	pool := inst.pool(b)
+	pool.timerPending = false
+	if pool.idle == 0 {
 		return
 	}
-	if due := l.since + d.tierOf(b).IdleTimeout; d.now < due {
-		l.watched = true
-		d.queue.push(onIdle, event{at: due, a: int32(x.serial), n: uint64(serial)})
+	if due := pool.idleSince + sim.tierConfig(b).IdleTimeout; sim.now < due {
+		pool.timerPending = true
+		sim.queue.push(onIdle, event{at: due, argument: int32(inst.serial), number: uint64(serial)})
 		return
 	}
 	if b.alive {
-		b.conns = max(0, b.conns-l.idle)
+		b.connections = max(0, b.connections-pool.idle)
 	}
-	l.idle = 0
+	pool.idle = 0
 }
 
-// closeConn ends a relay's connection from the instance's side: its backend hears of it a way later.
-func (d *Simulation) closeConn(r *relay) {
-	if d.passes(r.inst.zone, r.to.zone) {
-		d.send(onCancel, d.now+d.way(r.inst.zone, r.to.zone), r)
-	} else if r.conn != nil { // never heard of: the machine gives the connection up by itself
-		r.conn.hangUp()
-		r.conn = nil
+// closeConnection closes a relay's connection from the instance's side. The backend is informed a one-way latency later.
+func (sim *Simulation) closeConnection(r *relay) {
+	if sim.reachable(r.instance.zone, r.target.zone) {
+		sim.scheduleRelay(onCancel, sim.now+sim.delay(r.instance.zone, r.target.zone), r)
+	} else if r.connection != nil { // unreachable: the backend's machine times the connection out
+		r.connection.closeConnection()
+		r.connection = nil
 	}
 }
--- a/internal/emulator/work_test.go
+++ b/internal/emulator/work_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Work is drawn from a command's seed alone; a poor draw would skew every day.
+// DrawWork depends only on a command's seed. A wrong distribution would bias every simulation.
 func TestWorkHasItsMeanAndSpread(t *testing.T) {
 	w := Default()
 	for v := range w.Verbs {
@@ -17,7 +17,7 @@
 		mean := sum / float64(n)
 		cv := math.Sqrt(squares/float64(n)-mean*mean) / mean
 		if math.Abs(mean-1) > 0.02 || math.Abs(cv/w.Verbs[v].Spread-1) > 0.1 || most > 120 {
-			t.Errorf("verb %d: mean %.3f of 1, spread %.3f of %.3f, most %.1f", v, mean, cv, w.Verbs[v].Spread, most)
+			t.Errorf("verb %d: mean %.3f, want 1; spread %.3f, want %.3f; largest %.1f", v, mean, cv, w.Verbs[v].Spread, most)
 		}
 	}
 }
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -79,6 +79,7 @@
 	share       bool    // hits a share of something else
 }
 
+// kindSpecs describes all kinds. The last notRandom ones are not drawn by Random.
 var kindSpecs = []kindSpec{
 	{kind: Crash, backends: true}, {kind: Vanish, backends: true}, {kind: Hang, backends: true},
 	{kind: Slow, backends: true, maxSeverity: 0.99, maxRandom: 0.95, mayRamp: true},
