--- a/internal/emulator/limits_test.go
+++ b/internal/emulator/limits_test.go
@@ -101,18 +101,18 @@
 		{Kind: faults.RollingReplace, Zone: -1, To: -1, Share: 0.5, From: 2, For: 4, Seed: 3},
 		{Kind: faults.StartTimeError, Zone: -1, To: -1, Share: 0.3, From: 0, For: 20, Hard: 6, Seed: 7},
 	}
-	fell := func(startTimeError float64) (fell int) {
+	overloads := func(startTimeError float64) (count int) {
 		w.Rules.StartTimeError = startTimeError
 		for seed := range uint64(6) {
 			a, _ := emulator.Run(w, plan, factory(t, "module"), seed)
-			fell += a.RuleCounts[checker.ColdProtected]
+			count += a.RuleCounts[checker.ColdProtected]
 			if startTimeError > 0 && a.ViolationCount() > 0 {
 				t.Errorf("seed %d: violation: %v", seed, a.Violations[0])
 			}
 		}
-		return fell
+		return count
 	}
-	if fell(6); fell(0) == 0 {
+	if overloads(6); overloads(0) == 0 {
 		t.Error("no cold backend was overloaded by a balancer that trusts the start times: the test proves nothing")
 	}
 }
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -21,7 +21,8 @@
 	coldSlackCommands        = 3.0 // mean commands above its limit that a cold backend tolerates
 )
 
-// Policy is the load balancing policy of an instance: the balancer, or one to compare it with.
+// Policy is the load balancing policy of an instance: the balancer, or one to compare it with. Its methods are those of
+// balance.Balancer.
 type Policy interface {
 	Configure(now, tick float64, place balance.Placement, verbs []balance.Verb, customers []balance.Customer, overage float64,
 		limits balance.Limits, cold balance.ColdStart, mustAsk bool)
