--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -18,8 +18,8 @@
 
 // String returns a short description of the rule.
 func (r Rule) String() string {
-	return [...]string{"", "one final answer", "no effect twice", "drains kept", "cold backends not overloaded",
-		"further relays within budget"}[r]
+	return [...]string{"", "no request lost", "no effect twice", "drains kept", "cold not pushed over",
+		"retries and hedges in their budget"}[r]
 }
 
 // Violation is one violation of a rule.
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -196,13 +196,12 @@
 		select {
 		case <-p.ended:
 			p.agent.close()
-			return nil, fmt.Errorf("proxy %d ended before it was ready: %s", p.serial, lastLine(filepath.Join(h.dir,
-				fmt.Sprintf("p-%d.log", p.serial))))
+			return nil, fmt.Errorf("proxy %d ended before it was ready: %s", p.serial, lastLine(out.Name()))
 		case <-time.After(pollInterval):
 		}
 		if time.Now().After(deadline) {
 			p.kill()
-			return nil, fmt.Errorf("proxy %d was not ready within %v", p.serial, readyTimeout)
+			return nil, fmt.Errorf("proxy %d was not ready within %v: %s", p.serial, readyTimeout, lastLine(out.Name()))
 		}
 	}
 }
