--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,5 +1,17 @@
-// Package balance decides which backend a command is relayed to, when it gets a second copy (a hedged relay), and
-// when it is declined or terminated.
+// Package balance decides which backend a command is relayed to, when it is hedged (relayed to a second backend while the
+// first relay is pending), and when it is declined or terminated.
+//
+// It uses these terms:
+//   - command: one request of a client. Its verb is its kind, which sets its effect, response goal, time limit and utility.
+//   - relay: one attempt to have a command answered by a backend. A retry and a hedge are relays too.
+//   - client: the sender of commands. customer: one of the parties that share the service, each with an allowance.
+//   - backend: a server that runs commands. front: the program around the Balancer, which implements Host.
+//   - instance: one Balancer with its state; the instances of a tier share its backends and are peers.
+//   - pure: may run more than once. receipted: a group of backends drops repeats for a while. effectful: must not run twice.
+//   - answered: the client got a backend's answer. declined: ended with the promise that a retry is harmless.
+//     terminated: ended without any promise.
+//   - response goal: seconds within which an answer earns the full utility. time limit: seconds within which a command must
+//     have been answered, declined or terminated. utility: the value of an answer; it sets a command's priority under overload.
 //
 // A front creates one Balancer per instance with New and applies its settings with Configure. It then reports each
 // event by a method call: CommandReceived, ConnectionOpened, StreamStarted, RelayEnded, ClientDisconnected,
