--- a/balance/coldstart.go
+++ b/balance/coldstart.go
@@ -1,5 +1,6 @@
 // This file limits how far a start reported by the backend list is trusted. Whatever clock reported the start, a
 // backend must not be taken for so warm that the cold-start rule is broken.
+
 package balance
 
 // trustedColdShare is the share of the cold-start rule's allowance that all instances may send if a start was
--- a/balance/conditions_test.go
+++ b/balance/conditions_test.go
@@ -1,5 +1,6 @@
 // This file tests conditions that the backend list does not show: priced zone crossing, inaccurate deadlines, slow
 // clients, sudden saturation. It does not depend on the figures of one deployment.
+
 package balance
 
 import (
--- a/balance/extrarelays_test.go
+++ b/balance/extrarelays_test.go
@@ -1,5 +1,6 @@
 // This file tests the budget of relays beyond each command's first. Relays and commands are counted independently
 // of the code under test.
+
 package balance
 
 import (
--- a/balance/host.go
+++ b/balance/host.go
@@ -1,5 +1,6 @@
 // This file contains the interface between the Balancer and a front, and the plain types that cross it. It holds
 // no decisions and no wire formats.
+
 package balance
 
 // BackendID identifies a backend to the front: on the bench by its address and port, on sockets by a value derived
--- a/balance/instance.go
+++ b/balance/instance.go
@@ -1,5 +1,6 @@
 // This file creates an instance, applies its settings and runs its timers. It makes no decisions about commands,
 // and a change of settings must not discard what was learned.
+
 package balance
 
 // verb is a kind of command as configured. Its verbState outlives changes of the settings.
--- a/balance/messages.go
+++ b/balance/messages.go
@@ -1,5 +1,6 @@
 // This file contains the wire format of messages between peers. It makes no decisions: when messages are sent and
 // what follows from them is in balancer.go.
+
 package balance
 
 import "encoding/binary"
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -1,6 +1,7 @@
 // This file estimates how many instances share the common capacity, and picks cell coordinators among them. Limits
 // and windows follow the estimate; customers' allowances do not. The estimate must never exceed the configured
 // number of instances.
+
 package balance
 
 import "slices"
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -1,5 +1,6 @@
 // This file tests failures of peers: coordinators that are gone, have just started, or use the older message
 // format. It does not rely on the code's own view of which peers are alive.
+
 package balance
 
 import (
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -1,5 +1,6 @@
 // This file saves what an instance has learned for its successor, and restores it. No rule may depend on restored
 // values: lost or wrong ones only cost time.
+
 package balance
 
 import (
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -1,4 +1,5 @@
 // This file tests what an instance saves for its successor, and that saved values never replace current facts.
+
 package balance
 
 import (
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,5 +1,6 @@
 // This file contains the state of an instance: of backends, relays, commands, and the whole. It holds no decisions
 // and no constants that they depend on.
+
 package balance
 
 import "sandpass/internal/membership"
--- a/balance/statistics.go
+++ b/balance/statistics.go
@@ -1,5 +1,6 @@
 // This file contains statistics over time and the source of randomness. It makes no decisions: which value is read
 // and what follows from it is in balancer.go, together with the constants.
+
 package balance
 
 import (
--- a/cmd/sandpass/main.go
+++ b/cmd/sandpass/main.go
@@ -1,7 +1,8 @@
-// Command sandpass is the proxy. This file implements the command line and sets the limits of the process; it does no network
-// I/O.
+// Command sandpass is the proxy.
 package main
 
+// This file implements the command line and sets the limits of the process; it does no network I/O.
+
 import (
 	"context"
 	"fmt"
--- a/cmd/sandpass/signals.go
+++ b/cmd/sandpass/signals.go
@@ -1,5 +1,6 @@
 // This file handles signals from before the configuration is read; startup_signals.go covers the time before. No signal may end
 // the process at once except a second SIGINT without a SIGTERM before it.
+
 package main
 
 import (
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -1,4 +1,5 @@
 // This file decodes the chunked transfer coding. It returns slices of its input and neither copies nor keeps them.
+
 package http1
 
 import "bytes"
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -1,6 +1,7 @@
 // This file implements connections: their descriptors, read buffers and unsent bytes. A connection reports events to its
 // Handler, but never from inside one of its own methods and never after Close. It does not interpret the bytes, and closes
 // its descriptor only in Close.
+
 package loop
 
 import (
--- a/internal/loop/datagrams.go
+++ b/internal/loop/datagrams.go
@@ -1,5 +1,6 @@
 // This file implements the UDP socket on which sibling proxies exchange short messages. It never blocks: a message that
 // can't be sent at once is lost, and its sender must tolerate that.
+
 package loop
 
 import (
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -1,5 +1,6 @@
 // This file implements listening sockets. Each accepted connection is passed to a callback. No connection may be left in the
 // backlog while a descriptor is available for it: to the client it is already established.
+
 package loop
 
 import (
--- a/internal/loop/local.go
+++ b/internal/loop/local.go
@@ -1,5 +1,6 @@
 // This file implements sockets that are shared with other processes of this machine: an inherited listener, and Unix sockets
 // by path. It must never shut down an inherited listener, which is one socket for all processes that have it open.
+
 package loop
 
 import (
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,10 +1,11 @@
 // Package loop implements a single-threaded event loop on epoll, with connections, listeners, datagram sockets and timers.
 //
-// This file has the epoll descriptor, the clock, the timers and the functions posted for the next iteration. All callbacks
-// run on the goroutine that called Run. The loop blocks only in epoll_wait, starts no goroutine per connection and does not
-// interpret the bytes it moves.
+// All callbacks run on the goroutine that called Run. The loop blocks only in epoll_wait, starts no goroutine per connection
+// and does not interpret the bytes it moves.
 package loop
 
+// This file contains the epoll descriptor, the clock, the timers and the functions posted for the next iteration.
+
 import (
 	"fmt"
 	"math"
--- a/internal/loop/syscalls.go
+++ b/internal/loop/syscalls.go
@@ -1,5 +1,6 @@
 // This file wraps the system calls that the loop makes on its descriptors. Each goes through one method, so that tests can
 // make it fail as Linux documents. The methods do not interpret errors; that is up to the caller.
+
 package loop
 
 import "golang.org/x/sys/unix"
--- a/internal/loop/unsynced.go
+++ b/internal/loop/unsynced.go
@@ -1,6 +1,7 @@
 // This file handles descriptors whose epoll registration is out of date because epoll_ctl ran out of memory (ENOMEM) or of
 // watches (ENOSPC). Until a retry succeeds, the loop polls them with poll(2), whose event bits are the same as epoll's. No
 // such descriptor may be left unwatched.
+
 package loop
 
 import "golang.org/x/sys/unix"
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,6 +1,7 @@
 // This file tracks what a proxy knows of each peer from messages: its incarnation, whether it responds, and the format in which
 // messages are sent to it. A message of a former incarnation must never count for the current one, and no peer is given up for
 // good.
+
 package membership
 
 import "math"
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,9 +1,9 @@
 // Package proxy implements the front: it accepts commands from clients, relays them to backends and returns the answers, all
 // on one event loop. The Balancer alone decides which backend a command goes to and when it is given up.
-//
-// This file contains the proxy's life cycle: configuration, construction, reload, the descriptor budget and readiness.
 package proxy
 
+// This file contains the proxy's life cycle: configuration, construction, reload, the descriptor budget and readiness.
+
 import (
 	"bytes"
 	"context"
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,5 @@
 // This file tests which settings are accepted, not their effects.
+
 package settings
 
 import (
