--- a/balance/algorithm_test.go
+++ b/balance/algorithm_test.go
@@ -30,7 +30,7 @@
 		}
 	})
 	t.Run("copies stay near a tenth of the calls, and running losers count", func(t *testing.T) {
-		h := warm(setup{limits: Limits{MaxRelays: 4, SecondCopies: true}})
+		h := warm(setup{limits: Limits{MaxRelays: 4, Hedges: true}})
 		late := 0
 		for i := uint64(1000); i < 3000; i += 100 {
 			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -920,7 +920,7 @@
 func (b *Balancer) mayCopy(c *command, v *verb) bool {
 	refill := copiesPerCall * v.calls.rate(b.now, callSpanSeconds, b.start)
 	tokens := v.copyBudget.read(b.now, refill, max(1, copyBurstSeconds*refill))
-	return v.Effect != Effectful && b.limits.SecondCopies && len(c.relays) < b.limits.MaxRelays &&
+	return v.Effect != Effectful && b.limits.Hedges && len(c.relays) < b.limits.MaxRelays &&
 		tokens-float64(v.pendingLosers) >= 1 && b.withinBudget(copyBudgetShare) && v.breaker.allows(b.now) &&
 		b.serviceBreaker.allows(b.now) && !b.mostRelaysSlow()
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -51,7 +51,7 @@
 		cs = append(cs, Customer{Allowance: 1e6, PreviousIndex: -1})
 	}
 	h.b.Configure(h.now, 0.001, Placement{Instances: instances}, vs, cs, 0.1,
-		Limits{MaxRelays: 3, SecondCopies: true, CancelRelays: true, MaxRetryAfter: 2},
+		Limits{MaxRelays: 3, Hedges: true, CancelRelays: true, MaxRetryAfter: 2},
 		ColdStart{InitialCapacity: 0.3, WarmUp: 5, OverloadMultiple: 2}, false)
 	h.b.UpdateBackends(h.now, true, benchList(backends))
 	return h
--- a/balance/conditions_test.go
+++ b/balance/conditions_test.go
@@ -42,7 +42,7 @@
 	near := func(to BackendID) bool { return to[3]%3 == 1 }
 	begin := func(priced bool) *fakeHost {
 		return startBalancer(t, setup{backends: backendsInZones(3, 4), placement: Placement{Instances: 3, Zone: 1},
-			limits: Limits{MaxRelays: 3, SecondCopies: true, CancelRelays: true, CrossZonePriced: priced}})
+			limits: Limits{MaxRelays: 3, Hedges: true, CancelRelays: true, CrossZonePriced: priced}})
 	}
 	even := func(BackendID) float64 { return 0.1 }
 	if part := begin(true).shareOf(400, even, near); part < 0.8 {
@@ -66,7 +66,7 @@
 func TestDeadlineReportedTooEarly(t *testing.T) {
 	begin := func(off float64) *fakeHost {
 		h := startBalancer(t, setup{verb: Verb{Effect: Effectful, Goal: 1, TimeLimit: 2.5, Utility: 1, LateUtility: 0.2},
-			limits: Limits{MaxRelays: 3, SecondCopies: true, CancelRelays: true, DeadlineError: off}})
+			limits: Limits{MaxRelays: 3, Hedges: true, CancelRelays: true, DeadlineError: off}})
 		h.b.CommandReceived(h.now, 1, 0, 0, h.now+0.1, 0) // its client waits for 1.3 s
 		return h
 	}
@@ -362,7 +362,7 @@
 // Commands of a group that fails on every backend get one relay each, and backends keep their weight.
 func TestFailingGroupIsNotRetried(t *testing.T) {
 	l := newLoadGenerator(t, setup{backends: warmBackends(6),
-		limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true}})
+		limits: Limits{MaxRelays: 4, Hedges: true, CancelRelays: true}})
 	l.took = func(cmd, key uint64) float64 {
 		if key == 7 {
 			return -0.01
@@ -492,7 +492,7 @@
 func TestDeadlineReportedTooLate(t *testing.T) {
 	for _, off := range []float64{1.2, 4.8} {
 		h := startBalancer(t, setup{verb: Verb{Effect: Pure, Goal: 1, TimeLimit: 7, Utility: 1, LateUtility: 0.2},
-			limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, DeadlineError: off}})
+			limits: Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, DeadlineError: off}})
 		h.serve(1, 60, 0.1) // so that the copy delay is learned
 		before := len(h.relays)
 		for cmd := uint64(101); cmd <= 140; cmd++ {
--- a/balance/coordinator_test.go
+++ b/balance/coordinator_test.go
@@ -7,7 +7,7 @@
 
 // startPeers starts instances that can exchange messages, with the given backend list.
 func startPeers(t *testing.T, instances int, backends []Entry) []*fakeHost {
-	return startInstances(t, instances, backends, setup{limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true,
+	return startInstances(t, instances, backends, setup{limits: Limits{MaxRelays: 4, Hedges: true, CancelRelays: true,
 		PeerMessages: true, KeyAffinity: true}})
 }
 
@@ -231,7 +231,7 @@
 		h.b.Configure(h.now, 0.005, Placement{Instances: 1},
 			[]Verb{{Effect: Effectful, Goal: 1, TimeLimit: 2, Utility: 1, PreviousIndex: -1},
 				{Goal: 2.5, TimeLimit: 6, Utility: 1, PreviousIndex: previous}},
-			nil, 0.1, Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: previous == 0},
+			nil, 0.1, Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, PeerMessages: previous == 0},
 			ColdStart{InitialCapacity: 0.2, WarmUp: 10, OverloadMultiple: 3}, false)
 	}
 	configure(0)
@@ -301,7 +301,7 @@
 		"one proxy, one zone, no key": {placement: Placement{Instances: 1}},
 		"unknown zone":                {placement: Placement{Instances: 1, Zone: 7}},
 	} {
-		s.limits = Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true}
+		s.limits = Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true}
 		h := startBalancer(t, s)
 		h.serve(1, 100, 0.1)
 		if len(h.declined)+len(h.terminated) > 0 || len(h.relays) < 100 {
--- a/balance/extrarelays_test.go
+++ b/balance/extrarelays_test.go
@@ -21,7 +21,7 @@
 func newBudgetCounter(t *testing.T, effect Effect, budget RelayBudget) *budgetCounter {
 	h := startBalancer(t, setup{
 		verb:   Verb{Effect: effect, Goal: 0.5, TimeLimit: 2, Utility: 1, LateUtility: 0.5, DedupWindow: 4, Scope: ScopeCell},
-		limits: Limits{MaxRelays: 5, SecondCopies: true, CancelRelays: true, ExtraRelays: budget},
+		limits: Limits{MaxRelays: 5, Hedges: true, CancelRelays: true, ExtraRelays: budget},
 	})
 	return &budgetCounter{fakeHost: h, budget: budget}
 }
--- a/balance/guarantees_test.go
+++ b/balance/guarantees_test.go
@@ -111,7 +111,7 @@
 // a client retries.
 func TestShortDedupWindows(t *testing.T) {
 	verb := Verb{Effect: Receipted, Scope: ScopeAll, Goal: 2.5, TimeLimit: 6, Utility: 1, LateUtility: 0.5, DedupWindow: 0.4}
-	limits := Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, MaxRetryAfter: 2}
+	limits := Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, MaxRetryAfter: 2}
 	t.Run("an extra relay is not written if its connection is up after the window", func(t *testing.T) {
 		for wait, want := range map[float64]bool{0.3: true, 0.396: false, 0.5: false} {
 			h := startBalancer(t, setup{verb: verb, limits: limits})
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -157,7 +157,7 @@
 		s.verb.TimeLimit, s.verb.Goal, s.verb.Utility, s.verb.DedupWindow = 6, 2.5, 1, 5
 	}
 	if s.limits.MaxRelays == 0 {
-		s.limits = Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true}
+		s.limits = Limits{MaxRelays: 4, Hedges: true, CancelRelays: true}
 	}
 	if s.placement.Instances == 0 {
 		s.placement.Instances = 1
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -87,7 +87,7 @@
 	}
 	// A new process without any counts replaces the coordinator.
 	replacement := startBalancer(t, setup{
-		limits:   Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true},
+		limits:   Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true},
 		backends: warmBackends(3), placement: Placement{Index: 1, Instances: 2}})
 	replacement.now = h.now
 	replacement.b.now, replacement.b.start = h.now, h.now
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -35,7 +35,7 @@
 		return balance.New(h, seed, now)
 	}},
 	{"nocopies", "the module without second copies", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
-		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.SecondCopies = false }}
+		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.Hedges = false }}
 	}},
 	{"fixed", "the module with shares by all siblings there should be, whoever is there", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
 		return &limited{balance.New(h, seed, now), func(l *balance.Limits) { l.FixedInstances = true }}
--- a/internal/emulator/day.go
+++ b/internal/emulator/day.go
@@ -116,7 +116,7 @@
 		d.verbs = append(d.verbs, balance.Verb{Effect: effects[v.Effect], Scope: scopes[v.Scope], DedupWindow: v.DedupWindow,
 			Goal: v.Goal, TimeLimit: v.Limit, Utility: v.Utility, LateUtility: v.LateShare, PreviousIndex: -1})
 	}
-	d.limits = balance.Limits{MaxRelays: w.Rules.MaxRelays, SecondCopies: w.Rules.SecondCopies, CancelRelays: w.Rules.CancelRelays,
+	d.limits = balance.Limits{MaxRelays: w.Rules.MaxRelays, Hedges: w.Rules.SecondCopies, CancelRelays: w.Rules.CancelRelays,
 		MaxRetryAfter: w.Rules.MaxRetryAfter, PeerMessages: w.Rules.Peers, KeyAffinity: w.Tiers[0].CacheSaving > 0, CrossZonePriced: w.Prices.ZoneCrossing > 0,
 		MaxUnreadAnswers: w.Rules.AnswerSlots, DeadlineError: w.Rules.DeadlineError,
 		ExtraRelays: balance.RelayBudget{Free: w.Rules.FreeRelays, PerCommand: w.Rules.FreeRelayRatio, Span: w.Rules.BudgetWindow}}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 	Discovery *string `json:"discovery"`
 	Limits    *struct {
 		Relays        *int     `json:"max_relays"`
-		SecondCopies  *bool    `json:"second_copies"`
+		Hedges        *bool    `json:"second_copies"`
 		Cancel        *bool    `json:"cancel"`
 		RetryAfter    *bool    `json:"retry_after"`
 		MaxRetryAfter *float64 `json:"max_retry_after_ms"`
@@ -196,7 +196,7 @@
 		})
 	}
 	limits := balance.Limits{
-		MaxRelays: *doc.Limits.Relays, SecondCopies: *doc.Limits.SecondCopies, CancelRelays: *doc.Limits.Cancel,
+		MaxRelays: *doc.Limits.Relays, Hedges: *doc.Limits.Hedges, CancelRelays: *doc.Limits.Cancel,
 		PeerMessages: doc.Limits.Peers, KeyAffinity: doc.FamilyInfo.WarmKeys, CrossZonePriced: doc.Prices["cross_zone"] > 0,
 		MaxUnreadAnswers: doc.Limits.ResponseRoom, DeadlineError: doc.Safety.DeadlineError / 1000,
 		ExtraRelays: balance.RelayBudget{
