--- a/balance/algorithm_test.go
+++ b/balance/algorithm_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCopies(t *testing.T) {
+func TestHedges(t *testing.T) {
 	warm := func(s setup) *fakeHost {
 		h := startBalancer(t, s)
 		h.serve(1, 400, 0.05)
@@ -13,12 +13,12 @@
 		h.relays = nil
 		return h
 	}
-	t.Run("a copy goes to another backend after the learned delay, and the loser is cancelled", func(t *testing.T) {
+	t.Run("a hedge goes to another backend after the learned delay, and the loser is cancelled", func(t *testing.T) {
 		h := warm(setup{})
 		h.b.CommandReceived(h.now, 1000, 0, 0, h.now+6, 0)
 		h.advanceTo(h.now + 0.04)
 		if len(h.relays) != 1 {
-			t.Fatal("copied before the delay")
+			t.Fatal("hedged before the delay")
 		}
 		h.advanceTo(h.now + 0.1)
 		if to := h.relaysOf(1000); len(to) != 2 || to[0] == to[1] {
@@ -29,21 +29,21 @@
 			t.Error("the loser was not cancelled")
 		}
 	})
-	t.Run("copies stay near a tenth of the calls, and running losers count", func(t *testing.T) {
+	t.Run("hedges stay near a tenth of the calls, and running losers count", func(t *testing.T) {
 		h := warm(setup{limits: Limits{MaxRelays: 4, Hedges: true}})
 		late := 0
 		for i := uint64(1000); i < 3000; i += 100 {
 			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
 			h.advanceTo(h.now + 0.1)
 			late += len(h.relaysOf(i)) - 1
-			h.outcome(i, 0, Answered) // without cancellation the losing copy never ends
+			h.outcome(i, 0, Answered) // without cancellation the losing relay never ends
 			h.serve(i+1, 90, 0.02)
 		}
 		if late < 1 || late > 6 {
-			t.Errorf("%d copies of 20 late commands with every loser still out", late)
+			t.Errorf("%d hedges of 20 late commands with every loser still out", late)
 		}
 	})
-	t.Run("no copies if they are not allowed", func(t *testing.T) {
+	t.Run("no hedges if they are not allowed", func(t *testing.T) {
 		h := warm(setup{limits: Limits{MaxRelays: 4}})
 		h.b.CommandReceived(h.now, 1000, 0, 0, h.now+6, 0)
 		h.advanceTo(h.now + 2)
@@ -51,7 +51,7 @@
 			t.Errorf("%d relays", len(h.relays))
 		}
 	})
-	t.Run("no copies while all relays are slow and the quantile is stale", func(t *testing.T) {
+	t.Run("no hedges while all relays are slow and the quantile is stale", func(t *testing.T) {
 		h := warm(setup{})
 		for i := uint64(1000); i < 1008; i++ {
 			h.b.CommandReceived(h.now, i, 0, 0, h.now+6, 0)
@@ -61,10 +61,10 @@
 		h.b.CommandReceived(h.now, 2000, 0, 0, h.now+6, 0)
 		h.advanceTo(h.now + 0.5)
 		if len(h.relays) != before+1 {
-			t.Error("a copy was sent although the whole fleet is slow")
+			t.Error("a hedge was sent although the whole fleet is slow")
 		}
 	})
-	t.Run("an open breaker blocks copies, not first relays, and closes after its trials", func(t *testing.T) {
+	t.Run("an open breaker blocks hedges, not first relays, and closes after its trials", func(t *testing.T) {
 		var br breaker
 		for range 20 {
 			br.recordOutcome(100, true)
@@ -79,7 +79,7 @@
 			br.recordSent(110.5)
 		}
 		if br.allows(110.5) {
-			t.Error("more copies than breakerTrials")
+			t.Error("more hedges than breakerTrials")
 		}
 		for range breakerTrials {
 			br.recordOutcome(111, false)
@@ -95,7 +95,7 @@
 	for i := range 1000 {
 		d.add(float64(i)/100, float64(i%100+1)/100)
 	}
-	if q := d.lateAfter(9.99); !almostEqual(q/copyDelayQuantile, 1) {
+	if q := d.lateAfter(9.99); !almostEqual(q/hedgeDelayQuantile, 1) {
 		t.Errorf("delay %v", q)
 	}
 	t.Run("old latencies expire by rotation, and the last delay is kept when none are left", func(t *testing.T) {
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -30,25 +30,25 @@
 )
 
 const (
-	// Delay before a second copy.
-	copyDelayQuantile     = 0.95  // a low quantile would copy much: each tier repeats whole subtrees
+	// Delay before a hedge.
+	hedgeDelayQuantile    = 0.95  // a low quantile would hedge often: each tier repeats whole subtrees
 	sketchAccuracy        = 0.02  // relative error, far below the spread of latencies
 	sketchRotationSeconds = 10.0  // sketches rotate at this interval
-	minCopyDelaySeconds   = 0.001 // lower bound of the delay
-	warmupGoalShare       = 0.5   // share of the response goal used before latencies are known: a copy may still be in time
+	minHedgeDelaySeconds  = 0.001 // lower bound of the delay
+	warmupGoalShare       = 0.5   // share of the response goal used before latencies are known: a hedge may still be in time
 	warmupAnswers         = 20    // answers before the sketch is used
 
-	// Token bucket of second copies.
-	copiesPerCall    = 0.1  // second copies per received command
-	callSpanSeconds  = 10.0 // decay time of command and answer rates
-	copyBurstSeconds = 2.0  // refill time that fills the bucket, which holds at least one copy
+	// Token bucket of hedges.
+	hedgesPerCall     = 0.1  // per received command
+	callSpanSeconds   = 10.0 // decay time of command and answer rates
+	hedgeBurstSeconds = 2.0  // refill time that fills the bucket, which holds at least one hedge
 
-	// Circuit breakers for second copies.
+	// Circuit breakers for hedges.
 	breakerFailureShare    = 0.5  // failure share that opens the breaker
 	breakerMinOutcomes     = 20.0 // outcomes required before it may open
 	breakerSpanSeconds     = 10.0 // decay time of the outcome counts
 	breakerCooldownSeconds = 10.0 // time that it stays open
-	breakerTrials          = 5    // copies allowed before it closes again
+	breakerTrials          = 5    // hedges allowed before it closes again
 
 	// Backend weights and selection.
 	minWeight, maxWeight  = 0.1, 3.0 // a thirtieth of the best weight still shows when a backend recovers
@@ -70,7 +70,7 @@
 	grantTimeoutSeconds                          = 0.04     // two round trips and a few ticks
 
 	// Backend list and window.
-	minWindowBackends                        = 4.0      // enough for copies and some failed backends
+	minWindowBackends                        = 4.0      // enough for hedges and some failed backends
 	windowsPerBackend                        = 2.0      // windows per backend at least, given enough instances
 	minListRetrySeconds, maxListRetrySeconds = 1.0, 8.0 // doubling delay, with jitter, after a failed list
 	coldBudgetShare                          = 0.55     // share of the overload multiple sent by all to a cold backend
@@ -117,13 +117,13 @@
 	allowanceBurstSeconds     = 2.0   // allowance that a customer may use at once
 	retriesPerCall            = 0.2   // retries after failures per received command: prevents retry storms
 	retryBurst                = 3.0   // retries that may be sent at once
-	copyBudgetShare           = 0.5   // share of an extra-relay budget open to copies: failed commands gain more
+	hedgeBudgetShare          = 0.5   // share of an extra-relay budget open to hedges: failed commands gain more
 	lateAnswerShare           = 0.15  // share of the unread-answer capacity for commands past their goal
 	expiryTicks               = 1.0   // ticks before the time limit at which a command is terminated
 	recheckSeconds            = 0.05  // interval at which held commands are rechecked without other events
-	slowRelayShare            = 0.05  // share of recent relays past the delay that stops copies: the expected one
+	slowRelayShare            = 0.05  // share of recent relays past the delay that stops hedges: the expected one
 	slowSpanSeconds           = 2.0   // decay time of that share
-	slowSlackRelays           = 0.5   // slow relays that are not significant: the one to be copied is among them
+	slowSlackRelays           = 0.5   // slow relays that are not significant: the one to be hedged is among them
 	epsilon                   = 1e-9  // avoids division by zero
 )
 
@@ -132,40 +132,40 @@
 // lateAfter returns the seconds after which a relay is overdue. Without recent answers it keeps its last result.
 func (d *latencySketch) lateAfter(now float64) float64 {
 	d.rotate(now)
-	if q, err := d.quantile(copyDelayQuantile); err == nil {
-		d.lastQuantile = max(q, minCopyDelaySeconds)
+	if q, err := d.quantile(hedgeDelayQuantile); err == nil {
+		d.lastQuantile = max(q, minHedgeDelaySeconds)
 	}
 	return d.lastQuantile
 }
 
-// copyDelay returns how long a relay may be pending before it is overdue, and whether that was learned from
+// hedgeDelay returns how long a relay may be pending before it is overdue, and whether that was learned from
 // answers. A verb with few answers uses the latencies of all verbs; while these are few too, the delay is a share
-// of the response goal, so that hundreds of new instances do not all send copies at once.
-func (b *Balancer) copyDelay(v *verb) (float64, bool) {
+// of the response goal, so that hundreds of new instances do not all send hedges at once.
+func (b *Balancer) hedgeDelay(v *verb) (float64, bool) {
 	for _, d := range []*latencySketch{&v.latencies, &b.allLatencies} {
 		if d.answers >= warmupAnswers {
 			return d.lateAfter(b.now), true
 		}
 	}
-	return max(minCopyDelaySeconds, warmupGoalShare*v.Goal), false
+	return max(minHedgeDelaySeconds, warmupGoalShare*v.Goal), false
 }
 
-// ---- Circuit breaker: blocks second copies, never first relays.
+// ---- Circuit breaker: blocks hedges, never first relays.
 
-// breaker stops second copies while too many commands fail. After a cooldown it allows a few copies as trials.
+// breaker stops hedges while too many commands fail. After a cooldown it allows a few hedges as trials.
 type breaker struct {
 	all, failed               decayingSum
 	openUntil                 float64 // 0 while closed
-	trialsSent                int     // copies sent since it opened
-	trialsEnded, trialsFailed int     // outcomes of these copies
+	trialsSent                int     // hedges sent since it opened
+	trialsEnded, trialsFailed int     // outcomes of these hedges
 }
 
-// allows reports whether a copy may be sent now.
+// allows reports whether a hedge may be sent now.
 func (br *breaker) allows(now float64) bool {
 	return br.openUntil == 0 || now >= br.openUntil && br.trialsSent < breakerTrials
 }
 
-// recordSent counts a copy as a trial if the breaker is open.
+// recordSent counts a hedge as a trial if the breaker is open.
 func (br *breaker) recordSent(now float64) {
 	if br.openUntil != 0 && now >= br.openUntil {
 		br.trialsSent++
@@ -239,7 +239,7 @@
 
 // pick draws a backend by weight, skipping those with far more of this instance's commands than the mean. It
 // returns nil if there is none.
-func (b *Balancer) pick(c *command, isCopy, forGrant bool) *backend {
+func (b *Balancer) pick(c *command, isHedge, forGrant bool) *backend {
 	totalLoad, totalFactor, zoneFactor := 0.0, 0.0, b.ownZoneFactor()
 	for _, be := range b.window {
 		factor := 1 + zoneFactor*indicator(be.ownZoneShare > 0) // the mean is weighted by where commands go
@@ -283,8 +283,8 @@
 				return be
 			}
 		}
-		if isCopy {
-			break // a copy only goes where a first relay would
+		if isHedge {
+			break // a hedge only goes where a first relay would
 		}
 	}
 	return nil
@@ -875,7 +875,7 @@
 		c.countInGroups(1)
 	}
 	r := relay{to: be, sentAt: b.now, pending: true, inFlight: 1}
-	r.delay, r.delayLearned = b.copyDelay(v)
+	r.delay, r.delayLearned = b.hedgeDelay(v)
 	c.relays, c.askedCells = append(c.relays, r), c.askedCells[:0]
 	c.pendingRelays++
 	be.inFlight++
@@ -893,7 +893,7 @@
 }
 
 // relayOverdue is called when a relay's delay has passed. A pending relay now counts against its backend, since a
-// hung one never answers, and a second copy is sent if allowed.
+// hung one never answers, and a hedge is sent if allowed.
 func (b *Balancer) relayOverdue(c *command, n int) {
 	r, v := &c.relays[n], c.verb
 	if !r.pending || r.loser || c.streaming {
@@ -904,24 +904,24 @@
 		r.to.lowerWeight()
 		b.relaysLate.add(b.now, slowSpanSeconds, 1)
 	}
-	if c.done || c.pendingRelays > 1 || c.inLimitedGroup() || !b.mayCopy(c, v) {
+	if c.done || c.pendingRelays > 1 || c.inLimitedGroup() || !b.mayHedge(c, v) {
 		return
 	}
 	if be := b.pick(c, true, false); be != nil {
-		v.copyBudget.tokens--
+		v.hedgeBudget.tokens--
 		v.breaker.recordSent(b.now)
 		b.serviceBreaker.recordSent(b.now)
 		b.sendRelay(c, be)
 	}
 }
 
-// mayCopy reports whether the command may get a second copy: it is safe to repeat, the limits and budgets allow
+// mayHedge reports whether the command may get a hedge: it is safe to repeat, the limits and budgets allow
 // it, and neither a breaker nor slowness of most relays forbids it.
-func (b *Balancer) mayCopy(c *command, v *verb) bool {
-	refill := copiesPerCall * v.calls.rate(b.now, callSpanSeconds, b.start)
-	tokens := v.copyBudget.read(b.now, refill, max(1, copyBurstSeconds*refill))
+func (b *Balancer) mayHedge(c *command, v *verb) bool {
+	refill := hedgesPerCall * v.calls.rate(b.now, callSpanSeconds, b.start)
+	tokens := v.hedgeBudget.read(b.now, refill, max(1, hedgeBurstSeconds*refill))
 	return v.Effect != Effectful && b.limits.Hedges && len(c.relays) < b.limits.MaxRelays &&
-		tokens-float64(v.pendingLosers) >= 1 && b.withinBudget(copyBudgetShare) && v.breaker.allows(b.now) &&
+		tokens-float64(v.pendingLosers) >= 1 && b.withinBudget(hedgeBudgetShare) && v.breaker.allows(b.now) &&
 		b.serviceBreaker.allows(b.now) && !b.mostRelaysSlow()
 }
 
@@ -935,7 +935,7 @@
 	return budget.Span == 0 || b.extraRelays.upperBound(windowStart-b.tick)+1 <= max(min(1, allowed), share*allowed)
 }
 
-// mostRelaysSlow reports whether relays are slow everywhere: the delay quantile is stale, and copies would only
+// mostRelaysSlow reports whether relays are slow everywhere: the delay quantile is stale, and hedges would only
 // add load.
 func (b *Balancer) mostRelaysSlow() bool {
 	return b.relaysLate.read(b.now, slowSpanSeconds)-slowSlackRelays > slowRelayShare*b.relaysSent.read(b.now, slowSpanSeconds)
@@ -1000,7 +1000,7 @@
 			b.answered.add(now, callSpanSeconds, 1)
 		}
 		if result == Answered && !c.streaming && !c.stalled { // a stream's duration depends on its length and its client
-			// Measured from the first relay: a faster copy must not hide how slow the first relay was.
+			// Measured from the first relay: a faster hedge must not hide how slow the first relay was.
 			v.latencies.add(now, now-c.relays[0].sentAt)
 			b.allLatencies.add(now, now-c.relays[0].sentAt)
 		}
--- a/balance/conditions_test.go
+++ b/balance/conditions_test.go
@@ -493,7 +493,7 @@
 	for _, off := range []float64{1.2, 4.8} {
 		h := startBalancer(t, setup{verb: Verb{Effect: Pure, Goal: 1, TimeLimit: 7, Utility: 1, LateUtility: 0.2},
 			limits: Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, DeadlineError: off}})
-		h.serve(1, 60, 0.1) // so that the copy delay is learned
+		h.serve(1, 60, 0.1) // so that the hedge delay is learned
 		before := len(h.relays)
 		for cmd := uint64(101); cmd <= 140; cmd++ {
 			h.b.CommandReceived(h.now, cmd, 0, 0, h.now+2+off, 0) // its client waits for 2 s
@@ -512,7 +512,7 @@
 			t.Errorf("off by %.1f s: %d relays after the true deadline", off, len(h.relays)-sent)
 		}
 		if more := sent - before - 40; more > 8 { // the bucket of 60 commands, not one per late command
-			t.Errorf("off by %.1f s: %d copies of 40 commands", off, more)
+			t.Errorf("off by %.1f s: %d hedges of 40 commands", off, more)
 		}
 		if h.advanceTo(h.now + 8); len(h.ended) != 100 {
 			t.Errorf("off by %.1f s: %d of 100 commands have a final answer", off, len(h.ended))
--- a/balance/coordinator_test.go
+++ b/balance/coordinator_test.go
@@ -225,7 +225,7 @@
 func TestConfigure(t *testing.T) {
 	h := startBalancer(t, setup{})
 	h.serve(1, 100, 0.1)
-	delay, _ := h.b.copyDelay(h.b.verbs[0])
+	delay, _ := h.b.hedgeDelay(h.b.verbs[0])
 	h.b.CommandReceived(h.now, 500, 0, 0, h.now+6, 0)
 	configure := func(previous int) {
 		h.b.Configure(h.now, 0.005, Placement{Instances: 1},
@@ -235,7 +235,7 @@
 			ColdStart{InitialCapacity: 0.2, WarmUp: 10, OverloadMultiple: 3}, false)
 	}
 	configure(0)
-	if d, learned := h.b.copyDelay(h.b.verbs[1]); !learned || d != delay {
+	if d, learned := h.b.hedgeDelay(h.b.verbs[1]); !learned || d != delay {
 		t.Errorf("the verb's delay was %v, and is %v under another index", delay, d)
 	}
 	h.outcome(500, 0, Errored) // its verb was pure when it arrived, so it may run again
--- a/balance/failing_test.go
+++ b/balance/failing_test.go
@@ -44,7 +44,7 @@
 		h.advanceTo(h.now + 0.02)
 		h.b.StreamStarted(h.now, cmd, 0)
 	}
-	h.advanceTo(h.now + 20) // past every limit: none is ended, none copied
+	h.advanceTo(h.now + 20) // past every limit: none is ended, none hedged
 	if len(h.terminated)+len(h.declined)+len(h.cancels) > 0 || len(h.relays) != 60 {
 		t.Errorf("terminated %v, declined %v, cancelled %v, %d relays", h.terminated, h.declined, h.cancels, len(h.relays))
 	}
--- a/balance/guarantees_test.go
+++ b/balance/guarantees_test.go
@@ -77,7 +77,7 @@
 			t.Errorf("sent to %v", to)
 		}
 	})
-	t.Run("an effectful command gets no copy", func(t *testing.T) {
+	t.Run("an effectful command gets no hedge", func(t *testing.T) {
 		h := startBalancer(t, verb(Effectful, ScopeAll))
 		h.b.CommandReceived(h.now, 1, 0, 0, h.now+6, 0)
 		h.advanceTo(h.now + 5)
@@ -98,7 +98,7 @@
 		h.b.CommandReceived(h.now, 9, 0, 0, h.now+6, 0)
 		h.advanceTo(h.now + 5.5)
 		h.outcome(9, 0, Errored)
-		for n := range h.relaysOf(9)[1:] { // a copy may have gone out within the window
+		for n := range h.relaysOf(9)[1:] { // a hedge may have gone out within the window
 			h.outcome(9, n+1, Errored)
 		}
 		if slices.Contains(h.declined, 9) || !slices.Contains(h.terminated, 9) {
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -111,7 +111,7 @@
 		h.advanceTo(h.now + latency)
 		h.b.RelayEnded(h.now, id, 0, Answered, latency, true, LoadReport{})
 		h.ended[id] = true
-		for n := range h.relaysOf(id) { // losing copies end soon after, cancelled or not
+		for n := range h.relaysOf(id) { // losing relays end soon after, cancelled or not
 			h.b.RelayEnded(h.now, id, n, Answered, latency, true, LoadReport{})
 		}
 	}
--- a/balance/host.go
+++ b/balance/host.go
@@ -74,7 +74,7 @@
 // Limits describes what an instance may do.
 type Limits struct {
 	MaxRelays        int         // relays per command
-	Hedges           bool        // a late relay may be repeated at another backend
+	Hedges           bool        // a late relay may be hedged: relayed to another backend too
 	CancelRelays     bool        // a pending relay can be cancelled
 	MaxRetryAfter    float64     // longest wait in seconds that clients can be advised, 0 if they cannot be advised
 	PeerMessages     bool        // the instance may send messages to its peers
--- a/balance/instance.go
+++ b/balance/instance.go
@@ -13,8 +13,8 @@
 type verbState struct {
 	latencies     latencySketch
 	calls         decayingSum
-	copyBudget    tokenBucket
-	pendingLosers int // losing copies that are still pending
+	hedgeBudget   tokenBucket
+	pendingLosers int // losing relays that are still pending
 	breaker       breaker
 }
 
@@ -42,7 +42,7 @@
 	oldVerbs, oldAllowances, oldCustomerIDs := b.verbs, b.allowances, b.customerIDs
 	b.verbs, b.customers, b.allowances, b.customerIDs = nil, customers, nil, nil
 	for _, v := range verbs {
-		state := &verbState{copyBudget: tokenBucket{0, now}, latencies: newLatencySketch(now)}
+		state := &verbState{hedgeBudget: tokenBucket{0, now}, latencies: newLatencySketch(now)}
 		if v.PreviousIndex >= 0 && v.PreviousIndex < len(oldVerbs) {
 			state = oldVerbs[v.PreviousIndex].verbState
 		}
--- a/balance/scale_test.go
+++ b/balance/scale_test.go
@@ -75,24 +75,24 @@
 }
 
 func TestFewAnswers(t *testing.T) {
-	t.Run("hundreds of new instances do not all send copies", func(t *testing.T) {
-		copies := 0
+	t.Run("hundreds of new instances do not all send hedges", func(t *testing.T) {
+		hedges := 0
 		for _, h := range startInstances(t, 300, warmBackends(40), setup{}) {
 			h.b.CommandReceived(h.now, 1, 0, 0, h.now+6, 0)
 			h.advanceTo(h.now + 1)
-			copies += len(h.relays) - 1
+			hedges += len(h.relays) - 1
 		}
-		if copies > 0 {
-			t.Errorf("%d copies of 300 first commands", copies)
+		if hedges > 0 {
+			t.Errorf("%d hedges of 300 first commands", hedges)
 		}
 	})
 	t.Run("a rare verb uses the latencies of all verbs", func(t *testing.T) {
 		h := startBalancer(t, setup{})
-		if d, learned := h.b.copyDelay(h.b.verbs[1]); learned || d < 1 {
+		if d, learned := h.b.hedgeDelay(h.b.verbs[1]); learned || d < 1 {
 			t.Errorf("%v s before any answer", d)
 		}
 		h.serve(1, 100, 0.1)
-		if d, learned := h.b.copyDelay(h.b.verbs[1]); !learned || d > 0.11 {
+		if d, learned := h.b.hedgeDelay(h.b.verbs[1]); !learned || d > 0.11 {
 			t.Errorf("%v s once another verb is known", d)
 		}
 	})
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -23,8 +23,8 @@
 		return n
 	}
 	n := restored(1, nil)
-	if d, learned := n.b.copyDelay(n.b.verbs[0]); !learned || math.Abs(d-h.b.verbs[0].latencies.lateAfter(h.now)) > 0.01 {
-		t.Errorf("copy delay %.3f s (learned %t), was %.3f s", d, learned, h.b.verbs[0].latencies.lateAfter(h.now))
+	if d, learned := n.b.hedgeDelay(n.b.verbs[0]); !learned || math.Abs(d-h.b.verbs[0].latencies.lateAfter(h.now)) > 0.01 {
+		t.Errorf("hedge delay %.3f s (learned %t), was %.3f s", d, learned, h.b.verbs[0].latencies.lateAfter(h.now))
 	}
 	if n.b.typicalLatency != saved.TypicalLatency || n.b.baseline != saved.BaselineInFlight ||
 		n.b.arrivals.UsualRate() != saved.ArrivalRate || n.b.incarnation <= saved.Incarnation {
@@ -43,7 +43,7 @@
 				ArrivalRate: math.NaN(), AllLatencies: []byte{1, 2, 250}, VerbLatencies: [][]byte{{9}, {}, {7}, {8}},
 				Weights: map[BackendID]float64{id(1): math.NaN(), id(2): 1e9, {}: 1}}
 		})} {
-		_, learned := n.b.copyDelay(n.b.verbs[0])
+		_, learned := n.b.hedgeDelay(n.b.verbs[0])
 		if learned || n.b.typicalLatency != 0 || n.b.inFlightPerBackend != initialInFlightPerBackend ||
 			n.b.arrivals.UsualRate() != 0 {
 			t.Errorf("%s: learned %t, typical latency %v, limit %v, rate %v", name, learned,
