--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -128,7 +128,7 @@
 }
 
 // Start starts the worker. It is called on the loop's goroutine or before the loop runs. apply is called on the loop with a
-// configuration that passed Check. RunPending must be called in each turn of the loop from now on. Open connects to a replica.
+// configuration that passed Check. RunPending must be called in each iteration from now on. Open connects to a replica.
 func (c *Client) Start(l *loop.Loop, apply func(ReloadableConfig) error) {
 	if c == nil {
 		return
--- a/internal/configwatch/client_test.go
+++ b/internal/configwatch/client_test.go
@@ -141,7 +141,7 @@
 	}
 	r.do(r.Pause)
 	check <- nil
-	r.do(func() {}) // the turn in which it would have been applied
+	r.do(func() {}) // the iteration in which it would have been applied
 	for !r.Idle() {
 		runtime.Gosched()
 	}
--- a/internal/configwatch/worker.go
+++ b/internal/configwatch/worker.go
@@ -217,7 +217,7 @@
 	pending []func()
 }
 
-// callOnLoop queues f for the loop's next turn.
+// callOnLoop queues f for the loop's next iteration.
 func (c *Client) callOnLoop(f func()) {
 	c.calls.mutex.Lock()
 	c.calls.pending = append(c.calls.pending, f)
--- a/internal/proxy/backends.go
+++ b/internal/proxy/backends.go
@@ -146,7 +146,7 @@
 		p.closeOldestIdleConn()
 	}
 	if len(p.backends.conns) >= p.backends.maxConns {
-		p.reportNextTurn(r, balance.NotSent) // no descriptor: the relay was never sent, and the backend is not at fault
+		p.reportNextIteration(r, balance.NotSent) // no descriptor: the relay was never sent, and the backend is not at fault
 		return
 	}
 	bc := &backendConn{p: p, backend: b, addr: b.addr, sinceMs: b.sinceMs, relay: r}
@@ -156,7 +156,7 @@
 	bc.timer = p.loop.After(p.network.ConnectTimeout, bc.connectTimedOut)
 	if err := bc.dial(); err != nil {
 		bc.close()
-		p.reportNextTurn(r, balance.ConnectFailed)
+		p.reportNextIteration(r, balance.ConnectFailed)
 	}
 }
 
@@ -480,8 +480,8 @@
 	p.removeIfFinished(r.cmd)
 }
 
-// reportNextTurn reports the outcome in the next turn of the loop.
-func (p *Proxy) reportNextTurn(r *relay, result balance.Result) {
+// reportNextIteration reports the outcome in the next iteration of the loop.
+func (p *Proxy) reportNextIteration(r *relay, result balance.Result) {
 	r.ended, r.conn = true, nil
 	p.loop.Post(func() { p.reportOutcome(r, result) })
 }
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -429,7 +429,7 @@
 	c.reply(status, text+"\n", false)
 }
 
-// finishAnswer ends the current command after its answer was written. The next command is read on the next turn of the loop, or
+// finishAnswer ends the current command after its answer was written. The next command is read in the next iteration, or
 // the connection is closed.
 func (c *clientConn) finishAnswer(keep bool) {
 	if c.cmd != nil {
--- a/internal/proxy/helper_test.go
+++ b/internal/proxy/helper_test.go
@@ -165,7 +165,7 @@
 	return runProxyWithHook(t, p, func() {})
 }
 
-// runProxyWithHook is like runProxy with a function that is called on the loop in every turn, and may block it.
+// runProxyWithHook is like runProxy with a function that is called on the loop in every iteration, and may block it.
 func runProxyWithHook(t *testing.T, p *Proxy, hook func()) *testProxy {
 	t.Helper()
 	r := &testProxy{Proxy: p, runResult: make(chan error, 1), loopCalls: make(chan func(), 1)}
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -1,5 +1,5 @@
 // This file implements balance.Host: the Balancer's decisions are carried out on the sockets. These methods must not call
-// the Balancer; a result that is known at once is reported on the next turn of the loop.
+// the Balancer; a result that is known at once is reported in the next iteration of the loop.
 
 package proxy
 
@@ -20,13 +20,13 @@
 	cmd.relays = append(cmd.relays, r)
 	cmd.openRelays++
 	if cmd.client == nil || cmd.streamed || r.backend == nil || r.backend.state != balance.Ready {
-		p.reportNextTurn(r, balance.NotSent)
+		p.reportNextIteration(r, balance.NotSent)
 		return
 	}
 	if c := cmd.client; c.disconnectPending() {
 		// Before the outcome is reported, since that would start another relay.
 		p.loop.Post(func() { c.OnDisconnect(c.conn, io.EOF) })
-		p.reportNextTurn(r, balance.NotSent)
+		p.reportNextIteration(r, balance.NotSent)
 		return
 	}
 	p.sendRelay(r)
@@ -40,7 +40,7 @@
 	}
 	r := cmd.relays[index]
 	r.conn.close()
-	p.reportNextTurn(r, balance.Cancelled)
+	p.reportNextIteration(r, balance.Cancelled)
 }
 
 // Decline answers a command with 503: it has not run, so a retry is harmless. retryAfter is in seconds.
@@ -48,7 +48,7 @@
 	if cmd := p.commands[id]; cmd != nil {
 		p.declinedCount++
 		p.answerClient(cmd, 503, retryAfter, nil)
-		p.removeNextTurn(cmd)
+		p.removeNextIteration(cmd)
 	}
 }
 
@@ -57,12 +57,12 @@
 	if cmd := p.commands[id]; cmd != nil {
 		p.terminatedCount++
 		p.answerClient(cmd, 502, 0, nil)
-		p.removeNextTurn(cmd)
+		p.removeNextIteration(cmd)
 	}
 }
 
-// removeNextTurn removes an ended command on the next turn, after the Balancer has made all its calls for it.
-func (p *Proxy) removeNextTurn(cmd *command) {
+// removeNextIteration removes an ended command in the next iteration, after the Balancer has made all its calls for it.
+func (p *Proxy) removeNextIteration(cmd *command) {
 	p.loop.Post(func() { p.removeIfFinished(cmd) })
 }
 
--- a/internal/proxy/large_test.go
+++ b/internal/proxy/large_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// BenchmarkListOfTwoThousand measures the turn of the loop in which the last part of such a list arrives: the list is decoded,
+// BenchmarkListOfTwoThousand measures the iteration in which the last part of such a list arrives: the list is decoded,
 // applied and passed to the Balancer.
 func BenchmarkListOfTwoThousand(b *testing.B) {
 	unusedListener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -17,10 +17,10 @@
 	"sandpass/balance"
 )
 
-// These tests cover races between two events. Each forces the harmful order, or the same turn of the loop, by holding
+// These tests cover races between two events. Each forces the harmful order, or the same iteration of the loop, by holding
 // the loop until the other event has happened, so that the result doesn't depend on the machine's load.
 
-// waitUntil waits, in a held turn, for something outside the loop.
+// waitUntil waits, in a blocked iteration, for something outside the loop.
 func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !done(); time.Sleep(time.Millisecond) {
@@ -261,7 +261,7 @@
 			p := runProxy(t, newTestProxy(t, 200, "", first))
 			wantWatchRequest(t, askedFirst, "/api/targets?follow=1")
 			p.await(t, "the list is received", func() bool { return p.watch.hasList })
-			// Both in one turn: the old server's last bytes are in the kernel when the new configuration is applied.
+			// Both in one iteration: the old server's last bytes are in the kernel when the new configuration is applied.
 			p.onLoop(func() {
 				sendLast <- true
 				if <-sent; name == "its reconnect" {
@@ -337,7 +337,7 @@
 // commands returns how many commands both have received.
 func (x *trap) commands() int32 { return x.backends[0].commands.Load() + x.backends[1].commands.Load() }
 
-// If the failure of a relay and the client's disconnect are handled in the same turn, the failure first, no further
+// If the failure of a relay and the client's disconnect are handled in the same iteration, the failure first, no further
 // relay may be sent.
 func TestClientDisconnectsAsRelayFails(t *testing.T) {
 	t.Parallel()
@@ -365,7 +365,7 @@
 	}
 }
 
-// If a connection to a backend opens in the turn in which the client's disconnect is still unread, nothing may be
+// If a connection to a backend opens in the iteration in which the client's disconnect is still unread, nothing may be
 // written to it.
 func TestClientDisconnectsAsBackendConnects(t *testing.T) {
 	t.Parallel()
