--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -23,7 +23,7 @@
 	BaselineInFlight, InFlightPerBackend, ArrivalRate float64
 	AllLatencies                                      []byte
 	VerbLatencies                                     [][]byte
-	Weights                                           map[BackendID]float64
+	BackendWeights                                    map[BackendID]float64
 }
 
 // encode returns both sketches merged, or nil if they hold too few answers to be useful.
@@ -56,13 +56,13 @@
 func (b *Balancer) Snapshot() Snapshot {
 	s := Snapshot{Incarnation: b.incarnation, TypicalLatency: b.typicalLatency, BaselineInFlight: b.baseline,
 		InFlightPerBackend: b.inFlightPerBackend,
-		ArrivalRate:        b.arrivals.UsualRate(), AllLatencies: b.allLatencies.encode(), Weights: map[BackendID]float64{}}
+		ArrivalRate:        b.arrivals.UsualRate(), AllLatencies: b.allLatencies.encode(), BackendWeights: map[BackendID]float64{}}
 	for _, v := range b.verbs {
 		s.VerbLatencies = append(s.VerbLatencies, v.latencies.encode())
 	}
 	for _, be := range b.fleet {
 		if be.State == Ready && b.isWarm(be) {
-			s.Weights[be.ID] = be.weight
+			s.BackendWeights[be.ID] = be.weight
 		}
 	}
 	return s
@@ -103,7 +103,7 @@
 	}
 	if weight := weightAt(weightMaxAgeSeconds); weight > 0 {
 		for _, be := range b.fleet {
-			if w, ok := s.Weights[be.ID]; ok && valid(w, maxWeight) && be.State == Ready && b.isWarm(be) {
+			if w, ok := s.BackendWeights[be.ID]; ok && valid(w, maxWeight) && be.State == Ready && b.isWarm(be) {
 				be.weight = max(minWeight, 1+(w-1)*weight)
 			}
 		}
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -41,7 +41,7 @@
 		"invalid values": restored(1, func(s *Snapshot) {
 			*s = Snapshot{TypicalLatency: math.NaN(), BaselineInFlight: math.Inf(1), InFlightPerBackend: -1,
 				ArrivalRate: math.NaN(), AllLatencies: []byte{1, 2, 250}, VerbLatencies: [][]byte{{9}, {}, {7}, {8}},
-				Weights: map[BackendID]float64{id(1): math.NaN(), id(2): 1e9, {}: 1}}
+				BackendWeights: map[BackendID]float64{id(1): math.NaN(), id(2): 1e9, {}: 1}}
 		})} {
 		_, learned := n.b.hedgeDelay(n.b.verbs[0])
 		if learned || n.b.typicalLatency != 0 || n.b.inFlightPerBackend != initialInFlightPerBackend ||
@@ -65,7 +65,7 @@
 func TestRestartedBackendGetsNoSavedWeight(t *testing.T) {
 	h := startBalancer(t, setup{})
 	saved := h.b.Snapshot()
-	saved.Weights[id(1)] = 0.1
+	saved.BackendWeights[id(1)] = 0.1
 	list := warmBackends(6)
 	list[1].StartedAt = h.now
 	h.b.UpdateBackends(h.now, true, list)
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -18,7 +18,7 @@
 
 // Listener accepts connections at one address or socket path.
 type Listener struct {
-	Address       netip.AddrPort // address to which the socket is bound
+	Addr          netip.AddrPort // address to which the socket is bound
 	loop          *Loop
 	fd            int
 	maxUnconsumed int // upper bound of a connection's unconsumed bytes
@@ -55,7 +55,7 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen at %s: %w", address, err)
 	}
-	s.Address = localAddress(fd)
+	s.Addr = localAddress(fd)
 	return s, nil
 }
 
--- a/internal/loop/local.go
+++ b/internal/loop/local.go
@@ -31,7 +31,7 @@
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
 	s := &Listener{loop: l, fd: fd, maxUnconsumed: maxUnconsumed, hasRoom: hasRoom, onAccept: onAccept,
-		onExhausted: onExhausted, paused: true, Address: actual}
+		onExhausted: onExhausted, paused: true, Addr: actual}
 	if err := l.register(fd, s, 0); err != nil {
 		return nil, err
 	}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -63,7 +63,7 @@
 // dial connects to the listener.
 func dial(t *testing.T, s *Listener) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", s.Address.String())
+	c, err := net.Dial("tcp", s.Addr.String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 		for range 5 {
 			dial(t, s)
 		}
-		at := s.Address.String()
+		at := s.Addr.String()
 		s.DrainAndClose()
 		if accepted != 5 {
 			t.Errorf("accepted %d of 5 connections", accepted)
--- a/internal/proxy/admin_test.go
+++ b/internal/proxy/admin_test.go
@@ -27,7 +27,7 @@
 // dialAdmin connects to the admin endpoint.
 func (r *testProxy) dialAdmin(t *testing.T) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", r.admin.listener.Address.String())
+	c, err := net.Dial("tcp", r.admin.listener.Addr.String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -235,7 +235,7 @@
 }
 
 // Addr returns the address that the proxy listens on.
-func (p *Proxy) Addr() netip.AddrPort { return p.listener.Address }
+func (p *Proxy) Addr() netip.AddrPort { return p.listener.Addr }
 
 // WakeUp wakes the event loop, so that it checks for a shutdown request. It may be called from any goroutine.
 func (p *Proxy) WakeUp() { p.loop.WakeUp() }
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -82,13 +82,13 @@
 	learned := balance.Snapshot{Incarnation: saved.Incarnation, TypicalLatency: saved.TypicalLatency,
 		BaselineInFlight: saved.BaselineInFlight, InFlightPerBackend: saved.InFlightPerBackend,
 		ArrivalRate: saved.ArrivalRate, AllLatencies: saved.AllLatencies,
-		Weights: map[balance.BackendID]float64{}}
+		BackendWeights: map[balance.BackendID]float64{}}
 	for _, v := range p.names.Verbs {
 		learned.VerbLatencies = append(learned.VerbLatencies, saved.VerbLatencies[v.Name])
 	}
 	for name, weight := range saved.BackendWeights {
 		if b := p.backends.byName[name]; b != nil {
-			learned.Weights[b.id] = weight
+			learned.BackendWeights[b.id] = weight
 		}
 	}
 	p.balancer.Restore(now, learned, age)
@@ -158,7 +158,7 @@
 		s.VerbLatencies[v.Name] = learned.VerbLatencies[i]
 	}
 	for _, b := range p.backends.byName {
-		if weight, ok := learned.Weights[b.id]; ok {
+		if weight, ok := learned.BackendWeights[b.id]; ok {
 			s.BackendWeights[b.name] = weight
 		}
 	}
--- a/internal/proxy/startup.go
+++ b/internal/proxy/startup.go
@@ -61,7 +61,7 @@
 		p.onDescriptorShortage); err != nil {
 		return fmt.Errorf("socket: %w", err)
 	}
-	p.handover.socketPath = handoverSocketPath(p.listener.Address.String())
+	p.handover.socketPath = handoverSocketPath(p.listener.Addr.String())
 	return nil
 }
 
