--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -52,14 +52,14 @@
 // the loss is new or its reason changed: while discovery stays unreachable, that is logged once. random is from 0 to 1 and
 // gives the jitter. The backoff is reset only after a connection that lasted a heartbeat: a server that ends each response at
 // once must not be asked ten times a second.
-func (w *Watch) ConnectionLost(now float64, reason string, random float64) (wait float64, changed bool) {
+func (w *Watch) ConnectionLost(now float64, reason string, random float64) (wait float64, isNew bool) {
 	if w.firstLineAt > 0 && now-w.firstLineAt >= heartbeatSeconds {
 		w.backoff = 0
 	}
-	changed = !w.Lost || reason != w.lossReason
+	isNew = !w.Lost || reason != w.lossReason
 	w.Lost, w.lossReason, w.firstLineAt = true, reason, 0
 	w.backoff = min(maxBackoffSeconds, max(minBackoffSeconds, 2*w.backoff))
-	return w.backoff * (0.5 + 0.5*random), changed
+	return w.backoff * (0.5 + 0.5*random), isNew
 }
 
 // ResetBackoff forgets the backoff when another discovery server is used from now on.
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -29,8 +29,8 @@
 		if w.LineReceived(now + 0.01); w.Lost {
 			t.Error("still lost after a line was received")
 		}
-		if wait, changed := w.ConnectionLost(now+0.1, "the response ended", 1); wait != want || !changed {
-			t.Errorf("wait number %d is %v, new %t", i+1, wait, changed)
+		if wait, isNew := w.ConnectionLost(now+0.1, "the response ended", 1); wait != want || !isNew {
+			t.Errorf("wait number %d is %v, new %t", i+1, wait, isNew)
 		}
 		now += 2
 	}
@@ -40,10 +40,10 @@
 	if wait, _ := w.ConnectionLost(now+heartbeatSeconds, "silent", 0); wait != minBackoffSeconds/2 {
 		t.Errorf("wait of %v s after a connection that lasted", wait)
 	}
-	if _, changed := w.ConnectionLost(now+3, "refused", 0); !changed {
+	if _, isNew := w.ConnectionLost(now+3, "refused", 0); !isNew {
 		t.Error("a loss with another reason is not reported as new")
 	}
-	if _, changed := w.ConnectionLost(now+4, "refused", 0); changed {
+	if _, isNew := w.ConnectionLost(now+4, "refused", 0); isNew {
 		t.Error("a loss with the same reason is reported as new")
 	}
 	if recovered := w.LineReceived(now + 5); !recovered || w.Lost || !w.Received {
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -40,19 +40,19 @@
 // handoverMessage is one line between the two processes. Unknown fields are ignored; a larger version is
 // incompatible.
 type handoverMessage struct {
-	Version     int             `json:"v"`
-	Kind        string          `json:"say"` // hello, state, serving, holds, call, done
-	Discovery   string          `json:"discovery,omitempty"`
-	List        *endpointUpdate `json:"list,omitempty"`
-	Maintenance *maintenance    `json:"maintenance,omitempty"`
-	Ages        *processAges    `json:"ages,omitempty"`
-	AgesOnly    bool            `json:"-"` // apply only the ages of the list
-	Drained     bool            `json:"drained,omitempty"`
-	Sockets     int             `json:"sockets,omitempty"`
-	Number      int             `json:"number,omitempty"`
-	Operation   string          `json:"call,omitempty"`
-	ID          string          `json:"id,omitempty"`
-	Error       string          `json:"failed,omitempty"` // why the operation was not persisted
+	Version       int             `json:"v"`
+	Kind          string          `json:"say"` // hello, state, serving, holds, call, done
+	Discovery     string          `json:"discovery,omitempty"`
+	Endpoints     *endpointUpdate `json:"list,omitempty"`
+	Maintenance   *maintenance    `json:"maintenance,omitempty"`
+	StartAges     *processAges    `json:"ages,omitempty"`
+	StartAgesOnly bool            `json:"-"` // apply only the start ages of the endpoints
+	Drained       bool            `json:"drained,omitempty"`
+	Sockets       int             `json:"sockets,omitempty"`
+	Number        int             `json:"number,omitempty"`
+	Operation     string          `json:"call,omitempty"`
+	ID            string          `json:"id,omitempty"`
+	Error         string          `json:"failed,omitempty"` // why the operation was not persisted
 }
 
 // handover is this process's state between its predecessor and its successor.
@@ -360,8 +360,8 @@
 		}
 	}
 	slices.SortFunc(list.Endpoints, func(a, b endpoint) int { return strings.Compare(a.Name, b.Name) })
-	return handoverMessage{Kind: "state", Discovery: p.watch.addr.String(), List: list, Maintenance: &p.maintenance,
-		Ages: p.collectAges(), Drained: p.drain.active}
+	return handoverMessage{Kind: "state", Discovery: p.watch.addr.String(), Endpoints: list, Maintenance: &p.maintenance,
+		StartAges: p.collectAges(), Drained: p.drain.active}
 }
 
 // applyState continues from the predecessor's state, which is elapsed seconds old. The list's index is valid only for
@@ -370,9 +370,9 @@
 	if msg.Maintenance != nil {
 		p.maintenance = *msg.Maintenance
 	}
-	p.applyAges(msg.Ages, msg.List, elapsed)
-	if msg.List != nil && !msg.AgesOnly && !p.watch.Received {
-		p.applyEndpoints(msg.List)
+	p.applyAges(msg.StartAges, msg.Endpoints, elapsed)
+	if msg.Endpoints != nil && !msg.StartAgesOnly && !p.watch.Received {
+		p.applyEndpoints(msg.Endpoints)
 		p.watch.hasList = msg.Discovery == p.watch.addr.String()
 	} else {
 		for _, name := range slices.Sorted(maps.Keys(p.backends.byName)) {
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -70,13 +70,13 @@
 	var requests maintenance
 	var ages processAges
 	if len(saved.Endpoints) > 0 && age < maxListAgeSeconds && json.Unmarshal(saved.Endpoints, &list) == nil {
-		state.List, state.AgesOnly = &list, known != nil && known.Index > list.Index
+		state.Endpoints, state.StartAgesOnly = &list, known != nil && known.Index > list.Index
 	}
 	if len(saved.Maintenance) > 0 && json.Unmarshal(saved.Maintenance, &requests) == nil {
 		state.Maintenance = &requests
 	}
 	if len(saved.StartAges) > 0 && json.Unmarshal(saved.StartAges, &ages) == nil {
-		state.Ages = &ages
+		state.StartAges = &ages
 	}
 	p.applyState(&state, elapsedSince(saved.SavedAt))
 	learned := balance.Snapshot{Incarnation: saved.Incarnation, TypicalLatency: saved.TypicalLatency,
@@ -162,7 +162,7 @@
 			s.BackendWeights[b.name] = weight
 		}
 	}
-	list, ages := state.List, state.Ages
+	list, ages := state.Endpoints, state.StartAges
 	requests := maintenance{maps.Clone(p.maintenance.Cordoned), maps.Clone(p.maintenance.Uncordoned)}
 	stats.writer.Put(func() (*snapshot.State, error) {
 		var errs [3]error
--- a/internal/proxy/starttimes.go
+++ b/internal/proxy/starttimes.go
@@ -37,7 +37,7 @@
 	if sinceMs > 0 {
 		started = min(started, now)
 	}
-	if sinceMs > 0 && p.watch.listReceived {
+	if sinceMs > 0 && p.watch.listApplied {
 		started = max(started, now-p.balancer.MaxTrustedAge())
 	}
 	p.startTimes[name] = incarnation{sinceMs, started}
--- a/internal/proxy/starttimes_test.go
+++ b/internal/proxy/starttimes_test.go
@@ -95,7 +95,7 @@
 		if ages := agesOf(next); math.Abs(ages["s-young"]-3) > 1 || math.Abs(ages["s-uncordoned"]) > 1 || ages["s-old"] < 3600 {
 			t.Errorf("clock off by %.0f s: ages %v", step, ages)
 		}
-		withoutAges.Ages = nil
+		withoutAges.StartAges = nil
 		fromEarlier := newUnstartedProxy(t, testConfig("", nil, settingsText))
 		fromEarlier.applyState(&withoutAges, 0)
 		for name, age := range agesOf(fromEarlier) {
@@ -113,7 +113,7 @@
 	apply := func(text string) {
 		u := parseUpdate(t, text)
 		p.applyEndpoints(u)
-		p.watch.listReceived = true
+		p.watch.listApplied = true
 	}
 	age := func() float64 { return p.loop.Now() - p.backends.byName["s-a"].listed.StartedAt }
 	first, restarted := started("s-a", a, 100), started("s-a", a, 50)
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -41,11 +41,11 @@
 // endpointWatch is the watch on discovery.
 type endpointWatch struct {
 	*watch.Client
-	addr         netip.AddrPort // discovery's address
-	index        int64
-	hasList      bool           // a whole list was received
-	listReceived bool           // a whole list was received and applied: backends that appear later have just started
-	pending      endpointUpdate // decoded, not yet applied
+	addr        netip.AddrPort // discovery's address
+	index       int64
+	hasList     bool           // a whole list was received from this address
+	listApplied bool           // a whole list was applied since the start: backends that appear later have just started
+	pending     endpointUpdate // decoded, not yet applied
 }
 
 // watchDiscovery moves the watch to another address. Indexes may differ there, so the whole list is requested; the
@@ -85,7 +85,7 @@
 	if h.p.applyEndpoints(&update); !h.p.watch.hasList {
 		return errors.New("changes received before a whole list")
 	}
-	h.p.watch.listReceived = true
+	h.p.watch.listApplied = true
 	return nil
 }
 
@@ -93,8 +93,8 @@
 func (h endpointWatcher) Reconnected() { log.Printf("msg=watch_back index=%d", h.p.watch.index) }
 
 // Disconnected logs the loss of the watch, if it is new, and tells the Balancer.
-func (h endpointWatcher) Disconnected(err error, news bool) {
-	if w := &h.p.watch; news {
+func (h endpointWatcher) Disconnected(err error, isNew bool) {
+	if w := &h.p.watch; isNew {
 		log.Printf("msg=watch_lost error=%q index=%d byte=%d", err, w.index, w.BodyBytesReceived())
 	}
 	h.p.balancer.BackendListFailed(h.p.loop.Now())
