--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -69,6 +69,9 @@
 }
 
 // check validates a command without regard to the state. The error is an *InvalidCommandError.
+//
+// The outcome of a refused command carries the error text, and outcomes are stored in the replicated state. All replicas must
+// produce the same texts, also while two versions run side by side, so the texts must not be changed.
 func (c Command) check() error {
 	if c.ID == "" {
 		return &InvalidCommandError{Reason: "it has no ID"}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -140,7 +140,8 @@
 	s.documentBytes += len(entry.Document)
 }
 
-// checkLimits returns a *LimitError if a new revision would exceed a limit of the state.
+// checkLimits returns a *LimitError if a new revision would exceed a limit of the state. Its Resource is stored in the
+// replicated state, so all replicas must produce the same texts and the texts must not be changed.
 func (s *State) checkLimits(a ApplyCommand, existing chain, documentBytes int) error {
 	if len(existing) == 0 && len(s.chains) >= MaxScopes {
 		return &LimitError{Resource: "scopes", Limit: MaxScopes}
--- a/internal/revision/document.go
+++ b/internal/revision/document.go
@@ -26,6 +26,9 @@
 
 // Canonicalize parses a document that a user wrote. Its errors are one line; they name the line and column of invalid JSON, or
 // the key whose value is null, which a merge patch could not represent.
+//
+// The control replicas store these error texts in the replicated state, as part of a refused command's outcome. All replicas
+// must produce the same ones, also while two versions run side by side, so the texts must not be changed.
 func Canonicalize(text []byte) (Document, error) {
 	if len(text) > MaxDocumentBytes {
 		return nil, fmt.Errorf("the document has %d bytes, %d are allowed", len(text), MaxDocumentBytes)
