--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -802,7 +802,7 @@
 	return slices.ContainsFunc(c.relays, func(r relay) bool { return r.to == be })
 }
 
-// CommandReceived adds a command, which from now on is owed exactly one final answer before it expires.
+// CommandReceived adds a command. It must be answered, declined or terminated exactly once, before it expires.
 func (b *Balancer) CommandReceived(now float64, id uint64, verb, customer int, expires float64, key uint64) {
 	b.now = now
 	if _, ok := b.commands[id]; ok {
@@ -954,7 +954,7 @@
 	}
 }
 
-// ClientDisconnected reports that the client is gone: no answer is owed, and pending relays are cancelled.
+// ClientDisconnected reports that the client is gone: no answer is needed, and pending relays are cancelled.
 func (b *Balancer) ClientDisconnected(now float64, id uint64) {
 	b.now = now
 	if c, ok := b.commands[id]; ok {
--- a/balance/coordinator_test.go
+++ b/balance/coordinator_test.go
@@ -271,7 +271,7 @@
 		return len(h.relaysOf(id)) > 0
 	}
 	for round := range 10 {
-		for i, h := range hosts[:5] { // other instances each round, none of which is heard again
+		for i, h := range hosts[:5] { // other instances each round, none of which sends another message
 			h = hosts[round*5+i]
 			if id := uint64(round*100 + i); relayed(id, h) {
 				h.outcome(id, 0, Answered)
--- a/balance/host.go
+++ b/balance/host.go
@@ -26,7 +26,7 @@
 	SendToPeer(to int, data []byte)
 }
 
-// Effect describes what running a command twice would do.
+// Effect tells whether a command may run more than once.
 type Effect int
 
 const (
@@ -57,7 +57,7 @@
 	PreviousIndex int // index of the same verb in the previous settings, -1 if it is new
 }
 
-// Customer is one of those that share the service.
+// Customer is one of the parties that share the service.
 type Customer struct {
 	Allowance     float64 // commands per second within its share, over all proxies
 	PreviousIndex int     // index of the same customer in the previous settings, -1 if it is new
--- a/internal/control/simhistory_test.go
+++ b/internal/control/simhistory_test.go
@@ -60,12 +60,14 @@
 	s.run(s.replicas[message.to-1], true)
 }
 
+// dropAnyMessage loses a random message.
 func (s *sim) dropAnyMessage() {
 	if len(s.network) > 0 {
 		s.removeMessage(s.anyMessage())
 	}
 }
 
+// duplicateAnyMessage lets a random message arrive once more.
 func (s *sim) duplicateAnyMessage() {
 	if len(s.network) > 0 {
 		s.network = append(s.network, s.network[s.anyMessage()])
@@ -84,6 +86,7 @@
 	s.proposeCanaryCommands()
 }
 
+// startAny starts a random replica if it does not run.
 func (s *sim) startAny() {
 	if r := s.anyReplica(); r.node == nil {
 		s.start(r)
@@ -92,16 +95,17 @@
 
 // blockAnyLink blocks one direction between two replicas, or all outgoing links of one replica.
 func (s *sim) blockAnyLink() {
-	from := uint64(1 + s.choose.below("cut from", simReplicas))
-	if s.choose.below("cut all", 3) == 0 {
+	from := uint64(1 + s.choose.below("blocked sender", simReplicas))
+	if s.choose.below("block all", 3) == 0 {
 		for to := range uint64(simReplicas) {
 			s.blockedLinks[[2]uint64{from, to + 1}] = true
 		}
 		return
 	}
-	s.blockedLinks[[2]uint64{from, uint64(1 + s.choose.below("cut to", simReplicas))}] = true
+	s.blockedLinks[[2]uint64{from, uint64(1 + s.choose.below("blocked receiver", simReplicas))}] = true
 }
 
+// campaignAny lets a random replica start an election.
 func (s *sim) campaignAny() {
 	if r := s.anyReplica(); r.node != nil {
 		_ = r.node.Campaign()
--- a/internal/proxy/backends.go
+++ b/internal/proxy/backends.go
@@ -500,7 +500,7 @@
 	}
 }
 
-// terminate ends a command without the Balancer's decision and tells the Balancer that no answer is owed any more.
+// terminate ends a command without the Balancer's decision and informs the Balancer that no answer is needed any more.
 func (p *Proxy) terminate(cmd *command) {
 	p.terminatedCount++
 	p.answerClient(cmd, 502, 0, nil)
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -30,22 +30,22 @@
 
 // Tracker follows one process. Create it with New.
 type Tracker struct {
-	phase            Phase
-	answeredFraction float64 // usual fraction of commands that are answered
-	lateFraction     float64 // usual fraction of answers that are late
-	acceptingSince   float64 // when the process began to accept clients with a list
-	usualSince       float64 // since when results are as usual
-	endedCommands    int     // commands ended since then
-	timeToFull       float64 // seconds
-	timedOut         bool    // full only because maxWarmingSeconds had passed
+	phase          Phase
+	usualAnswered  float64 // usual fraction of commands that are answered
+	usualLate      float64 // usual fraction of answers that are late
+	acceptingSince float64 // when the process began to accept clients with a list
+	usualSince     float64 // since when results are as usual
+	endedCommands  int     // commands ended since then
+	timeToFull     float64 // seconds
+	timedOut       bool    // full only because maxWarmingSeconds had passed
 }
 
-// New creates a tracker. answeredFraction and lateFraction are the usual values from a snapshot; answeredFraction is 0 where they
-// are not known.
-func New(answeredFraction, lateFraction float64) *Tracker {
-	r := &Tracker{answeredFraction: defaultAnswered, lateFraction: defaultLate}
-	if answeredFraction > 0 {
-		r.answeredFraction, r.lateFraction = answeredFraction, lateFraction
+// New creates a tracker. usualAnswered and usualLate are the usual fractions from a snapshot; usualAnswered is 0 where they are
+// not known.
+func New(usualAnswered, usualLate float64) *Tracker {
+	r := &Tracker{usualAnswered: defaultAnswered, usualLate: defaultLate}
+	if usualAnswered > 0 {
+		r.usualAnswered, r.usualLate = usualAnswered, usualLate
 	}
 	return r
 }
@@ -62,7 +62,7 @@
 	case Full:
 		return false
 	}
-	asUsual := float64(answered) >= usualMargin*r.answeredFraction*float64(ended) && lateFraction <= r.lateFraction+lateMargin
+	asUsual := float64(answered) >= usualMargin*r.usualAnswered*float64(ended) && lateFraction <= r.usualLate+lateMargin
 	if !asUsual || !serving {
 		r.usualSince, r.endedCommands = now, 0
 	} else {
