--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -281,7 +281,7 @@
 		return
 	}
 	log.Printf("msg=reloaded discovery=%s siblings=%d messages=%t keys=%t needs_start=%q", p.watch.addr, p.network.PeerCount,
-		p.network.PeerMessages, p.network.WarmKeys, p.restartOnlyChanges(config))
+		p.network.PeerMessages, p.network.KeyAffinity, p.restartOnlyChanges(config))
 }
 
 // applyConfig applies the reloadable parts of a configuration, or none of them if it returns an error.
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -46,8 +46,8 @@
 		return nil
 	}
 	saved, err := snapshot.Load(config.State.Folder, config.State.Fleet, config.Name)
-	var foreign *snapshot.FleetMismatchError
-	if errors.As(err, &foreign) {
+	var mismatch *snapshot.FleetMismatchError
+	if errors.As(err, &mismatch) {
 		return err
 	}
 	if err != nil {
--- a/internal/proxy/starttimes.go
+++ b/internal/proxy/starttimes.go
@@ -15,15 +15,15 @@
 	maxUnlistedStarts = 1024   // limit of start times kept for backends that are not listed
 )
 
-// incarnation is one process of a backend.
-type incarnation struct {
+// backendProcess is one process of a backend.
+type backendProcess struct {
 	sinceMs float64 // as listed, Unix milliseconds
 	started float64 // by the loop's clock; 0 means long ago
 }
 
-// startTimes maps a backend's name to its latest incarnation. It keeps some backends that left the list: one that is
+// startTimes maps a backend's name to its latest process. It keeps some backends that left the list: one that is
 // listed again may be the same process.
-type startTimes map[string]incarnation
+type startTimes map[string]backendProcess
 
 // processStart returns when a listed process started. A process that first appears in a watched list started since
 // the previous update, and now at the latest. Updates may arrive seconds late, and with differing clocks this looks
@@ -40,7 +40,7 @@
 	if sinceMs > 0 && p.watch.listApplied {
 		started = max(started, now-p.balancer.MaxTrustedAge())
 	}
-	p.startTimes[name] = incarnation{sinceMs, started}
+	p.startTimes[name] = backendProcess{sinceMs, started}
 	return started
 }
 
@@ -49,7 +49,7 @@
 	if len(p.startTimes) <= len(p.backends.byName)+maxUnlistedStarts {
 		return
 	}
-	maps.DeleteFunc(p.startTimes, func(name string, _ incarnation) bool { return p.backends.byName[name] == nil })
+	maps.DeleteFunc(p.startTimes, func(name string, _ backendProcess) bool { return p.backends.byName[name] == nil })
 }
 
 // processAges holds for how many seconds the listed backends' processes have run, and how many seconds ago backends
@@ -97,7 +97,7 @@
 		if current, known := p.startTimes[e.Name]; known && current.sinceMs != e.SinceMs {
 			continue // restarted since
 		}
-		next := incarnation{sinceMs: e.SinceMs}
+		next := backendProcess{sinceMs: e.SinceMs}
 		if age, recent := a.Starts[e.Name]; recent {
 			next.started = now - age - elapsed
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,13 +19,13 @@
 	Tier      *int    `json:"tier"`
 	Discovery *string `json:"discovery"`
 	Limits    *struct {
-		Relays        *int     `json:"max_relays"`
-		Hedges        *bool    `json:"second_copies"`
-		Cancel        *bool    `json:"cancel"`
-		RetryAfter    *bool    `json:"retry_after"`
-		MaxRetryAfter *float64 `json:"max_retry_after_ms"`
-		Peers         bool     `json:"peers"`
-		ResponseRoom  int      `json:"response_room"`
+		MaxRelays        *int     `json:"max_relays"`
+		Hedges           *bool    `json:"second_copies"`
+		CancelRelays     *bool    `json:"cancel"`
+		RetryAfter       *bool    `json:"retry_after"`
+		MaxRetryAfter    *float64 `json:"max_retry_after_ms"`
+		PeerMessages     bool     `json:"peers"`
+		MaxUnreadAnswers int      `json:"response_room"`
 	} `json:"limits"`
 	LoadInfo *struct {
 		Fields []string `json:"fields"`
@@ -33,17 +33,17 @@
 	} `json:"load_info"`
 	OverageUtility *float64 `json:"overage_utility"`
 	Safety         *struct {
-		ColdShare    *float64 `json:"cold_share"`
-		ColdMs       *float64 `json:"cold_ms"`
-		FallMultiple *float64 `json:"fall_multiple"`
+		ColdShare        *float64 `json:"cold_share"`
+		ColdMs           *float64 `json:"cold_ms"`
+		OverloadMultiple *float64 `json:"fall_multiple"`
 		// Optional rules and tolerances; absent or 0 means off.
 		FreeResends   float64 `json:"free_resends"`
 		ResendRatio   float64 `json:"resend_ratio"`
 		BudgetWindow  float64 `json:"counted_over_ms"`
 		DeadlineError float64 `json:"deadline_error_ms"`
-		StartDrift    float64 `json:"start_drift_ms"`
+		StartError    float64 `json:"start_drift_ms"`
 	} `json:"safety"`
-	Realms []struct {
+	Customers []struct {
 		Allowance *float64 `json:"allowance_per_s"`
 	} `json:"realms"`
 	TickMs *float64 `json:"tick_ms"`
@@ -51,17 +51,17 @@
 	Zone       int                `json:"zone"`
 	Prices     map[string]float64 `json:"prices"` // only cross_zone is used, but a negative price is an error
 	FamilyInfo struct {
-		WarmKeys bool `json:"warm_keys"`
+		KeyAffinity bool `json:"warm_keys"`
 	} `json:"family_info"`
 	Verbs []struct {
-		Effect         *string  `json:"effect"`
-		Scope          *string  `json:"key_scope"`
-		Window         *float64 `json:"window_ms"`
-		Goal           *float64 `json:"response_goal_ms"`
-		TimeLimit      *float64 `json:"time_limit_ms"`
-		Utility        *float64 `json:"utility"`
-		OverdueUtility *float64 `json:"overdue_utility"`
-		Stream         *bool    `json:"stream"`
+		Effect      *string  `json:"effect"`
+		Scope       *string  `json:"key_scope"`
+		DedupWindow *float64 `json:"window_ms"`
+		Goal        *float64 `json:"response_goal_ms"`
+		TimeLimit   *float64 `json:"time_limit_ms"`
+		Utility     *float64 `json:"utility"`
+		LateUtility *float64 `json:"overdue_utility"`
+		Stream      *bool    `json:"stream"`
 	} `json:"verbs"`
 }
 
@@ -184,21 +184,21 @@
 			return nil, fmt.Errorf("settings: verbs[%d].key_scope %q is unknown", i, *v.Scope)
 		}
 		verbs = append(verbs, balance.Verb{
-			Effect: effect, Scope: scope, DedupWindow: *v.Window / 1000, Goal: *v.Goal / 1000,
-			TimeLimit: *v.TimeLimit / 1000, Utility: *v.Utility, LateUtility: *v.OverdueUtility, Stream: *v.Stream,
+			Effect: effect, Scope: scope, DedupWindow: *v.DedupWindow / 1000, Goal: *v.Goal / 1000,
+			TimeLimit: *v.TimeLimit / 1000, Utility: *v.Utility, LateUtility: *v.LateUtility, Stream: *v.Stream,
 			PreviousIndex: previousIndex(previousVerbs, i),
 		})
 	}
 	var customers []balance.Customer
-	for i, r := range doc.Realms {
+	for i, r := range doc.Customers {
 		customers = append(customers, balance.Customer{
 			Allowance: *r.Allowance, PreviousIndex: previousIndex(previousCustomers, i),
 		})
 	}
 	limits := balance.Limits{
-		MaxRelays: *doc.Limits.Relays, Hedges: *doc.Limits.Hedges, CancelRelays: *doc.Limits.Cancel,
-		PeerMessages: doc.Limits.Peers, KeyAffinity: doc.FamilyInfo.WarmKeys, CrossZonePriced: doc.Prices["cross_zone"] > 0,
-		MaxUnreadAnswers: doc.Limits.ResponseRoom, DeadlineError: doc.Safety.DeadlineError / 1000,
+		MaxRelays: *doc.Limits.MaxRelays, Hedges: *doc.Limits.Hedges, CancelRelays: *doc.Limits.CancelRelays,
+		PeerMessages: doc.Limits.PeerMessages, KeyAffinity: doc.FamilyInfo.KeyAffinity, CrossZonePriced: doc.Prices["cross_zone"] > 0,
+		MaxUnreadAnswers: doc.Limits.MaxUnreadAnswers, DeadlineError: doc.Safety.DeadlineError / 1000,
 		ExtraRelays: balance.RelayBudget{
 			Free: doc.Safety.FreeResends, PerCommand: doc.Safety.ResendRatio, Span: doc.Safety.BudgetWindow / 1000,
 		},
@@ -207,8 +207,8 @@
 		limits.MaxRetryAfter = *doc.Limits.MaxRetryAfter / 1000
 	}
 	cold := balance.ColdStart{
-		InitialCapacity: *doc.Safety.ColdShare, WarmUp: *doc.Safety.ColdMs / 1000, OverloadMultiple: *doc.Safety.FallMultiple,
-		StartError: doc.Safety.StartDrift / 1000,
+		InitialCapacity: *doc.Safety.ColdShare, WarmUp: *doc.Safety.ColdMs / 1000, OverloadMultiple: *doc.Safety.OverloadMultiple,
+		StartError: doc.Safety.StartError / 1000,
 	}
 	if zone < 0 {
 		zone = doc.Zone
@@ -243,7 +243,7 @@
 	PeerMessages       bool
 	OwnIndex           int // index among the peers
 	PeerCount          int
-	WarmKeys           bool // backends handle a key faster that their cell has handled recently
+	KeyAffinity        bool // backends do less work for a key that their cell has handled recently
 }
 
 // ForProxy decodes what a proxy on sockets needs in addition to the Balancer.
@@ -252,19 +252,19 @@
 		Zones      *[]string `json:"azs"`
 		Zone       int       `json:"zone"`
 		FamilyInfo struct {
-			WarmKeys bool `json:"warm_keys"`
+			KeyAffinity bool `json:"warm_keys"`
 		} `json:"family_info"`
 		OwnIndex  *int `json:"me"`
 		PeerCount *int `json:"siblings"`
 		Limits    *struct {
-			Peers          bool     `json:"peers"`
+			PeerMessages   bool     `json:"peers"`
 			ConnectTimeout *float64 `json:"connect_timeout_ms"`
 			ConnIdle       *float64 `json:"conn_idle_ms"`
 			MaxOpen        *int     `json:"max_open"`
 			RetryAfter     bool     `json:"retry_after"`
 			MaxRetryAfter  float64  `json:"max_retry_after_ms"`
 		} `json:"limits"`
-		Realms []struct {
+		Customers []struct {
 			Name *string `json:"name"`
 		} `json:"realms"`
 		Verbs []struct {
@@ -283,7 +283,7 @@
 		names.Verbs = append(names.Verbs, Verb{*v.Name, *v.TimeLimit / 1000,
 			effects[*v.Effect] == balance.Receipted, effects[*v.Effect] == balance.Pure})
 	}
-	for _, r := range doc.Realms {
+	for _, r := range doc.Customers {
 		names.Customers = append(names.Customers, *r.Name)
 	}
 	if doc.Zone < 0 || doc.Zone > 0 && doc.Zone >= len(*doc.Zones) {
@@ -292,7 +292,8 @@
 	names.Zones, names.OwnZone = *doc.Zones, doc.Zone
 	network = NetworkSettings{ConnectTimeout: *doc.Limits.ConnectTimeout / 1000,
 		BackendIdleTimeout: *doc.Limits.ConnIdle / 1000, MaxOpenRequests: *doc.Limits.MaxOpen,
-		PeerMessages: doc.Limits.Peers, OwnIndex: *doc.OwnIndex, PeerCount: *doc.PeerCount, WarmKeys: doc.FamilyInfo.WarmKeys}
+		PeerMessages: doc.Limits.PeerMessages, OwnIndex: *doc.OwnIndex, PeerCount: *doc.PeerCount,
+		KeyAffinity: doc.FamilyInfo.KeyAffinity}
 	if doc.Limits.RetryAfter {
 		network.MaxRetryAfter = doc.Limits.MaxRetryAfter / 1000
 	}
