--- a/balance/conditions_test.go
+++ b/balance/conditions_test.go
@@ -1,5 +1,6 @@
 // This file tests conditions that the backend list does not show: priced zone crossing, inaccurate deadlines, slow
 // clients, sudden saturation. It does not depend on the figures of one deployment.
+
 package balance
 
 import (
@@ -41,7 +42,7 @@
 	near := func(to BackendID) bool { return to[3]%3 == 1 }
 	begin := func(priced bool) *fakeHost {
 		return startBalancer(t, setup{backends: backendsInZones(3, 4), placement: Placement{Instances: 3, Zone: 1},
-			limits: Limits{MaxRelays: 3, SecondCopies: true, CancelRelays: true, CrossZonePriced: priced}})
+			limits: Limits{MaxRelays: 3, Hedges: true, CancelRelays: true, CrossZonePriced: priced}})
 	}
 	even := func(BackendID) float64 { return 0.1 }
 	if part := begin(true).shareOf(400, even, near); part < 0.8 {
@@ -65,7 +66,7 @@
 func TestDeadlineReportedTooEarly(t *testing.T) {
 	begin := func(off float64) *fakeHost {
 		h := startBalancer(t, setup{verb: Verb{Effect: Effectful, Goal: 1, TimeLimit: 2.5, Utility: 1, LateUtility: 0.2},
-			limits: Limits{MaxRelays: 3, SecondCopies: true, CancelRelays: true, DeadlineError: off}})
+			limits: Limits{MaxRelays: 3, Hedges: true, CancelRelays: true, DeadlineError: off}})
 		h.b.CommandReceived(h.now, 1, 0, 0, h.now+0.1, 0) // its client waits for 1.3 s
 		return h
 	}
@@ -361,7 +362,7 @@
 // Commands of a group that fails on every backend get one relay each, and backends keep their weight.
 func TestFailingGroupIsNotRetried(t *testing.T) {
 	l := newLoadGenerator(t, setup{backends: warmBackends(6),
-		limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true}})
+		limits: Limits{MaxRelays: 4, Hedges: true, CancelRelays: true}})
 	l.took = func(cmd, key uint64) float64 {
 		if key == 7 {
 			return -0.01
@@ -491,8 +492,8 @@
 func TestDeadlineReportedTooLate(t *testing.T) {
 	for _, off := range []float64{1.2, 4.8} {
 		h := startBalancer(t, setup{verb: Verb{Effect: Pure, Goal: 1, TimeLimit: 7, Utility: 1, LateUtility: 0.2},
-			limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, DeadlineError: off}})
-		h.serve(1, 60, 0.1) // so that the copy delay is learned
+			limits: Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, DeadlineError: off}})
+		h.serve(1, 60, 0.1) // so that the hedge delay is learned
 		before := len(h.relays)
 		for cmd := uint64(101); cmd <= 140; cmd++ {
 			h.b.CommandReceived(h.now, cmd, 0, 0, h.now+2+off, 0) // its client waits for 2 s
@@ -511,7 +512,7 @@
 			t.Errorf("off by %.1f s: %d relays after the true deadline", off, len(h.relays)-sent)
 		}
 		if more := sent - before - 40; more > 8 { // the bucket of 60 commands, not one per late command
-			t.Errorf("off by %.1f s: %d copies of 40 commands", off, more)
+			t.Errorf("off by %.1f s: %d hedges of 40 commands", off, more)
 		}
 		if h.advanceTo(h.now + 8); len(h.ended) != 100 {
 			t.Errorf("off by %.1f s: %d of 100 commands have a final answer", off, len(h.ended))
--- a/balance/coordinator_test.go
+++ b/balance/coordinator_test.go
@@ -7,7 +7,7 @@
 
 // startPeers starts instances that can exchange messages, with the given backend list.
 func startPeers(t *testing.T, instances int, backends []Entry) []*fakeHost {
-	return startInstances(t, instances, backends, setup{limits: Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true,
+	return startInstances(t, instances, backends, setup{limits: Limits{MaxRelays: 4, Hedges: true, CancelRelays: true,
 		PeerMessages: true, KeyAffinity: true}})
 }
 
@@ -225,17 +225,17 @@
 func TestConfigure(t *testing.T) {
 	h := startBalancer(t, setup{})
 	h.serve(1, 100, 0.1)
-	delay, _ := h.b.copyDelay(h.b.verbs[0])
+	delay, _ := h.b.hedgeDelay(h.b.verbs[0])
 	h.b.CommandReceived(h.now, 500, 0, 0, h.now+6, 0)
 	configure := func(previous int) {
 		h.b.Configure(h.now, 0.005, Placement{Instances: 1},
 			[]Verb{{Effect: Effectful, Goal: 1, TimeLimit: 2, Utility: 1, PreviousIndex: -1},
 				{Goal: 2.5, TimeLimit: 6, Utility: 1, PreviousIndex: previous}},
-			nil, 0.1, Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: previous == 0},
+			nil, 0.1, Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, PeerMessages: previous == 0},
 			ColdStart{InitialCapacity: 0.2, WarmUp: 10, OverloadMultiple: 3}, false)
 	}
 	configure(0)
-	if d, learned := h.b.copyDelay(h.b.verbs[1]); !learned || d != delay {
+	if d, learned := h.b.hedgeDelay(h.b.verbs[1]); !learned || d != delay {
 		t.Errorf("the verb's delay was %v, and is %v under another index", delay, d)
 	}
 	h.outcome(500, 0, Errored) // its verb was pure when it arrived, so it may run again
@@ -271,7 +271,7 @@
 		return len(h.relaysOf(id)) > 0
 	}
 	for round := range 10 {
-		for i, h := range hosts[:5] { // other instances each round, none of which is heard again
+		for i, h := range hosts[:5] { // other instances each round, none of which sends another message
 			h = hosts[round*5+i]
 			if id := uint64(round*100 + i); relayed(id, h) {
 				h.outcome(id, 0, Answered)
@@ -301,7 +301,7 @@
 		"one proxy, one zone, no key": {placement: Placement{Instances: 1}},
 		"unknown zone":                {placement: Placement{Instances: 1, Zone: 7}},
 	} {
-		s.limits = Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true}
+		s.limits = Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true}
 		h := startBalancer(t, s)
 		h.serve(1, 100, 0.1)
 		if len(h.declined)+len(h.terminated) > 0 || len(h.relays) < 100 {
--- a/balance/guarantees_test.go
+++ b/balance/guarantees_test.go
@@ -77,7 +77,7 @@
 			t.Errorf("sent to %v", to)
 		}
 	})
-	t.Run("an effectful command gets no copy", func(t *testing.T) {
+	t.Run("an effectful command gets no hedge", func(t *testing.T) {
 		h := startBalancer(t, verb(Effectful, ScopeAll))
 		h.b.CommandReceived(h.now, 1, 0, 0, h.now+6, 0)
 		h.advanceTo(h.now + 5)
@@ -98,7 +98,7 @@
 		h.b.CommandReceived(h.now, 9, 0, 0, h.now+6, 0)
 		h.advanceTo(h.now + 5.5)
 		h.outcome(9, 0, Errored)
-		for n := range h.relaysOf(9)[1:] { // a copy may have gone out within the window
+		for n := range h.relaysOf(9)[1:] { // a hedge may have gone out within the window
 			h.outcome(9, n+1, Errored)
 		}
 		if slices.Contains(h.declined, 9) || !slices.Contains(h.terminated, 9) {
@@ -111,7 +111,7 @@
 // a client retries.
 func TestShortDedupWindows(t *testing.T) {
 	verb := Verb{Effect: Receipted, Scope: ScopeAll, Goal: 2.5, TimeLimit: 6, Utility: 1, LateUtility: 0.5, DedupWindow: 0.4}
-	limits := Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, MaxRetryAfter: 2}
+	limits := Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, MaxRetryAfter: 2}
 	t.Run("an extra relay is not written if its connection is up after the window", func(t *testing.T) {
 		for wait, want := range map[float64]bool{0.3: true, 0.396: false, 0.5: false} {
 			h := startBalancer(t, setup{verb: verb, limits: limits})
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -111,7 +111,7 @@
 		h.advanceTo(h.now + latency)
 		h.b.RelayEnded(h.now, id, 0, Answered, latency, true, LoadReport{})
 		h.ended[id] = true
-		for n := range h.relaysOf(id) { // losing copies end soon after, cancelled or not
+		for n := range h.relaysOf(id) { // losing relays end soon after, cancelled or not
 			h.b.RelayEnded(h.now, id, n, Answered, latency, true, LoadReport{})
 		}
 	}
@@ -157,7 +157,7 @@
 		s.verb.TimeLimit, s.verb.Goal, s.verb.Utility, s.verb.DedupWindow = 6, 2.5, 1, 5
 	}
 	if s.limits.MaxRelays == 0 {
-		s.limits = Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true}
+		s.limits = Limits{MaxRelays: 4, Hedges: true, CancelRelays: true}
 	}
 	if s.placement.Instances == 0 {
 		s.placement.Instances = 1
--- a/balance/host.go
+++ b/balance/host.go
@@ -1,5 +1,6 @@
 // This file contains the interface between the Balancer and a front, and the plain types that cross it. It holds
 // no decisions and no wire formats.
+
 package balance
 
 // BackendID identifies a backend to the front: on the bench by its address and port, on sockets by a value derived
@@ -25,7 +26,7 @@
 	SendToPeer(to int, data []byte)
 }
 
-// Effect describes what running a command twice would do.
+// Effect tells whether a command may run more than once.
 type Effect int
 
 const (
@@ -56,7 +57,7 @@
 	PreviousIndex int // index of the same verb in the previous settings, -1 if it is new
 }
 
-// Customer is one of those that share the service.
+// Customer is one of the parties that share the service.
 type Customer struct {
 	Allowance     float64 // commands per second within its share, over all proxies
 	PreviousIndex int     // index of the same customer in the previous settings, -1 if it is new
@@ -73,7 +74,7 @@
 // Limits describes what an instance may do.
 type Limits struct {
 	MaxRelays        int         // relays per command
-	SecondCopies     bool        // a late relay may be repeated at another backend
+	Hedges           bool        // a late relay may be hedged: relayed to another backend too
 	CancelRelays     bool        // a pending relay can be cancelled
 	MaxRetryAfter    float64     // longest wait in seconds that clients can be advised, 0 if they cannot be advised
 	PeerMessages     bool        // the instance may send messages to its peers
--- a/balance/instance.go
+++ b/balance/instance.go
@@ -1,5 +1,6 @@
 // This file creates an instance, applies its settings and runs its timers. It makes no decisions about commands,
 // and a change of settings must not discard what was learned.
+
 package balance
 
 // verb is a kind of command as configured. Its verbState outlives changes of the settings.
@@ -12,8 +13,8 @@
 type verbState struct {
 	latencies     latencySketch
 	calls         decayingSum
-	copyBudget    tokenBucket
-	pendingLosers int // losing copies that are still pending
+	hedgeBudget   tokenBucket
+	pendingLosers int // losing relays that are still pending
 	breaker       breaker
 }
 
@@ -41,7 +42,7 @@
 	oldVerbs, oldAllowances, oldCustomerIDs := b.verbs, b.allowances, b.customerIDs
 	b.verbs, b.customers, b.allowances, b.customerIDs = nil, customers, nil, nil
 	for _, v := range verbs {
-		state := &verbState{copyBudget: tokenBucket{0, now}, latencies: newLatencySketch(now)}
+		state := &verbState{hedgeBudget: tokenBucket{0, now}, latencies: newLatencySketch(now)}
 		if v.PreviousIndex >= 0 && v.PreviousIndex < len(oldVerbs) {
 			state = oldVerbs[v.PreviousIndex].verbState
 		}
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -1,5 +1,6 @@
 // This file tests failures of peers: coordinators that are gone, have just started, or use the older message
 // format. It does not rely on the code's own view of which peers are alive.
+
 package balance
 
 import (
@@ -86,7 +87,7 @@
 	}
 	// A new process without any counts replaces the coordinator.
 	replacement := startBalancer(t, setup{
-		limits:   Limits{MaxRelays: 4, SecondCopies: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true},
+		limits:   Limits{MaxRelays: 4, Hedges: true, CancelRelays: true, PeerMessages: true, KeyAffinity: true},
 		backends: warmBackends(3), placement: Placement{Index: 1, Instances: 2}})
 	replacement.now = h.now
 	replacement.b.now, replacement.b.start = h.now, h.now
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -1,4 +1,5 @@
 // This file tests what an instance saves for its successor, and that saved values never replace current facts.
+
 package balance
 
 import (
@@ -22,8 +23,8 @@
 		return n
 	}
 	n := restored(1, nil)
-	if d, learned := n.b.copyDelay(n.b.verbs[0]); !learned || math.Abs(d-h.b.verbs[0].latencies.lateAfter(h.now)) > 0.01 {
-		t.Errorf("copy delay %.3f s (learned %t), was %.3f s", d, learned, h.b.verbs[0].latencies.lateAfter(h.now))
+	if d, learned := n.b.hedgeDelay(n.b.verbs[0]); !learned || math.Abs(d-h.b.verbs[0].latencies.lateAfter(h.now)) > 0.01 {
+		t.Errorf("hedge delay %.3f s (learned %t), was %.3f s", d, learned, h.b.verbs[0].latencies.lateAfter(h.now))
 	}
 	if n.b.typicalLatency != saved.TypicalLatency || n.b.baseline != saved.BaselineInFlight ||
 		n.b.arrivals.UsualRate() != saved.ArrivalRate || n.b.incarnation <= saved.Incarnation {
@@ -40,9 +41,9 @@
 		"invalid values": restored(1, func(s *Snapshot) {
 			*s = Snapshot{TypicalLatency: math.NaN(), BaselineInFlight: math.Inf(1), InFlightPerBackend: -1,
 				ArrivalRate: math.NaN(), AllLatencies: []byte{1, 2, 250}, VerbLatencies: [][]byte{{9}, {}, {7}, {8}},
-				Weights: map[BackendID]float64{id(1): math.NaN(), id(2): 1e9, {}: 1}}
+				BackendWeights: map[BackendID]float64{id(1): math.NaN(), id(2): 1e9, {}: 1}}
 		})} {
-		_, learned := n.b.copyDelay(n.b.verbs[0])
+		_, learned := n.b.hedgeDelay(n.b.verbs[0])
 		if learned || n.b.typicalLatency != 0 || n.b.inFlightPerBackend != initialInFlightPerBackend ||
 			n.b.arrivals.UsualRate() != 0 {
 			t.Errorf("%s: learned %t, typical latency %v, limit %v, rate %v", name, learned,
@@ -64,7 +65,7 @@
 func TestRestartedBackendGetsNoSavedWeight(t *testing.T) {
 	h := startBalancer(t, setup{})
 	saved := h.b.Snapshot()
-	saved.Weights[id(1)] = 0.1
+	saved.BackendWeights[id(1)] = 0.1
 	list := warmBackends(6)
 	list[1].StartedAt = h.now
 	h.b.UpdateBackends(h.now, true, list)
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -35,9 +35,9 @@
 	{"module", "the balancer as it is", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
 		return balance.New(h, seed, now)
 	}},
-	{"nocopies", "the balancer without second copies",
+	{"nocopies", "the balancer without hedges",
 		func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
-			return &changedLimits{balance.New(h, seed, now), func(l *balance.Limits) { l.SecondCopies = false }}
+			return &changedLimits{balance.New(h, seed, now), func(l *balance.Limits) { l.Hedges = false }}
 		}},
 	{"fixed", "the balancer with shares by the configured number of instances, whether they run or not",
 		func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -120,7 +120,7 @@
 		sim.verbs = append(sim.verbs, balance.Verb{Effect: effects[v.Effect], Scope: scopes[v.Scope], DedupWindow: v.DedupWindow,
 			Goal: v.Goal, TimeLimit: v.Limit, Utility: v.Utility, LateUtility: v.LateShare, PreviousIndex: -1})
 	}
-	sim.limits = balance.Limits{MaxRelays: w.Rules.MaxRelays, SecondCopies: w.Rules.SecondCopies,
+	sim.limits = balance.Limits{MaxRelays: w.Rules.MaxRelays, Hedges: w.Rules.SecondCopies,
 		CancelRelays: w.Rules.CancelRelays, MaxRetryAfter: w.Rules.MaxRetryAfter, PeerMessages: w.Rules.Peers,
 		KeyAffinity: w.Tiers[0].CacheSaving > 0, CrossZonePriced: w.Prices.ZoneCrossing > 0,
 		MaxUnreadAnswers: w.Rules.AnswerSlots, DeadlineError: w.Rules.DeadlineError,
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -1,5 +1,6 @@
 // This file implements listening sockets. Each accepted connection is passed to a callback. No connection may be left in the
 // backlog while a descriptor is available for it: to the client it is already established.
+
 package loop
 
 import (
@@ -17,7 +18,7 @@
 
 // Listener accepts connections at one address or socket path.
 type Listener struct {
-	Address       netip.AddrPort // address to which the socket is bound
+	Addr          netip.AddrPort // address to which the socket is bound
 	loop          *Loop
 	fd            int
 	maxUnconsumed int // upper bound of a connection's unconsumed bytes
@@ -54,7 +55,7 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen at %s: %w", address, err)
 	}
-	s.Address = localAddress(fd)
+	s.Addr = localAddress(fd)
 	return s, nil
 }
 
--- a/internal/loop/local.go
+++ b/internal/loop/local.go
@@ -1,5 +1,6 @@
 // This file implements sockets that are shared with other processes of this machine: an inherited listener, and Unix sockets
 // by path. It must never shut down an inherited listener, which is one socket for all processes that have it open.
+
 package loop
 
 import (
@@ -30,7 +31,7 @@
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
 	s := &Listener{loop: l, fd: fd, maxUnconsumed: maxUnconsumed, hasRoom: hasRoom, onAccept: onAccept,
-		onExhausted: onExhausted, paused: true, Address: actual}
+		onExhausted: onExhausted, paused: true, Addr: actual}
 	if err := l.register(fd, s, 0); err != nil {
 		return nil, err
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,9 +1,9 @@
 // Package proxy implements the front: it accepts commands from clients, relays them to backends and returns the answers, all
 // on one event loop. The Balancer alone decides which backend a command goes to and when it is given up.
-//
-// This file contains the proxy's life cycle: configuration, construction, reload, the descriptor budget and readiness.
 package proxy
 
+// This file contains the proxy's life cycle: configuration, construction, reload, the descriptor budget and readiness.
+
 import (
 	"bytes"
 	"context"
@@ -235,7 +235,7 @@
 }
 
 // Addr returns the address that the proxy listens on.
-func (p *Proxy) Addr() netip.AddrPort { return p.listener.Address }
+func (p *Proxy) Addr() netip.AddrPort { return p.listener.Addr }
 
 // WakeUp wakes the event loop, so that it checks for a shutdown request. It may be called from any goroutine.
 func (p *Proxy) WakeUp() { p.loop.WakeUp() }
@@ -281,7 +281,7 @@
 		return
 	}
 	log.Printf("msg=reloaded discovery=%s siblings=%d messages=%t keys=%t needs_start=%q", p.watch.addr, p.network.PeerCount,
-		p.network.PeerMessages, p.network.WarmKeys, p.restartOnlyChanges(config))
+		p.network.PeerMessages, p.network.KeyAffinity, p.restartOnlyChanges(config))
 }
 
 // applyConfig applies the reloadable parts of a configuration, or none of them if it returns an error.
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -46,8 +46,8 @@
 		return nil
 	}
 	saved, err := snapshot.Load(config.State.Folder, config.State.Fleet, config.Name)
-	var foreign *snapshot.FleetMismatchError
-	if errors.As(err, &foreign) {
+	var mismatch *snapshot.FleetMismatchError
+	if errors.As(err, &mismatch) {
 		return err
 	}
 	if err != nil {
@@ -70,25 +70,25 @@
 	var requests maintenance
 	var ages processAges
 	if len(saved.Endpoints) > 0 && age < maxListAgeSeconds && json.Unmarshal(saved.Endpoints, &list) == nil {
-		state.List, state.AgesOnly = &list, known != nil && known.Index > list.Index
+		state.Endpoints, state.StartAgesOnly = &list, known != nil && known.Index > list.Index
 	}
 	if len(saved.Maintenance) > 0 && json.Unmarshal(saved.Maintenance, &requests) == nil {
 		state.Maintenance = &requests
 	}
 	if len(saved.StartAges) > 0 && json.Unmarshal(saved.StartAges, &ages) == nil {
-		state.Ages = &ages
+		state.StartAges = &ages
 	}
 	p.applyState(&state, elapsedSince(saved.SavedAt))
 	learned := balance.Snapshot{Incarnation: saved.Incarnation, TypicalLatency: saved.TypicalLatency,
 		BaselineInFlight: saved.BaselineInFlight, InFlightPerBackend: saved.InFlightPerBackend,
 		ArrivalRate: saved.ArrivalRate, AllLatencies: saved.AllLatencies,
-		Weights: map[balance.BackendID]float64{}}
+		BackendWeights: map[balance.BackendID]float64{}}
 	for _, v := range p.names.Verbs {
 		learned.VerbLatencies = append(learned.VerbLatencies, saved.VerbLatencies[v.Name])
 	}
 	for name, weight := range saved.BackendWeights {
 		if b := p.backends.byName[name]; b != nil {
-			learned.Weights[b.id] = weight
+			learned.BackendWeights[b.id] = weight
 		}
 	}
 	p.balancer.Restore(now, learned, age)
@@ -158,11 +158,11 @@
 		s.VerbLatencies[v.Name] = learned.VerbLatencies[i]
 	}
 	for _, b := range p.backends.byName {
-		if weight, ok := learned.Weights[b.id]; ok {
+		if weight, ok := learned.BackendWeights[b.id]; ok {
 			s.BackendWeights[b.name] = weight
 		}
 	}
-	list, ages := state.List, state.Ages
+	list, ages := state.Endpoints, state.StartAges
 	requests := maintenance{maps.Clone(p.maintenance.Cordoned), maps.Clone(p.maintenance.Uncordoned)}
 	stats.writer.Put(func() (*snapshot.State, error) {
 		var errs [3]error
