--- a/internal/scale/added.go
+++ b/internal/scale/added.go
@@ -22,35 +22,35 @@
 }
 
 // addedRun measures straight and through alternately.
-type addedRun struct {
-	straight, through string // addresses
-	rate              float64
-	options           AddedLatencyOptions
+type latencyRun struct {
+	direct, proxied string // addresses
+	rate            float64
+	options         AddedLatencyOptions
 }
 
 // MeasureAdded measures what one proxy adds, at each rate, and what a chain adds.
 func MeasureAddedLatency(ctx context.Context, o AddedLatencyOptions, programs Programs, progress func(string)) ([]AddedLatency, error) {
 	var all []AddedLatency
 	for _, rate := range o.Rates {
-		a, err := addedByChain(ctx, o, 1, rate, programs)
+		a, err := measureChain(ctx, o, 1, rate, programs)
 		if err != nil {
 			return all, err
 		}
 		all = append(all, a)
 		progress(fmt.Sprintf("one proxy, %.0f calls/s", rate))
 	}
-	a, err := addedByChain(ctx, o, o.Depth, o.ChainRate, programs)
+	a, err := measureChain(ctx, o, o.Depth, o.ChainRate, programs)
 	progress(fmt.Sprintf("a chain of %d, %.0f calls/s", o.Depth, o.ChainRate))
 	return append(all, a), err
 }
 
 // addedByChain has calls go through a chain: a proxy, its backend, the next proxy, and so on; and straight from backend to
 // backend. Each service of the chain has one backend, which is on the machine of the proxy that comes after it.
-func addedByChain(ctx context.Context, o AddedLatencyOptions, depth int, rate float64, programs Programs) (AddedLatency, error) {
+func measureChain(ctx context.Context, o AddedLatencyOptions, depth int, rate float64, programs Programs) (AddedLatency, error) {
 	sizes := fleet.Default()
 	sizes.Proxies, sizes.Services, sizes.Depth = depth, 1, 1
 	f := fleet.Generate(sizes)
-	chainOf(f)
+	makeChain(f)
 	r, ctx, err := Deploy(ctx, Plan{Fleet: f, RealProxies: depth, ListScope: ServiceList}, programs)
 	if err != nil {
 		return AddedLatency{}, err
@@ -60,7 +60,7 @@
 	if err != nil {
 		return AddedLatency{}, err
 	}
-	run := addedRun{straight: straight, through: r.addresses.at(0, proxyPort), rate: rate, options: o}
+	run := latencyRun{direct: straight, proxied: r.addresses.at(0, proxyPort), rate: rate, options: o}
 	name := "one proxy"
 	if depth > 1 {
 		name = fmt.Sprintf("a chain of %d", depth)
@@ -69,7 +69,7 @@
 }
 
 // chainOf makes each proxy's list that of the one backend beside it.
-func chainOf(f *fleet.Fleet) {
+func makeChain(f *fleet.Fleet) {
 	f.Services = nil
 	for i := range f.Proxies {
 		f.Services = append(f.Services, fleet.Service{Name: fmt.Sprintf("service-%d", i+1), Backends: []int{i}})
@@ -99,13 +99,13 @@
 }
 
 // measure takes the rounds.
-func (a addedRun) measure(ctx context.Context, name string) (AddedLatency, error) {
+func (a latencyRun) measure(ctx context.Context, name string) (AddedLatency, error) {
 	var straight, through, differences [3][]float64
 	out := AddedLatency{Name: name, Rate: a.rate, Rounds: a.options.Rounds, Calls: int(a.rate * a.options.Seconds)}
 	for range a.options.Rounds {
-		direct, bad := testbed.OpenLoop(ctx, []string{a.straight}, a.options.Connections, a.rate, a.options.Seconds)
+		direct, bad := testbed.OpenLoop(ctx, []string{a.direct}, a.options.Connections, a.rate, a.options.Seconds)
 		out.Failed += bad
-		proxied, bad := testbed.OpenLoop(ctx, []string{a.through}, a.options.Connections, a.rate, a.options.Seconds)
+		proxied, bad := testbed.OpenLoop(ctx, []string{a.proxied}, a.options.Connections, a.rate, a.options.Seconds)
 		out.Failed += bad
 		for k := range direct {
 			straight[k], through[k] = append(straight[k], direct[k]), append(through[k], proxied[k])
@@ -113,14 +113,14 @@
 		}
 	}
 	for k := range straight {
-		out.Direct[k], out.Proxied[k] = middle(straight[k]), middle(through[k])
+		out.Direct[k], out.Proxied[k] = median(straight[k]), median(through[k])
 		out.MinAdded[k], out.MaxAdded[k] = slices.Min(differences[k]), slices.Max(differences[k])
 	}
 	out.LoadAverage = meter.LoadAverage()
 	return out, ctx.Err()
 }
 
-func middle(values []float64) float64 {
+func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -10,7 +10,7 @@
 	"sandpass/internal/testbed"
 )
 
-const callersEach = 2 // connections on which calls come to a proxy
+const connectionsPerProxy = 2 // connections on which calls come to a proxy
 
 // startBackends starts the stand-in for the backend on each machine.
 func (r *Deployment) startBackends() error {
@@ -25,20 +25,20 @@
 }
 
 // call has calls come to proxies at a rate each for a while, evenly spaced. It gives how many ended well and how many not.
-func (r *Deployment) call(ctx context.Context, proxies []int, perSecond, seconds float64) (good, bad int) {
+func (r *Deployment) sendCalls(ctx context.Context, proxies []int, perSecond, seconds float64) (good, bad int) {
 	var ended, failed atomic.Int64
 	var wait sync.WaitGroup
 	total := int64(perSecond * seconds)
-	begun := time.Now()
+	started := time.Now()
 	for _, i := range proxies {
 		var next atomic.Int64
-		for range callersEach {
+		for range connectionsPerProxy {
 			wait.Go(func() {
 				caller := testbed.NewCaller(r.addresses.at(i, proxyPort))
 				defer caller.Close()
 				for n := next.Add(1) - 1; n < total; n = next.Add(1) - 1 {
-					due := begun.Add(time.Duration(float64(n) / perSecond * float64(time.Second)))
-					if pause(ctx, time.Until(due)) != nil {
+					due := started.Add(time.Duration(float64(n) / perSecond * float64(time.Second)))
+					if sleep(ctx, time.Until(due)) != nil {
 						return
 					}
 					ended.Add(1)
--- a/internal/scale/charts.go
+++ b/internal/scale/charts.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	chartWide, chartHigh = 8 * vg.Inch, 5 * vg.Inch
-	curveSteps           = 100
+	chartWidth, chartHeight = 8 * vg.Inch, 5 * vg.Inch
+	curveSteps              = 100
 )
 
 // Charts draws each series with its law as a PNG file in a folder, and names the files.
@@ -26,8 +26,8 @@
 		if err != nil {
 			return made, err
 		}
-		path := filepath.Join(folder, fileName(s.Role+" "+s.Figure+" "+string(s.Variable)+" "+s.Setting)+".png")
-		if err := p.Save(chartWide, chartHigh, path); err != nil {
+		path := filepath.Join(folder, slug(s.Role+" "+s.Figure+" "+string(s.Variable)+" "+s.Setting)+".png")
+		if err := p.Save(chartWidth, chartHeight, path); err != nil {
 			return made, err
 		}
 		made = append(made, path)
@@ -36,7 +36,7 @@
 }
 
 // fileName keeps letters and digits of a text.
-func fileName(text string) string {
+func slug(text string) string {
 	return strings.Trim(strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' {
 			return r
--- a/internal/scale/cluster.go
+++ b/internal/scale/cluster.go
@@ -20,48 +20,48 @@
 )
 
 const (
-	controlFleet   = "scale"
-	controlPort    = 9100
-	firstReplica   = 62_000 // its machine's number: no proxy has it
-	replicaReadyIn = 20 * time.Second
+	controlFleet        = "scale"
+	controlPort         = 9100
+	firstReplicaMachine = 62_000 // its machine's number: no proxy has it
+	replicaTimeout      = 20 * time.Second
 )
 
 // replica is a control replica, `sandpass control serve`.
 type replica struct {
 	name, region, address string
-	config, log           string
+	configPath, logPath   string
 	command               *exec.Cmd
-	ended                 chan struct{}
+	done                  chan struct{}
 }
 
 // door is the way from the proxies of a region to a replica.
-type door struct {
+type regionLink struct {
 	region  string
 	replica int
 }
 
 // cluster is the control replicas, with the ways among them and from the proxies.
-type cluster struct {
-	program   []string
-	directory string // of logs and configurations
-	state     string // folder of what proxies save
-	latency   float64
-	replicas  []*replica
-	ways      map[[2]int]*faultnet.StreamForwarder
-	doors     map[door]*faultnet.StreamForwarder
-	counted   map[int][]*faultnet.StreamForwarder // of a proxy that is counted, a way to each replica
-	client    *controlclient.Client
+type controlCluster struct {
+	program              []string
+	directory            string // of logs and configurations
+	stateDirectory       string // folder of what proxies save
+	regionLatencySeconds float64
+	replicas             []*replica
+	replicaLinks         map[[2]int]*faultnet.StreamForwarder
+	regionLinks          map[regionLink]*faultnet.StreamForwarder
+	proxyLinks           map[int][]*faultnet.StreamForwarder // of a proxy that is counted, a way to each replica
+	client               *controlclient.Client
 }
 
 // startCluster starts so many replicas, spread over the fleet's regions.
-func startCluster(plan Plan, programs Programs, a addresses, directory string) (*cluster, error) {
-	c := &cluster{program: programs.Proxy, directory: directory, latency: plan.Fleet.Sizes.LatencyMS / 1000,
-		ways: map[[2]int]*faultnet.StreamForwarder{}, doors: map[door]*faultnet.StreamForwarder{}, counted: map[int][]*faultnet.StreamForwarder{}}
+func startCluster(plan Plan, programs Programs, a addresses, directory string) (*controlCluster, error) {
+	c := &controlCluster{program: programs.Proxy, directory: directory, regionLatencySeconds: plan.Fleet.Sizes.LatencyMS / 1000,
+		replicaLinks: map[[2]int]*faultnet.StreamForwarder{}, regionLinks: map[regionLink]*faultnet.StreamForwarder{}, proxyLinks: map[int][]*faultnet.StreamForwarder{}}
 	for k := range plan.Replicas {
 		name := fmt.Sprintf("control-%d", k+1)
 		c.replicas = append(c.replicas, &replica{name: name, region: fmt.Sprintf("region-%d", k%plan.Fleet.Sizes.Regions+1),
-			address: a.at(firstReplica+k, controlPort), config: filepath.Join(directory, name+".toml"),
-			log: filepath.Join(directory, name+".log")})
+			address: a.at(firstReplicaMachine+k, controlPort), configPath: filepath.Join(directory, name+".toml"),
+			logPath: filepath.Join(directory, name+".log")})
 	}
 	if err := c.open(plan); err != nil {
 		c.close()
@@ -70,35 +70,35 @@
 	return c, nil
 }
 
-func (c *cluster) open(plan Plan) (err error) {
+func (c *controlCluster) open(plan Plan) (err error) {
 	// What proxies save lies in memory: on one machine's disk their syncs would wait for one another, which on machines of
 	// their own they don't.
-	if c.state, err = os.MkdirTemp("/dev/shm", "sandlab-scale-"); err != nil {
+	if c.stateDirectory, err = os.MkdirTemp("/dev/shm", "sandlab-scale-"); err != nil {
 		return err
 	}
 	for i := range c.replicas {
 		for j := range c.replicas {
 			if i != j {
-				if c.ways[[2]int{i, j}], err = c.way(c.replicas[i].region, j); err != nil {
+				if c.replicaLinks[[2]int{i, j}], err = c.newLink(c.replicas[i].region, j); err != nil {
 					return err
 				}
 			}
 		}
 	}
-	for _, region := range regionsOf(plan) {
+	for _, region := range regionNames(plan) {
 		for k := range c.replicas {
-			if c.doors[door{region, k}], err = c.way(region, k); err != nil {
+			if c.regionLinks[regionLink{region, k}], err = c.newLink(region, k); err != nil {
 				return err
 			}
 		}
 	}
 	for i := range max(plan.RealProxies, plan.CountedProxies) {
 		for k := range c.replicas {
-			stream, err := c.way(plan.Fleet.Proxies[i].Region, k)
+			stream, err := c.newLink(plan.Fleet.Proxies[i].Region, k)
 			if err != nil {
 				return err
 			}
-			c.counted[i] = append(c.counted[i], stream)
+			c.proxyLinks[i] = append(c.proxyLinks[i], stream)
 		}
 	}
 	var direct []string
@@ -106,7 +106,7 @@
 		if err := c.writeConfig(k); err != nil {
 			return err
 		}
-		if err := c.start(k); err != nil {
+		if err := c.startReplica(k); err != nil {
 			return err
 		}
 		direct = append(direct, r.address)
@@ -117,7 +117,7 @@
 	return c.awaitLeader()
 }
 
-func regionsOf(plan Plan) (regions []string) {
+func regionNames(plan Plan) (regions []string) {
 	for k := range plan.Fleet.Sizes.Regions {
 		regions = append(regions, fmt.Sprintf("region-%d", k+1))
 	}
@@ -125,73 +125,73 @@
 }
 
 // way leads from a region to a replica, with the regions' latency.
-func (c *cluster) way(region string, k int) (*faultnet.StreamForwarder, error) {
+func (c *controlCluster) newLink(region string, k int) (*faultnet.StreamForwarder, error) {
 	stream, err := faultnet.NewStreamForwarder(c.replicas[k].address, uint64(k+1))
 	if err == nil {
-		c.weather(stream, region, k, false)
+		c.configureLink(stream, region, k, false)
 	}
 	return stream, err
 }
 
-func (c *cluster) weather(stream *faultnet.StreamForwarder, region string, k int, cut bool) {
+func (c *controlCluster) configureLink(stream *faultnet.StreamForwarder, region string, k int, cut bool) {
 	w := faultnet.Conditions{Blocked: cut}
 	if region != c.replicas[k].region {
-		w.Delay = c.latency
+		w.Delay = c.regionLatencySeconds
 	}
 	stream.SetConditions(w, w)
 }
 
-func (c *cluster) writeConfig(i int) error {
+func (c *controlCluster) writeConfig(i int) error {
 	r := c.replicas[i]
 	text := fmt.Sprintf("fleet = %q\nname = %q\nfolder = %q\nlisten = %q\n", controlFleet, r.name,
 		filepath.Join(c.directory, r.name), r.address)
 	for j, other := range c.replicas {
 		address := other.address
-		if way := c.ways[[2]int{i, j}]; way != nil {
+		if way := c.replicaLinks[[2]int{i, j}]; way != nil {
 			address = way.Addr()
 		}
 		text += fmt.Sprintf("[[replica]]\nname = %q\naddress = %q\nregion = %q\n", other.name, address, other.region)
 	}
 	// The base is a proxy's own configuration, as each proxy has it.
 	text = strings.Replace(text, "[[replica]]", "check_base = \"base.json\"\n[[replica]]", 1)
-	return os.WriteFile(r.config, []byte(text), 0o600)
+	return os.WriteFile(r.configPath, []byte(text), 0o600)
 }
 
 // start starts a replica's process.
-func (c *cluster) start(k int) error {
+func (c *controlCluster) startReplica(k int) error {
 	r := c.replicas[k]
-	out, err := os.OpenFile(r.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	out, err := os.OpenFile(r.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
 	defer out.Close()
-	r.command = exec.Command(c.program[0], "control", "serve", "--config", r.config)
+	r.command = exec.Command(c.program[0], "control", "serve", "--config", r.configPath)
 	r.command.Stdout, r.command.Stderr = out, out
 	r.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := r.command.Start(); err != nil {
 		return err
 	}
-	r.ended = make(chan struct{})
+	r.done = make(chan struct{})
 	go func(command *exec.Cmd, ended chan struct{}) {
 		_ = command.Wait() // how it ended stands in its log
 		close(ended)
-	}(r.command, r.ended)
+	}(r.command, r.done)
 	return nil
 }
 
 // kill ends a replica at once and waits.
-func (c *cluster) kill(k int) {
+func (c *controlCluster) killReplica(k int) {
 	r := c.replicas[k]
-	if r.command == nil || r.ended == nil {
+	if r.command == nil || r.done == nil {
 		return
 	}
 	_ = r.command.Process.Kill() // it may have ended
-	<-r.ended
+	<-r.done
 }
 
-func (c *cluster) running(k int) bool {
+func (c *controlCluster) running(k int) bool {
 	select {
-	case <-c.replicas[k].ended:
+	case <-c.replicas[k].done:
 		return false
 	default:
 		return true
@@ -199,30 +199,30 @@
 }
 
 // status is the fleet as the leader knows it.
-func (c *cluster) status(number revision.Number) (controlapi.StatusResponse, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), replicaReadyIn)
+func (c *controlCluster) status(number revision.Number) (controlapi.StatusResponse, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), replicaTimeout)
 	defer cancel()
 	return c.client.Status(ctx, number, false)
 }
 
-func (c *cluster) awaitLeader() error {
-	deadline := time.Now().Add(replicaReadyIn)
+func (c *controlCluster) awaitLeader() error {
+	deadline := time.Now().Add(replicaTimeout)
 	for {
 		status, err := c.status(0)
 		if err == nil && status.Leader != "" {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("no leader within %v: %w", replicaReadyIn, errors.Join(err, c.lastWords()))
+			return fmt.Errorf("no leader within %v: %w", replicaTimeout, errors.Join(err, c.lastLogLines()))
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (c *cluster) lastWords() error {
+func (c *controlCluster) lastLogLines() error {
 	var all []error
 	for _, r := range c.replicas {
-		text, _ := os.ReadFile(r.log) // none says nothing
+		text, _ := os.ReadFile(r.logPath) // none says nothing
 		lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 		all = append(all, fmt.Errorf("%s: %s", r.name, lines[len(lines)-1]))
 	}
@@ -230,7 +230,7 @@
 }
 
 // leader is the index of the replica that leads, -1 while none does.
-func (c *cluster) leader() int {
+func (c *controlCluster) leaderIndex() int {
 	status, err := c.status(0)
 	if err != nil {
 		return -1
@@ -244,7 +244,7 @@
 }
 
 // connected is how many proxies are connected to each replica.
-func (c *cluster) connected() ([]int, error) {
+func (c *controlCluster) connectedProxies() ([]int, error) {
 	status, err := c.status(0)
 	if err != nil {
 		return nil, err
@@ -261,10 +261,10 @@
 }
 
 // awaitConnected waits until so many proxies are connected, none of them to a replica that was lost.
-func (c *cluster) awaitConnected(ctx context.Context, wanted int, lost ...int) error {
-	deadline := time.Now().Add(settledWithin)
+func (c *controlCluster) awaitConnected(ctx context.Context, wanted int, lost ...int) error {
+	deadline := time.Now().Add(settleTimeout)
 	for {
-		counts, err := c.connected()
+		counts, err := c.connectedProxies()
 		sum := 0
 		gone := 0 // proxies that are told as connected to what was lost
 		for k, n := range counts {
@@ -277,16 +277,16 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d proxies are connected to control after %v: %v", sum, wanted, settledWithin, err)
+			return fmt.Errorf("%d of %d proxies are connected to control after %v: %v", sum, wanted, settleTimeout, err)
 		}
-		if err := pause(ctx, 5*lookEvery); err != nil {
+		if err := sleep(ctx, 5*pollInterval); err != nil {
 			return err
 		}
 	}
 }
 
 // apply makes a revision of a scope and gives its number.
-func (c *cluster) apply(ctx context.Context, base revision.Number, document revision.Document,
+func (c *controlCluster) apply(ctx context.Context, base revision.Number, document revision.Document,
 	atOnce bool) (revision.Number, error) {
 	response, err := c.client.Apply(ctx, controlapi.ApplyRequest{Scope: revision.FleetScope, Base: base, Document: document,
 		Author: "sandlab", Reason: "scale run", AtOnce: atOnce})
@@ -294,15 +294,15 @@
 }
 
 // operatorFile writes what the operators say to a proxy, and gives the file's path.
-func (c *cluster) operatorFile(plan Plan, i int) (string, error) {
+func (c *controlCluster) operatorFile(plan Plan, i int) (string, error) {
 	p := plan.Fleet.Proxies[i]
 	var near, far []string
 	for k, r := range c.replicas {
 		at := ""
-		if ways := c.counted[i]; len(ways) > 0 {
+		if ways := c.proxyLinks[i]; len(ways) > 0 {
 			at = ways[k].Addr()
 		} else {
-			at = c.doors[door{p.Region, k}].Addr()
+			at = c.regionLinks[regionLink{p.Region, k}].Addr()
 		}
 		if r.region == p.Region {
 			near = append(near, fmt.Sprintf("%q", at))
@@ -316,29 +316,29 @@
 	}
 	text := fmt.Sprintf("[state]\nfolder = %q\nfleet = %q\nevery = 3600.0\n\n"+
 		"[control]\nreplicas = [%s]\nfleet = %q\nregion = %q\nzone = %q\nservice = %q\n",
-		c.state, controlFleet, strings.Join(append(near, far...), ", "),
+		c.stateDirectory, controlFleet, strings.Join(append(near, far...), ", "),
 		controlFleet, p.Region, plan.Fleet.Zones[p.Zone], plan.Fleet.Services[p.Service].Name)
 	path := filepath.Join(c.directory, p.Name+".toml")
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
 // cutRegion cuts a region off from the others, replicas and proxies, or heals the cut.
-func (c *cluster) cutRegion(plan Plan, region string, on bool) {
+func (c *controlCluster) setRegionCut(plan Plan, region string, on bool) {
 	crosses := func(from string, k int) bool { return (from == region) != (c.replicas[k].region == region) }
-	for ends, stream := range c.ways {
+	for ends, stream := range c.replicaLinks {
 		if crosses(c.replicas[ends[0]].region, ends[1]) {
-			c.weather(stream, c.replicas[ends[0]].region, ends[1], on)
+			c.configureLink(stream, c.replicas[ends[0]].region, ends[1], on)
 		}
 	}
-	for at, stream := range c.doors {
+	for at, stream := range c.regionLinks {
 		if crosses(at.region, at.replica) {
-			c.weather(stream, at.region, at.replica, on)
+			c.configureLink(stream, at.region, at.replica, on)
 		}
 	}
-	for i, streams := range c.counted {
+	for i, streams := range c.proxyLinks {
 		for k, stream := range streams {
 			if crosses(plan.Fleet.Proxies[i].Region, k) {
-				c.weather(stream, plan.Fleet.Proxies[i].Region, k, on)
+				c.configureLink(stream, plan.Fleet.Proxies[i].Region, k, on)
 			}
 		}
 	}
@@ -350,9 +350,9 @@
 }
 
 // proxyTraffic is what each counted proxy has said to replicas and heard from them; messages are pieces as they were read.
-func (c *cluster) proxyTraffic() []meter.Traffic {
-	all := make([]meter.Traffic, len(c.counted))
-	for i, streams := range c.counted {
+func (c *controlCluster) proxyTraffic() []meter.Traffic {
+	all := make([]meter.Traffic, len(c.proxyLinks))
+	for i, streams := range c.proxyLinks {
 		for _, s := range streams {
 			all[i] = all[i].Plus(streamTraffic(s))
 		}
@@ -361,40 +361,40 @@
 }
 
 // replicaTraffic is what each replica has read and written, with proxies and with one another.
-func (c *cluster) replicaTraffic() []meter.Traffic {
+func (c *controlCluster) replicaTraffic() []meter.Traffic {
 	all := make([]meter.Traffic, len(c.replicas))
-	for at, s := range c.doors {
+	for at, s := range c.regionLinks {
 		all[at.replica] = all[at.replica].Plus(streamTraffic(s).Reversed())
 	}
-	for _, streams := range c.counted {
+	for _, streams := range c.proxyLinks {
 		for k, s := range streams {
 			all[k] = all[k].Plus(streamTraffic(s).Reversed())
 		}
 	}
-	for ends, s := range c.ways {
+	for ends, s := range c.replicaLinks {
 		all[ends[0]] = all[ends[0]].Plus(streamTraffic(s))
 		all[ends[1]] = all[ends[1]].Plus(streamTraffic(s).Reversed())
 	}
 	return all
 }
 
-func (c *cluster) close() {
+func (c *controlCluster) close() {
 	for k := range c.replicas {
-		c.kill(k)
+		c.killReplica(k)
 	}
-	for _, s := range c.ways {
+	for _, s := range c.replicaLinks {
 		closeStream(s)
 	}
-	for _, s := range c.doors {
+	for _, s := range c.regionLinks {
 		closeStream(s)
 	}
-	for _, streams := range c.counted {
+	for _, streams := range c.proxyLinks {
 		for _, s := range streams {
 			closeStream(s)
 		}
 	}
-	if c.state != "" {
-		os.RemoveAll(c.state)
+	if c.stateDirectory != "" {
+		os.RemoveAll(c.stateDirectory)
 	}
 }
 
--- a/internal/scale/likeness.go
+++ b/internal/scale/comparison.go
@@ -43,49 +43,49 @@
 		return nil, err
 	}
 	var all []Comparison
-	watch, err := r.during(func() error {
-		return errors.Join(pause(ctx, o.IdleTime), r.restartTwins(ctx, o))
+	watch, err := r.measure(func() error {
+		return errors.Join(sleep(ctx, o.IdleTime), r.restartBackendPairs(ctx, o))
 	})
 	if err != nil {
 		return nil, err
 	}
-	all = append(all, kinds("list watch, restarts", watch.traffic, o.ProxiesEach)...)
+	all = append(all, compareTraffic("list watch, restarts", watch.traffic, o.ProxiesEach)...)
 	if !o.SeedDefect {
-		back, err := r.during(func() error {
-			_, err := r.breakAll(ctx)
+		back, err := r.measure(func() error {
+			_, err := r.reconnectAll(ctx)
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, kinds("list watch, whole lists", back.traffic, o.ProxiesEach)...)
+		all = append(all, compareTraffic("list watch, whole lists", back.traffic, o.ProxiesEach)...)
 	}
 	if o.Replicas > 0 {
-		config, err := r.changeTwins(ctx, o)
+		config, err := r.changeConfigs(ctx, o)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, kinds("configuration watch, changes", config, o.ProxiesEach)...)
+		all = append(all, compareTraffic("configuration watch, changes", config, o.ProxiesEach)...)
 	}
-	before := r.relays.traffic()
-	if _, bad := r.call(ctx, everyProxy(plan.Fleet), o.CallsPerSecond, o.CallSeconds); bad > 0 && !o.SeedDefect {
+	before := r.siblingLinks.traffic()
+	if _, bad := r.sendCalls(ctx, allProxies(plan.Fleet), o.CallsPerSecond, o.CallSeconds); bad > 0 && !o.SeedDefect {
 		return nil, fmt.Errorf("%d calls failed", bad)
 	}
-	notes := r.relays.traffic()
+	notes := r.siblingLinks.traffic()
 	for i := range notes {
 		notes[i] = notes[i].Minus(before[i])
 	}
-	return append(all, kinds("siblings' messages", notes, o.ProxiesEach)...), nil
+	return append(all, compareTraffic("siblings' messages", notes, o.ProxiesEach)...), nil
 }
 
 // changeTwins changes the configuration of all proxies, and gives what each has said to control and heard from it.
-func (r *Deployment) changeTwins(ctx context.Context, o ComparisonOptions) ([]meter.Traffic, error) {
+func (r *Deployment) changeConfigs(ctx context.Context, o ComparisonOptions) ([]meter.Traffic, error) {
 	wanted := 2 * o.ProxiesEach
 	if o.SeedDefect {
 		wanted = o.ProxiesEach
 	}
 	before := r.control.proxyTraffic()
-	operator := operator{rig: r}
+	operator := operator{deployment: r}
 	for range o.Changes {
 		if _, err := operator.change(ctx, false, wanted); err != nil {
 			return nil, err
@@ -99,15 +99,15 @@
 }
 
 // restartTwins restarts the same backend of both services at the same time.
-func (r *Deployment) restartTwins(ctx context.Context, o ComparisonOptions) error {
+func (r *Deployment) restartBackendPairs(ctx context.Context, o ComparisonOptions) error {
 	const states = 3
 	for k := range o.Restarts {
 		i := k % o.ProxiesEach
 		for _, status := range []string{"draining", "gone", "ready"} {
-			if err := r.change([]int{i, i + o.ProxiesEach}, status); err != nil {
+			if err := r.updateBackends([]int{i, i + o.ProxiesEach}, status); err != nil {
 				return err
 			}
-			if err := pause(ctx, time.Duration(float64(time.Second)/o.RestartsPerSecond/states)); err != nil {
+			if err := sleep(ctx, time.Duration(float64(time.Second)/o.RestartsPerSecond/states)); err != nil {
 				return err
 			}
 		}
@@ -115,12 +115,12 @@
 	return nil
 }
 
-func everyProxy(f *fleet.Fleet) []int {
-	return everyNumber(len(f.Proxies))
+func allProxies(f *fleet.Fleet) []int {
+	return indexes(len(f.Proxies))
 }
 
 // kinds compares the four kinds of traffic; the first ones are the real proxies'.
-func kinds(name string, traffic []meter.Traffic, real int) (all []Comparison) {
+func compareTraffic(name string, traffic []meter.Traffic, real int) (all []Comparison) {
 	for _, k := range []struct {
 		name  string
 		value func(meter.Traffic) int64
--- a/internal/scale/controlevents.go
+++ b/internal/scale/controlevents.go
@@ -13,7 +13,7 @@
 	"sandpass/internal/scale/helper"
 )
 
-const acceptedWithin = 20 * time.Second // for a change
+const applyTimeout = 20 * time.Second // for a change
 
 // ControlOptions say what happens to a fleet that has its configuration from control.
 type ControlOptions struct {
@@ -37,11 +37,11 @@
 
 // operator is one who changes the fleet's configuration.
 type operator struct {
-	rig  *Deployment
-	base revision.Number
-	step int
+	deployment    *Deployment
+	base          revision.Number
+	revisionCount int
 
-	accepted float64 // seconds that the last change took to be accepted
+	acceptSeconds float64 // seconds that the last change took to be accepted
 }
 
 // document is a configuration of about the size of a change: what each customer may have.
@@ -52,8 +52,8 @@
 	}
 	const realmBytes = 45 // of one in JSON
 	realms := []realm{{"c0", 1e6}}
-	for i := range o.rig.plan.Fleet.Sizes.ChangeBytes / realmBytes {
-		realms = append(realms, realm{fmt.Sprintf("customer-%04d", i), float64(100_000 + o.step)})
+	for i := range o.deployment.plan.Fleet.Sizes.ChangeBytes / realmBytes {
+		realms = append(realms, realm{fmt.Sprintf("customer-%04d", i), float64(100_000 + o.revisionCount)})
 	}
 	text, _ := json.Marshal(map[string]any{"settings": map[string]any{"realms": realms}}) // it has nothing that can't be encoded
 	document, _ := revision.Canonicalize(text)                                            // and is an object
@@ -63,23 +63,23 @@
 // change makes a revision and waits until it is in force at so many proxies, or a minute has passed. It gives the seconds from
 // the moment of the call, of each proxy.
 func (o *operator) change(ctx context.Context, atOnce bool, wanted int) ([]float64, error) {
-	marks, err := o.rig.marks()
+	marks, err := o.deployment.reloadCounts()
 	if err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	started := time.Now()
 	if err := o.apply(ctx, atOnce); err != nil {
 		return nil, err
 	}
-	for deadline := time.Now().Add(settledWithin); ; {
-		took, err := o.rig.takenOver(marks, begun)
+	for deadline := time.Now().Add(settleTimeout); ; {
+		took, err := o.deployment.reloadSecondsSince(marks, started)
 		if err != nil || len(took) >= wanted {
 			return took, err
 		}
 		if time.Now().After(deadline) {
-			return took, fmt.Errorf("revision %d is in force at %d of %d proxies after %v", o.base, len(took), wanted, settledWithin)
+			return took, fmt.Errorf("revision %d is in force at %d of %d proxies after %v", o.base, len(took), wanted, settleTimeout)
 		}
-		if err := pause(ctx, 2*lookEvery); err != nil {
+		if err := sleep(ctx, 2*pollInterval); err != nil {
 			return nil, err
 		}
 	}
@@ -87,27 +87,27 @@
 
 // apply makes a revision over the newest one.
 func (o *operator) apply(ctx context.Context, atOnce bool) error {
-	o.step++
-	begun := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, acceptedWithin)
+	o.revisionCount++
+	started := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	number, err := o.rig.control.apply(ctx, o.base, o.document(), atOnce)
+	number, err := o.deployment.control.apply(ctx, o.base, o.document(), atOnce)
 	if err != nil {
-		return errors.Join(err, o.rig.control.lastWords())
+		return errors.Join(err, o.deployment.control.lastLogLines())
 	}
-	o.base, o.accepted = number, time.Since(begun).Seconds()
+	o.base, o.acceptSeconds = number, time.Since(started).Seconds()
 	return nil
 }
 
 // marks is how many configurations have come into force so far, by process.
-type marks struct {
+type reloadCounts struct {
 	groups  []int
 	servers map[int]int
 }
 
-func (r *Deployment) marks() (marks, error) {
-	m := marks{groups: make([]int, len(r.hollow)), servers: map[int]int{}}
-	for g, group := range r.hollow {
+func (r *Deployment) reloadCounts() (reloadCounts, error) {
+	m := reloadCounts{groups: make([]int, len(r.inProcess)), servers: map[int]int{}}
+	for g, group := range r.inProcess {
 		if group == nil {
 			continue
 		}
@@ -118,15 +118,15 @@
 		}
 		m.groups[g] = len(a.AppliedAt)
 	}
-	for i, s := range r.servers {
-		m.servers[i] = len(s.reloads())
+	for i, s := range r.realProxies {
+		m.servers[i] = len(s.reloadTimes())
 	}
 	return m, nil
 }
 
 // takenOver is the seconds until each configuration since the marks came into force.
-func (r *Deployment) takenOver(m marks, begun time.Time) (took []float64, err error) {
-	for g, group := range r.hollow {
+func (r *Deployment) reloadSecondsSince(m reloadCounts, started time.Time) (took []float64, err error) {
+	for g, group := range r.inProcess {
 		if group == nil {
 			continue
 		}
@@ -135,12 +135,12 @@
 			return nil, err
 		}
 		for _, at := range a.AppliedAt {
-			took = append(took, at-float64(begun.UnixNano())/1e9)
+			took = append(took, at-float64(started.UnixNano())/1e9)
 		}
 	}
-	for i, s := range r.servers {
-		for _, at := range s.reloads()[m.servers[i]:] {
-			took = append(took, at.Sub(begun).Seconds())
+	for i, s := range r.realProxies {
+		for _, at := range s.reloadTimes()[m.servers[i]:] {
+			took = append(took, at.Sub(started).Seconds())
 		}
 	}
 	return took, nil
@@ -154,8 +154,8 @@
 		return nil, err
 	}
 	defer r.Close()
-	s := controlStage{ctx: ctx, rig: r, options: o, operator: operator{rig: r}}
-	if _, err := s.operator.change(ctx, false, s.all()); err != nil { // the first is a whole configuration
+	s := controlScenario{ctx: ctx, deployment: r, options: o, operator: operator{deployment: r}}
+	if _, err := s.operator.change(ctx, false, s.proxyCount()); err != nil { // the first is a whole configuration
 		return nil, err
 	}
 	var all []Event
@@ -163,15 +163,15 @@
 		name string
 		do   func(e *Event) error
 	}{
-		{"control: at rest", s.rest},
+		{"control: at rest", s.idle},
 		{eventChange, s.change},
 		{"control: a change at once, without the guard", s.atOnce},
 		{eventBurst, s.burst},
-		{"control: the leader is lost", s.leaderLost},
-		{eventBusiestLost, s.busiestLost},
-		{eventRegionCut, s.regionCut},
-		{"control: changes at three of five machines", s.threeLeft},
-		{"control: all machines are lost, a change when they are back", s.allLost},
+		{"control: the leader is lost", s.loseLeader},
+		{eventBusiestLost, s.loseBusiest},
+		{eventRegionCut, s.cutRegion},
+		{"control: changes at three of five machines", s.loseTwo},
+		{"control: all machines are lost, a change when they are back", s.loseAll},
 	} {
 		if o.EventNames != nil && !slices.Contains(o.EventNames, step.name) {
 			continue
@@ -187,86 +187,86 @@
 }
 
 // controlStage is where events happen to control.
-type controlStage struct {
-	ctx      context.Context
-	rig      *Deployment
-	options  ControlOptions
-	operator operator
+type controlScenario struct {
+	ctx        context.Context
+	deployment *Deployment
+	options    ControlOptions
+	operator   operator
 }
 
-func (s *controlStage) all() int { return len(s.rig.plan.Fleet.Proxies) }
+func (s *controlScenario) proxyCount() int { return len(s.deployment.plan.Fleet.Proxies) }
 
-func (s *controlStage) rest(*Event) error { return pause(s.ctx, 8*sampleEvery) }
+func (s *controlScenario) idle(*Event) error { return sleep(s.ctx, 8*sampleInterval) }
 
 // changes makes so many changes one after another.
-func (s *controlStage) changes(e *Event, count int, atOnce bool, every time.Duration) error {
+func (s *controlScenario) changes(e *Event, count int, atOnce bool, every time.Duration) error {
 	return e.changes(s.ctx, count, every, func(int) ([]float64, error) {
-		return s.operator.change(s.ctx, atOnce, s.all())
+		return s.operator.change(s.ctx, atOnce, s.proxyCount())
 	})
 }
 
-func (s *controlStage) change(e *Event) error {
-	return s.changes(e, s.options.Changes, false, 2*sampleEvery)
+func (s *controlScenario) change(e *Event) error {
+	return s.changes(e, s.options.Changes, false, 2*sampleInterval)
 }
 
-func (s *controlStage) atOnce(e *Event) error {
-	return s.changes(e, s.options.Changes, true, 2*sampleEvery)
+func (s *controlScenario) atOnce(e *Event) error {
+	return s.changes(e, s.options.Changes, true, 2*sampleInterval)
 }
 
-func (s *controlStage) burst(e *Event) error {
+func (s *controlScenario) burst(e *Event) error {
 	return s.changes(e, s.options.Burst, false, s.options.BurstWindow/time.Duration(s.options.Burst))
 }
 
 // lose kills replicas, waits until all proxies hang on others, makes a change, and starts the replicas again.
-func (s *controlStage) lose(e *Event, lost []int) error {
-	c := s.rig.control
-	connected, err := c.connected()
+func (s *controlScenario) loseReplicas(e *Event, lost []int) error {
+	c := s.deployment.control
+	connected, err := c.connectedProxies()
 	if err != nil {
 		return err
 	}
 	hung := 0
 	for _, k := range lost {
-		c.kill(k)
+		c.killReplica(k)
 		hung += connected[k]
 	}
-	begun := time.Now()
-	if err := c.awaitConnected(s.ctx, s.all(), lost...); err != nil {
+	started := time.Now()
+	if err := c.awaitConnected(s.ctx, s.proxyCount(), lost...); err != nil {
 		return err
 	}
-	e.SettledSeconds = time.Since(begun).Seconds()
+	e.SettledSeconds = time.Since(started).Seconds()
 	e.Connections = hung
 	e.Note = fmt.Sprintf("%d proxies hung on what was lost; settled: all on other machines; in force: a change after that", hung)
-	took, err := s.operator.change(s.ctx, false, s.all())
+	took, err := s.operator.change(s.ctx, false, s.proxyCount())
 	if err != nil {
 		return err
 	}
 	e.InForce = quantiles(took)
-	e.Note += fmt.Sprintf(", accepted after %.2f s", s.operator.accepted)
-	return s.restart(lost)
+	e.Note += fmt.Sprintf(", accepted after %.2f s", s.operator.acceptSeconds)
+	return s.restartReplicas(lost)
 }
 
-func (s *controlStage) restart(lost []int) error {
+func (s *controlScenario) restartReplicas(lost []int) error {
 	for _, k := range lost {
-		if err := s.rig.control.start(k); err != nil {
+		if err := s.deployment.control.startReplica(k); err != nil {
 			return err
 		}
 	}
-	if err := s.rig.control.awaitLeader(); err != nil {
+	if err := s.deployment.control.awaitLeader(); err != nil {
 		return err
 	}
-	return s.rig.control.awaitConnected(s.ctx, s.all())
+	return s.deployment.control.awaitConnected(s.ctx, s.proxyCount())
 }
 
-func (s *controlStage) leaderLost(e *Event) error {
-	leader := s.rig.control.leader()
+func (s *controlScenario) loseLeader(e *Event) error {
+	leader := s.deployment.control.leaderIndex()
 	if leader < 0 {
 		return errors.New("no leader")
 	}
-	return s.lose(e, []int{leader})
+	return s.loseReplicas(e, []int{leader})
 }
 
-func (s *controlStage) busiestLost(e *Event) error {
-	connected, err := s.rig.control.connected()
+func (s *controlScenario) loseBusiest(e *Event) error {
+	connected, err := s.deployment.control.connectedProxies()
 	if err != nil {
 		return err
 	}
@@ -276,88 +276,88 @@
 			busiest = k
 		}
 	}
-	return s.lose(e, []int{busiest})
+	return s.loseReplicas(e, []int{busiest})
 }
 
-func (s *controlStage) threeLeft(e *Event) error {
-	if len(s.rig.control.replicas) < 5 {
+func (s *controlScenario) loseTwo(e *Event) error {
+	if len(s.deployment.control.replicas) < 5 {
 		return nil
 	}
-	return s.lose(e, []int{0, 1})
+	return s.loseReplicas(e, []int{0, 1})
 }
 
 // regionCut cuts a region off, with its replicas and proxies; a change is made meanwhile, and its proxies have it only after the
 // cut has healed.
-func (s *controlStage) regionCut(e *Event) error {
-	c := s.rig.control
+func (s *controlScenario) cutRegion(e *Event) error {
+	c := s.deployment.control
 	region := c.replicas[len(c.replicas)-1].region
 	inside := 0
-	for _, p := range s.rig.plan.Fleet.Proxies {
+	for _, p := range s.deployment.plan.Fleet.Proxies {
 		if p.Region == region {
 			inside++
 		}
 	}
-	c.cutRegion(s.rig.plan, region, true)
-	begun := time.Now()
-	if err := pause(s.ctx, 3*sampleEvery); err != nil { // a leader in the region is found to be cut off
+	c.setRegionCut(s.deployment.plan, region, true)
+	started := time.Now()
+	if err := sleep(s.ctx, 3*sampleInterval); err != nil { // a leader in the region is found to be cut off
 		return err
 	}
-	marks, err := s.rig.marks()
+	marks, err := s.deployment.reloadCounts()
 	if err != nil {
 		return err
 	}
-	took, err := s.operator.change(s.ctx, false, s.all()-inside)
+	took, err := s.operator.change(s.ctx, false, s.proxyCount()-inside)
 	if err != nil {
 		return err
 	}
-	if err := pause(s.ctx, s.options.RegionOutage-time.Since(begun)); err != nil {
+	if err := sleep(s.ctx, s.options.RegionOutage-time.Since(started)); err != nil {
 		return err
 	}
 	healed := time.Now()
-	c.cutRegion(s.rig.plan, region, false)
+	c.setRegionCut(s.deployment.plan, region, false)
 	for {
-		all, err := s.rig.takenOver(marks, healed)
+		all, err := s.deployment.reloadSecondsSince(marks, healed)
 		if err != nil {
 			return err
 		}
-		if len(all) >= s.all() {
+		if len(all) >= s.proxyCount() {
 			e.SettledSeconds = time.Since(healed).Seconds()
 			break
 		}
-		if time.Since(healed) > settledWithin {
-			return fmt.Errorf("%d of %d proxies have the change %v after the cut has healed", len(all), s.all(), settledWithin)
+		if time.Since(healed) > settleTimeout {
+			return fmt.Errorf("%d of %d proxies have the change %v after the cut has healed", len(all), s.proxyCount(), settleTimeout)
 		}
-		if err := pause(s.ctx, 2*lookEvery); err != nil {
+		if err := sleep(s.ctx, 2*pollInterval); err != nil {
 			return err
 		}
 	}
 	e.InForce = quantiles(took)
 	e.Note = fmt.Sprintf("%d proxies in %s are cut off; in force: at the others, during the cut; settled: at all, after it has healed",
 		inside, region)
-	if err := s.rig.control.awaitConnected(s.ctx, s.all()); err != nil {
+	if err := s.deployment.control.awaitConnected(s.ctx, s.proxyCount()); err != nil {
 		e.Note += "; **" + err.Error() + "**" // they have the change: what control tells of them is wrong
 	}
 	return nil
 }
 
 // allLost kills all replicas and starts them again; all proxies return at once.
-func (s *controlStage) allLost(e *Event) error {
-	c := s.rig.control
-	lost := everyNumber(len(c.replicas))
+func (s *controlScenario) loseAll(e *Event) error {
+	c := s.deployment.control
+	lost := indexes(len(c.replicas))
 	for _, k := range lost {
-		c.kill(k)
+		c.killReplica(k)
 	}
-	if err := pause(s.ctx, 5*sampleEvery); err != nil {
+	if err := sleep(s.ctx, 5*sampleInterval); err != nil {
 		return err
 	}
-	begun := time.Now()
-	if err := s.restart(lost); err != nil {
+	started := time.Now()
+	if err := s.restartReplicas(lost); err != nil {
 		return err
 	}
-	e.SettledSeconds = time.Since(begun).Seconds()
-	e.Connections = s.all()
+	e.SettledSeconds = time.Since(started).Seconds()
+	e.Connections = s.proxyCount()
 	e.Note = "settled: a leader and all proxies connected, from the machines' start"
-	took, err := s.operator.change(s.ctx, false, s.all())
+	took, err := s.operator.change(s.ctx, false, s.proxyCount())
 	e.InForce = quantiles(took)
 	return err
 }
--- a/internal/scale/data.go
+++ b/internal/scale/data.go
@@ -12,7 +12,7 @@
 // The roles whose use is measured.
 const (
 	roleProxy     = "proxy"
-	roleHollow    = "hollow proxy"
+	roleInProcess = "hollow proxy"
 	roleDiscovery = "discovery's agents"
 	roleControl   = "control machine"
 	roleLeader    = "control leader"
@@ -162,7 +162,7 @@
 }
 
 // find is the series of a figure.
-func (d *Data) find(role, figure string, against Variable, setting string) *Series {
+func (d *Data) findSeries(role, figure string, against Variable, setting string) *Series {
 	for i, s := range d.Series {
 		if s.Role == role && s.Figure == figure && s.Variable == against && s.Setting == setting {
 			return &d.Series[i]
@@ -174,7 +174,7 @@
 // replaceSeries puts series in place of those of the same figures.
 func (d *Data) replaceSeries(series []Series) {
 	for _, s := range series {
-		if old := d.find(s.Role, s.Figure, s.Variable, s.Setting); old != nil {
+		if old := d.findSeries(s.Role, s.Figure, s.Variable, s.Setting); old != nil {
 			*old = s
 		} else {
 			d.Series = append(d.Series, s)
--- a/internal/scale/rig.go
+++ b/internal/scale/deployment.go
@@ -21,10 +21,10 @@
 
 // What a run may take of the machine: under half of its memory, and a few hundred processes.
 const (
-	mostMemory    = 12e9 // bytes
-	mostProcesses = 300
-	watchEvery    = time.Second
-	settledWithin = 60 * time.Second
+	maxMemoryBytes        = 12e9 // bytes
+	maxProcesses          = 300
+	resourceCheckInterval = time.Second
+	settleTimeout         = 60 * time.Second
 )
 
 // Programs are what a run starts.
@@ -48,26 +48,26 @@
 
 // Rig is a fleet that runs.
 type Deployment struct {
-	plan       Plan
-	programs   Programs
-	addresses  addresses
-	claim      net.Listener // of the addresses
-	directory  string
-	discovery  *helper.Process
-	hollow     []*hollowGroup
-	hollowBase float64 // bytes of memory that a hollow helper has before it has a proxy
-	servers    map[int]*server
-	relays     *relays
-	control    *cluster
-	backends   []*standin.Backend
-	mu         sync.Mutex
-	closed     bool
-	cancel     context.CancelCauseFunc
-	watched    chan struct{}
+	plan            Plan
+	programs        Programs
+	addresses       addresses
+	addressLock     net.Listener // of the addresses
+	directory       string
+	discovery       *helper.Process
+	inProcess       []*inProcessGroup
+	helperBaseBytes float64 // bytes of memory that a hollow helper has before it has a proxy
+	realProxies     map[int]*proxyProcess
+	siblingLinks    *siblingLinks
+	control         *controlCluster
+	backends        []*standin.Backend
+	mu              sync.Mutex
+	closed          bool
+	cancel          context.CancelCauseFunc
+	monitorDone     chan struct{}
 }
 
 // hollowGroup is a helper with hollow proxies.
-type hollowGroup struct {
+type inProcessGroup struct {
 	process *helper.Process
 	members []int // the fleet's index of its proxies, by their number in the helper
 }
@@ -79,12 +79,12 @@
 // over its part of the machine, with the cause.
 func Deploy(ctx context.Context, plan Plan, programs Programs) (*Deployment, context.Context, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	r := &Deployment{plan: plan, programs: programs, servers: map[int]*server{}, cancel: cancel, watched: make(chan struct{})}
-	if n := plan.RealProxies + plan.Replicas + 4; n > mostProcesses {
+	r := &Deployment{plan: plan, programs: programs, realProxies: map[int]*proxyProcess{}, cancel: cancel, monitorDone: make(chan struct{})}
+	if n := plan.RealProxies + plan.Replicas + 4; n > maxProcesses {
 		cancel(nil)
-		return nil, ctx, fmt.Errorf("%w: %d processes, %d are allowed", ErrResourceLimit, n, mostProcesses)
+		return nil, ctx, fmt.Errorf("%w: %d processes, %d are allowed", ErrResourceLimit, n, maxProcesses)
 	}
-	go r.watch(ctx)
+	go r.monitorResources(ctx)
 	if err := r.open(ctx); err != nil {
 		r.Close()
 		if cause := context.Cause(ctx); errors.Is(cause, ErrResourceLimit) {
@@ -99,10 +99,10 @@
 	if r.directory, err = os.MkdirTemp("", "sandlab-scale-"); err != nil {
 		return err
 	}
-	if r.addresses, r.claim, err = claimAddresses(); err != nil {
+	if r.addresses, r.addressLock, err = lockAddresses(); err != nil {
 		return err
 	}
-	if r.relays, err = newRelays(r.plan, r.addresses); err != nil {
+	if r.siblingLinks, err = newSiblingLinks(r.plan, r.addresses); err != nil {
 		return err
 	}
 	if err := r.startControl(); err != nil {
@@ -111,10 +111,10 @@
 	if r.discovery, err = r.launchHelper(helper.Discovery); err != nil {
 		return err
 	}
-	if _, err := r.discovery.Do(helper.Request{Discover: r.discover()}); err != nil {
+	if _, err := r.discovery.Do(helper.Request{Discover: r.discoveryRequest()}); err != nil {
 		return err
 	}
-	if err := r.startHollow(); err != nil {
+	if err := r.startInProcess(); err != nil {
 		return err
 	}
 	for i := range r.plan.RealProxies {
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	for i, s := range r.servers {
+	for i, s := range r.realProxies {
 		if err := s.awaitReady(r.addresses.at(i, proxyPort)); err != nil {
 			return err
 		}
@@ -130,7 +130,7 @@
 	if r.plan.SeedDefect {
 		return nil // hollow ones have nothing to wait for
 	}
-	if err := r.awaitWatching(ctx, nil); err != nil || r.control == nil {
+	if err := r.awaitLists(ctx, nil); err != nil || r.control == nil {
 		return err
 	}
 	return r.control.awaitConnected(ctx, len(r.plan.Fleet.Proxies))
@@ -141,7 +141,7 @@
 	if r.plan.Replicas == 0 {
 		return nil
 	}
-	base, err := launchOf(r.plan.Fleet, r.addresses, 0, nil, 0).text()
+	base, err := newProxyConfig(r.plan.Fleet, r.addresses, 0, nil, 0).marshal()
 	if err != nil {
 		return err
 	}
@@ -167,11 +167,11 @@
 }
 
 // claimAddresses takes a part of the loopback network that no other run has, until the claim is closed.
-func claimAddresses() (addresses, net.Listener, error) {
+func lockAddresses() (addresses, net.Listener, error) {
 	const first, nets = 64, 180
 	for k := range nets {
 		a := addresses{first + (os.Getpid()+k)%nets}
-		if claim, err := net.Listen("tcp", a.at(0, claimPort)); err == nil {
+		if claim, err := net.Listen("tcp", a.at(0, lockPort)); err == nil {
 			return a, claim, nil
 		}
 	}
@@ -188,7 +188,7 @@
 }
 
 // discover is the lists and agents of the plan.
-func (r *Deployment) discover() *helper.Discover {
+func (r *Deployment) discoveryRequest() *helper.Discover {
 	f, d := r.plan.Fleet, &helper.Discover{}
 	if r.plan.ListScope == WholeList {
 		d.Lists = make([][]standin.Endpoint, 1)
@@ -196,29 +196,29 @@
 		d.Lists = make([][]standin.Endpoint, len(f.Services))
 	}
 	for i, p := range f.Proxies {
-		list := r.listOf(p.Service)
+		list := r.listIndex(p.Service)
 		d.Lists[list] = append(d.Lists[list], endpoint(f, r.addresses, i, "ready"))
-		d.Agents = append(d.Agents, helper.Agent{Address: r.addresses.at(i, agentPort), List: r.listOf(p.TargetService)})
+		d.Agents = append(d.Agents, helper.Agent{Address: r.addresses.at(i, agentPort), List: r.listIndex(p.TargetService)})
 	}
 	return d
 }
 
-func (r *Deployment) listOf(service int) int {
+func (r *Deployment) listIndex(service int) int {
 	if r.plan.ListScope == WholeList {
 		return 0
 	}
 	return service
 }
 
-func (r *Deployment) launch(i int) launch {
+func (r *Deployment) proxyConfig(i int) proxyConfig {
 	if !r.plan.Peers {
-		return launchOf(r.plan.Fleet, r.addresses, i, nil, 0)
+		return newProxyConfig(r.plan.Fleet, r.addresses, i, nil, 0)
 	}
-	peers, place := r.relays.peers(i)
-	return launchOf(r.plan.Fleet, r.addresses, i, peers, place)
+	peers, place := r.siblingLinks.peers(i)
+	return newProxyConfig(r.plan.Fleet, r.addresses, i, peers, place)
 }
 
-func (r *Deployment) startHollow() error {
+func (r *Deployment) startInProcess() error {
 	var members [][]int
 	for i := r.plan.RealProxies; i < len(r.plan.Fleet.Proxies); i++ {
 		group := 0
@@ -230,7 +230,7 @@
 		}
 		members[group] = append(members[group], i)
 	}
-	r.hollow = make([]*hollowGroup, len(members))
+	r.inProcess = make([]*inProcessGroup, len(members))
 	for group := range members {
 		if len(members[group]) == 0 {
 			continue
@@ -248,19 +248,19 @@
 	if err != nil {
 		return err
 	}
-	g := &hollowGroup{process: process, members: members}
+	g := &inProcessGroup{process: process, members: members}
 	r.mu.Lock()
-	r.hollow[group] = g
+	r.inProcess[group] = g
 	r.mu.Unlock()
 	if _, err = process.Do(helper.Request{FreeMemory: true}); err != nil {
 		return err
 	}
 	if used, err := meter.ProcessUsage(process.PID()); err == nil && group == 0 {
-		r.hollowBase = used.ResidentBytes
+		r.helperBaseBytes = used.ResidentBytes
 	}
 	start := &helper.Start{SeedDefect: r.plan.SeedDefect}
 	for _, i := range members {
-		text, err := r.launch(i).text()
+		text, err := r.proxyConfig(i).marshal()
 		if err != nil {
 			return err
 		}
@@ -276,20 +276,20 @@
 }
 
 // endGroup ends the process of a group with all proxies in it, as SIGTERM does or at once, and gives which they were.
-func (r *Deployment) endGroup(group int, planned bool) ([]int, error) {
+func (r *Deployment) stopGroup(group int, planned bool) ([]int, error) {
 	r.mu.Lock()
-	g := r.hollow[group]
-	r.hollow[group] = nil
+	g := r.inProcess[group]
+	r.inProcess[group] = nil
 	r.mu.Unlock()
 	defer g.process.Kill()
 	if !planned {
 		return g.members, nil
 	}
-	_, err := g.process.Do(helper.Request{Stop: everyNumber(len(g.members))})
+	_, err := g.process.Do(helper.Request{Stop: indexes(len(g.members))})
 	return g.members, err
 }
 
-func everyNumber(n int) []int {
+func indexes(n int) []int {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
@@ -307,16 +307,16 @@
 	if r.closed {
 		return errors.New("the run has ended")
 	}
-	s, err := startServer(r.programs.Proxy, r.programs.Environment, r.directory, i, r.launch(i), operator)
+	s, err := startProxyProcess(r.programs.Proxy, r.programs.Environment, r.directory, i, r.proxyConfig(i), operator)
 	if err == nil {
-		r.servers[i] = s
+		r.realProxies[i] = s
 	}
 	return err
 }
 
 // awaitWatching waits until each proxy has an open watch with the whole list, for which it asked after the traffic given.
-func (r *Deployment) awaitWatching(ctx context.Context, since []meter.Traffic) error {
-	deadline := time.Now().Add(settledWithin)
+func (r *Deployment) awaitLists(ctx context.Context, since []meter.Traffic) error {
+	deadline := time.Now().Add(settleTimeout)
 	for {
 		a, err := r.discovery.Do(helper.Request{Traffic: true})
 		if err != nil {
@@ -332,9 +332,9 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d proxies do not have their list after %v", missing, len(a.OpenWatches), settledWithin)
+			return fmt.Errorf("%d of %d proxies do not have their list after %v", missing, len(a.OpenWatches), settleTimeout)
 		}
-		if err := pause(ctx, lookEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -353,10 +353,10 @@
 }
 
 // change tells a new state of some backends.
-func (r *Deployment) change(proxies []int, status string) error {
+func (r *Deployment) updateBackends(proxies []int, status string) error {
 	byList := map[int][]standin.Endpoint{}
 	for _, i := range proxies {
-		list := r.listOf(r.plan.Fleet.Proxies[i].Service)
+		list := r.listIndex(r.plan.Fleet.Proxies[i].Service)
 		byList[list] = append(byList[list], endpoint(r.plan.Fleet, r.addresses, i, status))
 	}
 	for list, endpoints := range byList {
@@ -368,55 +368,55 @@
 }
 
 // reload has proxies turn to other configurations, and gives the seconds until each was in force.
-func (r *Deployment) reload(ctx context.Context, turn func(l *launch)) ([]float64, error) {
-	begun := time.Now()
+func (r *Deployment) reload(ctx context.Context, turn func(l *proxyConfig)) ([]float64, error) {
+	started := time.Now()
 	var took []float64
 	before := map[int]int{}
-	for i, s := range r.servers {
-		l := r.launch(i)
+	for i, s := range r.realProxies {
+		l := r.proxyConfig(i)
 		turn(&l)
-		before[i] = len(s.reloads())
-		if err := s.write(l); err != nil {
+		before[i] = len(s.reloadTimes())
+		if err := s.writeConfig(l); err != nil {
 			return nil, err
 		}
-		if err := s.hangUp(); err != nil {
+		if err := s.signalReload(); err != nil {
 			return nil, err
 		}
 	}
-	for _, g := range r.hollow {
+	for _, g := range r.inProcess {
 		if g == nil {
 			continue
 		}
-		more, err := r.reloadGroup(g, begun, turn)
+		more, err := r.reloadGroup(g, started, turn)
 		if err != nil {
 			return nil, err
 		}
 		took = append(took, more...)
 	}
-	for i, s := range r.servers {
-		deadline := time.Now().Add(settledWithin)
-		reloads := s.reloads()
+	for i, s := range r.realProxies {
+		deadline := time.Now().Add(settleTimeout)
+		reloads := s.reloadTimes()
 		for len(reloads) <= before[i] {
 			if time.Now().After(deadline) {
 				return nil, fmt.Errorf("proxy %d did not turn to the configuration: %s", i, s.lastLine())
 			}
-			if err := pause(ctx, lookEvery); err != nil {
+			if err := sleep(ctx, pollInterval); err != nil {
 				return nil, err
 			}
-			reloads = s.reloads()
+			reloads = s.reloadTimes()
 		}
-		took = append(took, reloads[before[i]].Sub(begun).Seconds())
+		took = append(took, reloads[before[i]].Sub(started).Seconds())
 	}
 	return took, nil
 }
 
 // reloadGroup has the hollow proxies of a group turn to other configurations.
-func (r *Deployment) reloadGroup(g *hollowGroup, begun time.Time, turn func(l *launch)) ([]float64, error) {
+func (r *Deployment) reloadGroup(g *inProcessGroup, started time.Time, turn func(l *proxyConfig)) ([]float64, error) {
 	order := &helper.Reload{}
 	for n, i := range g.members {
-		l := r.launch(i)
+		l := r.proxyConfig(i)
 		turn(&l)
-		text, err := l.text()
+		text, err := l.marshal()
 		if err != nil {
 			return nil, err
 		}
@@ -428,22 +428,22 @@
 	}
 	var took []float64
 	for _, at := range a.AppliedAt {
-		took = append(took, at-float64(begun.UnixNano())/1e9)
+		took = append(took, at-float64(started.UnixNano())/1e9)
 	}
 	return took, nil
 }
 
 // processes are the numbers of all that was started, by role.
-func (r *Deployment) processes() map[string][]int {
+func (r *Deployment) processIDs() map[string][]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := map[string][]int{}
-	for _, i := range sortedKeys(r.servers) {
-		all[roleProxy] = append(all[roleProxy], r.servers[i].pid())
+	for _, i := range sortedKeys(r.realProxies) {
+		all[roleProxy] = append(all[roleProxy], r.realProxies[i].pid())
 	}
-	for _, g := range r.hollow {
+	for _, g := range r.inProcess {
 		if g != nil {
-			all[roleHollow] = append(all[roleHollow], g.process.PID())
+			all[roleInProcess] = append(all[roleInProcess], g.process.PID())
 		}
 	}
 	if r.control != nil {
@@ -469,12 +469,12 @@
 }
 
 // watch ends the run where it goes over its part of the machine.
-func (r *Deployment) watch(ctx context.Context) {
-	defer close(r.watched)
-	for pause(ctx, watchEvery) == nil {
+func (r *Deployment) monitorResources(ctx context.Context) {
+	defer close(r.monitorDone)
+	for sleep(ctx, resourceCheckInterval) == nil {
 		memory, count := 0.0, 1
 		pids := []int{os.Getpid()}
-		for _, of := range r.processes() {
+		for _, of := range r.processIDs() {
 			pids = append(pids, of...)
 			count += len(of)
 		}
@@ -482,9 +482,9 @@
 			used, _ := meter.ProcessUsage(pid) // one that has just ended has nothing
 			memory += used.ResidentBytes
 		}
-		if memory > mostMemory || count > mostProcesses {
+		if memory > maxMemoryBytes || count > maxProcesses {
 			r.cancel(fmt.Errorf("%w: %.1f GB in %d processes, %.0f GB and %d are allowed", ErrResourceLimit, memory/1e9, count,
-				mostMemory/1e9, mostProcesses))
+				maxMemoryBytes/1e9, maxProcesses))
 			return
 		}
 	}
@@ -496,11 +496,11 @@
 	r.closed = true
 	r.mu.Unlock()
 	r.cancel(nil)
-	<-r.watched
-	for _, s := range r.servers {
+	<-r.monitorDone
+	for _, s := range r.realProxies {
 		s.kill()
 	}
-	for _, g := range r.hollow {
+	for _, g := range r.inProcess {
 		if g != nil {
 			g.process.Close()
 		}
@@ -514,11 +514,11 @@
 	for _, b := range r.backends {
 		b.Close()
 	}
-	if r.relays != nil {
-		r.relays.close()
+	if r.siblingLinks != nil {
+		r.siblingLinks.close()
 	}
-	if r.claim != nil {
-		r.claim.Close()
+	if r.addressLock != nil {
+		r.addressLock.Close()
 	}
 	if r.directory != "" {
 		os.RemoveAll(r.directory)
@@ -526,7 +526,7 @@
 }
 
 // pause waits, or gives the cause for which the run ends.
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -22,26 +22,26 @@
 	RegionOutage    time.Duration // of a region
 }
 
-const zoneLost = 3 // which one it is
+const lostZone = 3 // which one it is
 
 // Groups of hollow proxies; those that are restarted follow, a group for each batch.
 const (
-	groupOfRest = iota
-	groupOfZone
-	groupsRestarted
+	groupOthers = iota
+	groupLostZone
+	firstRestartGroup
 )
 
 // groups parts the hollow proxies by what happens to them.
-func (o EventOptions) groups(f *fleet.Fleet) func(proxy int) int {
+func (o EventOptions) assignGroups(f *fleet.Fleet) func(proxy int) int {
 	group := make([]int, len(f.Proxies))
 	restarted := 0
 	for i, p := range f.Proxies {
 		switch {
 		case i < o.RealProxies:
-		case p.Zone == zoneLost%o.Sizes.Zones:
-			group[i] = groupOfZone
+		case p.Zone == lostZone%o.Sizes.Zones:
+			group[i] = groupLostZone
 		case restarted < o.Restarts && i%2 == 1: // the rest group must not be empty
-			group[i] = groupsRestarted + restarted/o.RestartBatch
+			group[i] = firstRestartGroup + restarted/o.RestartBatch
 			restarted++
 		}
 	}
@@ -51,13 +51,13 @@
 // Events has each event happen to a fleet of the size, one after another.
 func RunEvents(ctx context.Context, o EventOptions, programs Programs, progress func(string)) ([]Event, error) {
 	f := fleet.Generate(o.Sizes)
-	plan := Plan{Fleet: f, RealProxies: o.RealProxies, ListScope: o.ListScope, Peers: true, Group: o.groups(f)}
+	plan := Plan{Fleet: f, RealProxies: o.RealProxies, ListScope: o.ListScope, Peers: true, Group: o.assignGroups(f)}
 	r, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	s := stage{ctx: ctx, rig: r, options: o}
+	s := eventScenario{ctx: ctx, deployment: r, options: o}
 	var all []Event
 	for _, step := range []struct {
 		name string
@@ -66,9 +66,9 @@
 		{"a change of configuration, by a file and SIGHUP on each machine", s.change},
 		{"a burst of changes of configuration, by files and SIGHUP", s.burst},
 		{"a day's restarts drawn together", s.restarts},
-		{"a zone is lost and comes back", s.zone},
-		{"a region is cut off from discovery", s.region},
-		{"discovery is silent, then all ask at once", s.silence},
+		{"a zone is lost and comes back", s.loseZone},
+		{"a region is cut off from discovery", s.silenceRegion},
+		{"discovery is silent, then all ask at once", s.silenceDiscovery},
 	} {
 		e, err := r.observe(ctx, Event{Name: step.name}, step.do)
 		if err != nil {
@@ -81,29 +81,29 @@
 }
 
 // stage is where events happen.
-type stage struct {
-	ctx     context.Context
-	rig     *Deployment
-	options EventOptions
+type eventScenario struct {
+	ctx        context.Context
+	deployment *Deployment
+	options    EventOptions
 }
 
 // shift is a change of configuration: a figure of the settings.
-func shift(step int) func(l *launch) {
-	return func(l *launch) { l.Settings.OverageUtility = 0.1 + 0.001*float64(step) }
+func changeSettings(step int) func(l *proxyConfig) {
+	return func(l *proxyConfig) { l.Settings.OverageUtility = 0.1 + 0.001*float64(step) }
 }
 
-func (s stage) change(e *Event) error {
-	took, err := s.rig.reload(s.ctx, shift(1))
+func (s eventScenario) change(e *Event) error {
+	took, err := s.deployment.reload(s.ctx, changeSettings(1))
 	e.InForce = quantiles(took)
 	e.SettledSeconds = e.InForce.Max
 	e.Note = "from the moment at which every file is in place: nothing carries the files"
 	return err
 }
 
-func (s stage) burst(e *Event) error {
+func (s eventScenario) burst(e *Event) error {
 	every := s.options.BurstWindow / time.Duration(s.options.Burst)
 	return e.changes(s.ctx, s.options.Burst, every, func(k int) ([]float64, error) {
-		return s.rig.reload(s.ctx, shift(2+k))
+		return s.deployment.reload(s.ctx, changeSettings(2+k))
 	})
 }
 
@@ -117,7 +117,7 @@
 			return err
 		}
 		all = append(all, took...)
-		if err := pause(ctx, time.Until(next)); err != nil {
+		if err := sleep(ctx, time.Until(next)); err != nil {
 			return err
 		}
 	}
@@ -127,92 +127,92 @@
 }
 
 // restarts ends proxies and starts them again, a batch at a time, with their backends.
-func (s stage) restarts(e *Event) error {
-	begun := time.Now()
+func (s eventScenario) restarts(e *Event) error {
+	started := time.Now()
 	count := 0
-	for group := groupsRestarted; group < len(s.rig.hollow); group++ {
-		batch := s.rig.hollow[group].members
-		if err := s.rig.change(batch, "draining"); err != nil {
+	for group := firstRestartGroup; group < len(s.deployment.inProcess); group++ {
+		batch := s.deployment.inProcess[group].members
+		if err := s.deployment.updateBackends(batch, "draining"); err != nil {
 			return err
 		}
-		if _, err := s.rig.endGroup(group, true); err != nil {
+		if _, err := s.deployment.stopGroup(group, true); err != nil {
 			return err
 		}
-		if err := s.back(group, batch); err != nil {
+		if err := s.startGroupAndBackends(group, batch); err != nil {
 			return err
 		}
 		count += len(batch)
 	}
-	err := s.rig.awaitWatching(s.ctx, nil)
-	e.SettledSeconds = time.Since(begun).Seconds()
+	err := s.deployment.awaitLists(s.ctx, nil)
+	e.SettledSeconds = time.Since(started).Seconds()
 	e.Note = fmt.Sprintf("%d proxies with their backends, %d at a time", count, s.options.RestartBatch)
 	return err
 }
 
 // back has discovery tell that backends are gone, starts their proxies anew, and has it tell that they are there.
-func (s stage) back(group int, members []int) error {
-	if err := s.rig.change(members, "gone"); err != nil {
+func (s eventScenario) startGroupAndBackends(group int, members []int) error {
+	if err := s.deployment.updateBackends(members, "gone"); err != nil {
 		return err
 	}
-	if err := s.rig.startGroup(group, members); err != nil {
+	if err := s.deployment.startGroup(group, members); err != nil {
 		return err
 	}
-	return s.rig.change(members, "ready")
+	return s.deployment.updateBackends(members, "ready")
 }
 
 // zone kills the process that has the zone's proxies, has discovery tell that their backends are gone, and starts all anew.
-func (s stage) zone(e *Event) error {
-	members, err := s.rig.endGroup(groupOfZone, false)
+func (s eventScenario) loseZone(e *Event) error {
+	members, err := s.deployment.stopGroup(groupLostZone, false)
 	if err != nil {
 		return err
 	}
-	if err := s.rig.change(members, "gone"); err != nil {
+	if err := s.deployment.updateBackends(members, "gone"); err != nil {
 		return err
 	}
-	if err := pause(s.ctx, 3*sampleEvery); err != nil {
+	if err := sleep(s.ctx, 3*sampleInterval); err != nil {
 		return err
 	}
-	begun := time.Now()
-	if err := s.rig.startGroup(groupOfZone, members); err != nil {
+	started := time.Now()
+	if err := s.deployment.startGroup(groupLostZone, members); err != nil {
 		return err
 	}
-	if err := s.rig.change(members, "ready"); err != nil {
+	if err := s.deployment.updateBackends(members, "ready"); err != nil {
 		return err
 	}
-	err = s.rig.awaitWatching(s.ctx, nil)
-	e.SettledSeconds = time.Since(begun).Seconds()
+	err = s.deployment.awaitLists(s.ctx, nil)
+	e.SettledSeconds = time.Since(started).Seconds()
 	e.Note = fmt.Sprintf("%d proxies; settled counts from their start", len(members))
 	return err
 }
 
 // region has the agents of one region say nothing while backends of the others restart.
-func (s stage) region(e *Event) error {
+func (s eventScenario) silenceRegion(e *Event) error {
 	var agents []int
-	for i, p := range s.rig.plan.Fleet.Proxies {
-		if p.Region == s.rig.plan.Fleet.Regions[0] {
+	for i, p := range s.deployment.plan.Fleet.Proxies {
+		if p.Region == s.deployment.plan.Fleet.Regions[0] {
 			agents = append(agents, i)
 		}
 	}
-	return s.silent(e, agents, s.options.RegionOutage)
+	return s.silenceAgents(e, agents, s.options.RegionOutage)
 }
 
-func (s stage) silence(e *Event) error {
-	return s.silent(e, everyProxy(s.rig.plan.Fleet), s.options.DiscoveryOutage)
+func (s eventScenario) silenceDiscovery(e *Event) error {
+	return s.silenceAgents(e, allProxies(s.deployment.plan.Fleet), s.options.DiscoveryOutage)
 }
 
 // silent has agents say nothing for a while, and waits until all proxies have their lists again.
-func (s stage) silent(e *Event, agents []int, lasting time.Duration) error {
-	if _, err := s.rig.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents, Silent: true}}); err != nil {
+func (s eventScenario) silenceAgents(e *Event, agents []int, lasting time.Duration) error {
+	if _, err := s.deployment.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents, Silent: true}}); err != nil {
 		return err
 	}
-	if err := pause(s.ctx, lasting); err != nil {
+	if err := sleep(s.ctx, lasting); err != nil {
 		return err
 	}
-	begun := time.Now()
-	if _, err := s.rig.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents}}); err != nil {
+	started := time.Now()
+	if _, err := s.deployment.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents}}); err != nil {
 		return err
 	}
-	err := s.rig.awaitWatching(s.ctx, nil)
-	e.SettledSeconds = time.Since(begun).Seconds()
+	err := s.deployment.awaitLists(s.ctx, nil)
+	e.SettledSeconds = time.Since(started).Seconds()
 	return err
 }
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -1,7 +1,7 @@
-// Package fit finds the law by which a figure grows and predicts it for other sizes.
+// Package fit selects a growth model for measured points and predicts the value at other sizes.
 //
-// It is free of I/O. A law is y = Intercept + Slope * f(n), by least squares; of several the one is chosen that leaves
-// the least, and a simpler one where a richer one gains next to nothing.
+// It does no I/O. A model is y = Intercept + Slope * f(n), fitted by least squares. The model with the smallest residual is
+// selected, but a more complex model replaces a simpler one only if it reduces the residual noticeably.
 package fit
 
 import (
@@ -13,10 +13,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Law names the function of the size that a figure follows.
+// Model names the function f of the size n that a value depends on.
 type Model string
 
-// The laws, simplest first.
+// The growth models, from the simplest to the most complex.
 const (
 	Constant  Model = "none"
 	Logarithm Model = "log n"
@@ -24,33 +24,34 @@
 	Square    Model = "n^2"
 )
 
-// Laws are all of them, simplest first.
+// Models lists all models, from the simplest to the most complex.
 var Models = []Model{Constant, Logarithm, Linear, Square}
 
 const (
-	flatPart    = 0.02 // of the mean: a figure that all sizes have within this part of one another does not grow
-	confidence  = 0.95 // that a figure grows at all
-	leastPoints = 3
-	gain        = 0.8 // what a richer law must leave at most of a simpler one's residual
+	flatTolerance    = 0.02 // residual over mean up to which a value counts as constant
+	confidence       = 0.95 // of the test that the slope is not zero
+	minPoints        = 3
+	maxResidualRatio = 0.8 // a more complex model must leave at most this part of the simpler one's residual
 )
 
-// Point is a figure measured at a size.
+// Point is a value Y measured at a size N.
 type Point struct {
 	N float64 `json:"n"`
 	Y float64 `json:"y"`
 }
 
-// Fit is the law chosen for some points.
+// Fit is the model selected for a set of points, with its coefficients.
 type Fit struct {
 	Model            Model   `json:"law"`
 	Intercept        float64 `json:"intercept"`
 	Slope            float64 `json:"slope"`
-	Residual         float64 `json:"residual"` // root of the mean square, in the figure's unit
-	RelativeResidual float64 `json:"relative"` // Residual as a part of the mean
+	Residual         float64 `json:"residual"` // root mean square, in the unit of the values
+	RelativeResidual float64 `json:"relative"` // Residual divided by the mean
 }
 
-func (l Model) of(n float64) float64 {
-	switch l {
+// basis returns f(n) of the model.
+func (m Model) basis(n float64) float64 {
+	switch m {
 	case Logarithm:
 		return math.Log(n)
 	case Linear:
@@ -61,44 +62,44 @@
 	return 0
 }
 
-// Of chooses the law for points of at least three sizes.
+// Best selects the model for points of at least three sizes.
 func Best(points []Point) (Fit, error) {
-	if len(points) < leastPoints {
-		return Fit{}, fmt.Errorf("%d points are too few for a law, %d are needed", len(points), leastPoints)
+	if len(points) < minPoints {
+		return Fit{}, fmt.Errorf("cannot fit a model to %d points: at least %d are needed", len(points), minPoints)
 	}
-	best := along(Constant, points)
-	if best.Residual <= flatPart*math.Abs(best.Intercept) {
+	best := fitModel(Constant, points)
+	if best.Residual <= flatTolerance*math.Abs(best.Intercept) {
 		return best, nil
 	}
-	for _, law := range Models[1:] {
-		if next := along(law, points); next.Residual < gain*best.Residual && next.grows(points) {
+	for _, model := range Models[1:] {
+		if next := fitModel(model, points); next.Residual < maxResidualRatio*best.Residual && next.slopeIsSignificant(points) {
 			best = next
 		}
 	}
 	return best, nil
 }
 
-// grows tells whether the slope is other than zero with the confidence asked for.
-func (f Fit) grows(points []Point) bool {
+// slopeIsSignificant reports whether a t-test at the given confidence finds the slope different from zero.
+func (f Fit) slopeIsSignificant(points []Point) bool {
 	xs := make([]float64, len(points))
 	for i, p := range points {
-		xs[i] = f.Model.of(p.N)
+		xs[i] = f.Model.basis(p.N)
 	}
 	count := float64(len(points))
-	free := count - 2
-	spread := stat.Variance(xs, nil) * (count - 1)
-	deviation := f.Residual * math.Sqrt(count/free/spread)
-	return math.Abs(f.Slope) > deviation*distuv.StudentsT{Mu: 0, Sigma: 1, Nu: free}.Quantile((1+confidence)/2)
+	degreesOfFreedom := count - 2
+	squares := stat.Variance(xs, nil) * (count - 1)
+	standardError := f.Residual * math.Sqrt(count/degreesOfFreedom/squares)
+	return math.Abs(f.Slope) > standardError*distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile((1+confidence)/2)
 }
 
-// along fits one law.
-func along(law Model, points []Point) Fit {
+// fitModel fits one model by least squares.
+func fitModel(model Model, points []Point) Fit {
 	xs, ys := make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
-		xs[i], ys[i] = law.of(p.N), p.Y
+		xs[i], ys[i] = model.basis(p.N), p.Y
 	}
-	f := Fit{Model: law}
-	if law == Constant {
+	f := Fit{Model: model}
+	if model == Constant {
 		f.Intercept = stat.Mean(ys, nil)
 	} else {
 		f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
@@ -115,17 +116,17 @@
 	return f
 }
 
-// At is what the law gives for a size.
-func (f Fit) At(n float64) float64 { return f.Intercept + f.Slope*f.Model.of(n) }
+// At returns the value that the model predicts for a size.
+func (f Fit) At(n float64) float64 { return f.Intercept + f.Slope*f.Model.basis(n) }
 
-// Quantiles gives the median, 99 in 100 and the last of some values.
-func Quantiles(values []float64) (median, most99, last float64) {
+// Quantiles returns the median, the 99th percentile and the maximum, or zeros without values.
+func Quantiles(values []float64) (median, p99, maximum float64) {
 	if len(values) == 0 {
 		return 0, 0, 0
 	}
 	sorted := slices.Clone(values)
 	slices.Sort(sorted)
 	median = stat.Quantile(0.5, stat.Empirical, sorted, nil)
-	most99 = stat.Quantile(0.99, stat.Empirical, sorted, nil)
-	return median, most99, sorted[len(sorted)-1]
+	p99 = stat.Quantile(0.99, stat.Empirical, sorted, nil)
+	return median, p99, sorted[len(sorted)-1]
 }
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -8,11 +8,11 @@
 
 var sizes = []float64{35, 70, 140, 280, 560}
 
-func TestTheLawIsNamedThroughNoise(t *testing.T) {
+func TestBestFindsModelDespiteNoise(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct {
-		law Model
-		of  func(n float64) float64
+		model Model
+		of    func(n float64) float64
 	}{
 		{Constant, func(float64) float64 { return 42 }},
 		{Logarithm, func(n float64) float64 { return 10 + 30*math.Log(n) }},
@@ -25,22 +25,22 @@
 				points = append(points, Point{n, c.of(n) * (1 + 0.01*random.NormFloat64())})
 			}
 			f, err := Best(points)
-			if err != nil || f.Model != c.law {
-				t.Fatalf("%s was taken for %s (%v): %v", c.law, f.Model, err, points)
+			if err != nil || f.Model != c.model {
+				t.Fatalf("points of model %s: got model %s (%v): %v", c.model, f.Model, err, points)
 			}
 			if at := f.At(1120); math.Abs(at-c.of(1120)) > 0.1*c.of(1120) {
-				t.Errorf("%s: %.1f at 1,120, wanted %.1f", c.law, at, c.of(1120))
+				t.Errorf("%s: predicted %.1f at 1,120, want %.1f", c.model, at, c.of(1120))
 			}
 		}
 	}
 }
 
-// A figure that varies by chance alone must not be told to grow.
-func TestChanceIsNoGrowth(t *testing.T) {
+// TestNoGrowthFoundInNoise guards against a growth model being selected for values that vary by chance alone.
+func TestNoGrowthFoundInNoise(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	const days, allowed = 200, 30 // three laws are tried at 95%
+	const samples, allowed = 200, 30 // three models are tried at 95%
 	growing := 0
-	for range days {
+	for range samples {
 		var points []Point
 		for _, n := range sizes {
 			points = append(points, Point{n, 10 + 2*random.NormFloat64()})
@@ -52,13 +52,13 @@
 		}
 	}
 	if growing > allowed {
-		t.Errorf("%d of %d were told to grow", growing, days)
+		t.Errorf("growth found in %d of %d samples of pure noise, at most %d allowed", growing, samples, allowed)
 	}
 }
 
-func TestNoLawFromTwoPoints(t *testing.T) {
+func TestBestRejectsTwoPoints(t *testing.T) {
 	if _, err := Best([]Point{{1, 1}, {2, 2}}); err == nil {
-		t.Error("two points gave a law")
+		t.Error("a model was fitted to two points")
 	}
 }
 
@@ -67,7 +67,7 @@
 	for i := range 100 {
 		values = append(values, float64(100-i))
 	}
-	if median, most99, last := Quantiles(values); median != 50 || most99 != 99 || last != 100 {
-		t.Errorf("%v, %v, %v", median, most99, last)
+	if median, p99, maximum := Quantiles(values); median != 50 || p99 != 99 || maximum != 100 {
+		t.Errorf("median %v, p99 %v, maximum %v", median, p99, maximum)
 	}
 }
--- a/internal/scale/fleet/fleet.go
+++ b/internal/scale/fleet/fleet.go
@@ -7,35 +7,35 @@
 	"slices"
 )
 
-// Service is a node of the call graph.
+// Service is a node of the call graph. References to services are indexes into Fleet.Services.
 type Service struct {
 	Name           string
-	Level          int     // from 0, those that get calls from outside
-	Callees        []int   // the services that it calls
-	CallsPerSecond float64 // that come to it
-	Backends       []int   // indexes into Fleet.Proxies, of the proxies beside them
+	Level          int     // 0 for services that receive calls from outside
+	Callees        []int   // services that it calls
+	CallsPerSecond float64 // calls that it receives
+	Backends       []int   // index in Fleet.Proxies of the proxy beside each backend
 }
 
 // Proxy is one machine: a backend and the proxy beside it.
 type Proxy struct {
 	Name          string
 	Region        string
-	Zone          int // index into Fleet.Zones
-	Service       int // that its backend belongs to
-	TargetService int // the service whose list it follows
-	Cell          int // of its backend, within the service
+	Zone          int // index in Fleet.Zones
+	Service       int // service of its backend
+	TargetService int // service whose backend list it follows
+	Cell          int // cell of its backend within the service
 }
 
-// Fleet is what sizes and a seed give.
+// Fleet is generated from sizes, which include the seed.
 type Fleet struct {
 	Sizes    Sizes
 	Zones    []string
-	Regions  []string // of each zone
+	Regions  []string // region of each zone
 	Services []Service
 	Proxies  []Proxy
 }
 
-// Generate makes the fleet of the sizes.
+// Generate returns the fleet for the given sizes.
 func Generate(s Sizes) *Fleet {
 	f := &Fleet{Sizes: s}
 	random := rand.New(rand.NewPCG(s.Seed, 0x5ca1e))
@@ -43,39 +43,39 @@
 		f.Zones = append(f.Zones, fmt.Sprintf("zone-%d", z+1))
 		f.Regions = append(f.Regions, fmt.Sprintf("region-%d", z%s.Regions+1))
 	}
-	f.drawGraph(random)
-	f.drawCalls()
+	f.generateCallGraph(random)
+	f.distributeCalls()
 	f.placeBackends()
 	return f
 }
 
-// drawGraph spreads the services over the levels and draws whom each calls: always one of the next level, so that the
-// deepest path has a service of every level.
-func (f *Fleet) drawGraph(random *rand.Rand) {
+// generateCallGraph distributes the services over the levels and chooses at random which services each one calls. One of
+// them is always on the next level, so that the longest path has a service of every level.
+func (f *Fleet) generateCallGraph(random *rand.Rand) {
 	levels := min(f.Sizes.Depth, f.Sizes.Services)
-	fronts := min(max(1, int(f.Sizes.FrontShare*float64(f.Sizes.Services)+0.5)), f.Sizes.Services-levels+1)
-	at := make([][]int, levels)
+	frontServices := min(max(1, int(f.Sizes.FrontShare*float64(f.Sizes.Services)+0.5)), f.Sizes.Services-levels+1)
+	byLevel := make([][]int, levels)
 	for i := range f.Sizes.Services {
 		level := 0
 		switch {
-		case i >= fronts && i < fronts+levels-1:
-			level = i - fronts + 1
-		case i >= fronts && levels > 1:
+		case i >= frontServices && i < frontServices+levels-1:
+			level = i - frontServices + 1
+		case i >= frontServices && levels > 1:
 			level = 1 + random.IntN(levels-1)
 		}
 		f.Services = append(f.Services, Service{Name: fmt.Sprintf("service-%d", i+1), Level: level})
-		at[level] = append(at[level], i)
+		byLevel[level] = append(byLevel[level], i)
 	}
 	for i := range f.Services {
 		s := &f.Services[i]
 		if s.Level == levels-1 {
 			continue
 		}
-		next := at[s.Level+1]
+		next := byLevel[s.Level+1]
 		s.Callees = append(s.Callees, next[random.IntN(len(next))])
-		wanted := f.Sizes.CalledLeast + random.IntN(f.Sizes.CalledMost-f.Sizes.CalledLeast+1)
-		for range wanted - 1 {
-			deeper := at[s.Level+1+random.IntN(levels-s.Level-1)]
+		callees := f.Sizes.CalledLeast + random.IntN(f.Sizes.CalledMost-f.Sizes.CalledLeast+1)
+		for range callees - 1 {
+			deeper := byLevel[s.Level+1+random.IntN(levels-s.Level-1)]
 			callee := deeper[random.IntN(len(deeper))]
 			if !slices.Contains(s.Callees, callee) {
 				s.Callees = append(s.Callees, callee)
@@ -84,10 +84,10 @@
 	}
 }
 
-// drawCalls has calls come to the first level and go on: half of those that come to a service lead to one call of each
-// service that it calls. The sum is scaled to the size's.
-func (f *Fleet) drawCalls() {
-	const goOn = 0.5
+// distributeCalls sets the call rate of each service. Calls enter at the first level; half of the calls to a service lead to
+// one call to each service that it calls. The rates are scaled so that their sum is Sizes.CallsPerSecond.
+func (f *Fleet) distributeCalls() {
+	const forwardedShare = 0.5
 	order := make([]int, len(f.Services))
 	for i := range order {
 		order[i] = i
@@ -96,12 +96,12 @@
 	total := 0.0
 	for _, i := range order {
 		s := &f.Services[i]
-		if s.Level == 0 || s.CallsPerSecond == 0 { // nobody calls it: a few calls come from outside
+		if s.Level == 0 || s.CallsPerSecond == 0 { // a service without callers receives a few calls from outside
 			s.CallsPerSecond = 1
 		}
 		total += s.CallsPerSecond
 		for _, callee := range s.Callees {
-			f.Services[callee].CallsPerSecond += goOn * s.CallsPerSecond
+			f.Services[callee].CallsPerSecond += forwardedShare * s.CallsPerSecond
 		}
 	}
 	for i := range f.Services {
@@ -109,7 +109,8 @@
 	}
 }
 
-// placeBackends gives each service backends by its calls, one at least, spread over the zones.
+// placeBackends creates the proxies and their backends: at least one for each service, in proportion to its calls, spread over
+// the zones.
 func (f *Fleet) placeBackends() {
 	counts := f.backendCounts()
 	for i := range f.Services {
@@ -128,7 +129,8 @@
 	}
 }
 
-// backendCounts shares the machines out by calls: one for each service, the rest by the largest remainder.
+// backendCounts returns the number of backends of each service: one each, and the rest in proportion to the calls by the
+// largest remainder method.
 func (f *Fleet) backendCounts() []int {
 	counts, remainder := make([]int, len(f.Services)), make([]float64, len(f.Services))
 	spare := f.Sizes.Proxies - len(f.Services)
@@ -150,7 +152,7 @@
 	return counts
 }
 
-// InZone are the proxies of a zone.
+// ProxiesInZone returns the indexes of the proxies of a zone.
 func (f *Fleet) ProxiesInZone(zone int) (members []int) {
 	for i, p := range f.Proxies {
 		if p.Zone == zone {
@@ -160,7 +162,7 @@
 	return members
 }
 
-// Depth is how many services the longest path passes.
+// Depth returns the number of services on the longest path of the call graph.
 func (f *Fleet) Depth() int {
 	depth := make([]int, len(f.Services))
 	var visit func(i int) int
@@ -180,17 +182,17 @@
 	return longest
 }
 
-// CalledServices is, over the proxies, the mean and the largest number of services that the backend beside one calls.
-func (f *Fleet) CalleesPerProxy() (mean float64, most int) {
+// CalleesPerProxy returns the mean and the maximum, over all proxies, of the number of services that its backend calls.
+func (f *Fleet) CalleesPerProxy() (mean float64, maximum int) {
 	for _, p := range f.Proxies {
 		n := len(f.Services[p.Service].Callees)
 		mean += float64(n) / float64(len(f.Proxies))
-		most = max(most, n)
+		maximum = max(maximum, n)
 	}
-	return mean, most
+	return mean, maximum
 }
 
-// BusiestCalls is the largest number of calls a second that come to a service, and to one backend.
+// PeakCallRates returns the highest number of calls per second to a service, and to a single backend.
 func (f *Fleet) PeakCallRates() (service, backend float64) {
 	for _, s := range f.Services {
 		service = max(service, s.CallsPerSecond)
--- a/internal/scale/helper/client.go
+++ b/internal/scale/helper/client.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-const endWithin = 15 * time.Second
+const closeTimeout = 15 * time.Second
 
-// Process is a helper that was started.
+// Process is a running helper process.
 type Process struct {
-	command *exec.Cmd
-	in      io.WriteCloser
-	out     *json.Decoder
-	mu      sync.Mutex // one request at a time
-	ended   chan struct{}
-	once    sync.Once
+	command   *exec.Cmd
+	in        io.WriteCloser
+	out       *json.Decoder
+	mu        sync.Mutex // held during a request: a helper handles one at a time
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-// Launch starts a helper of a program that calls Run.
+// Launch starts a program that calls Run as a helper of the given role.
 func Launch(program string, role Role, environment ...string) (*Process, error) {
-	p := &Process{command: exec.Command(program), ended: make(chan struct{})}
+	p := &Process{command: exec.Command(program), done: make(chan struct{})}
 	p.command.Env = append(append(os.Environ(), RoleEnv+"="+string(role)), environment...)
 	p.command.Stderr = os.Stderr
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -45,24 +45,24 @@
 	}
 	go func() {
 		_, _ = p.command.Process.Wait()
-		close(p.ended)
+		close(p.done)
 	}()
 	return p, nil
 }
 
-// PID is the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Do sends a request and waits for its answer.
+// Do sends a request and waits for the response.
 func (p *Process) Do(r Request) (*Response, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := json.NewEncoder(p.in).Encode(r); err != nil {
-		return nil, fmt.Errorf("helper: %w", err)
+		return nil, fmt.Errorf("sending a request to the helper: %w", err)
 	}
 	var a Response
 	if err := p.out.Decode(&a); err != nil {
-		return nil, fmt.Errorf("helper: %w", err)
+		return nil, fmt.Errorf("reading the response of the helper: %w", err)
 	}
 	if a.Error != "" {
 		return &a, errors.New(a.Error)
@@ -70,24 +70,24 @@
 	return &a, nil
 }
 
-// Kill ends the helper at once and waits.
+// Kill kills the helper and waits until it has ended.
 func (p *Process) Kill() {
-	p.once.Do(func() {
+	p.closeOnce.Do(func() {
 		p.in.Close()
-		_ = p.command.Process.Kill() // it may have ended just now
-		<-p.ended
+		_ = p.command.Process.Kill() // an error means that it has already ended
+		<-p.done
 	})
 }
 
-// Close ends the helper and waits for it.
+// Close ends the helper by closing its input, and kills it after closeTimeout.
 func (p *Process) Close() {
-	p.once.Do(func() {
+	p.closeOnce.Do(func() {
 		p.in.Close()
 		select {
-		case <-p.ended:
-		case <-time.After(endWithin):
-			_ = p.command.Process.Kill() // it may have ended just now
-			<-p.ended
+		case <-p.done:
+		case <-time.After(closeTimeout):
+			_ = p.command.Process.Kill() // an error means that it has already ended
+			<-p.done
 		}
 	})
 }
--- a/internal/scale/helper/helper_test.go
+++ b/internal/scale/helper/helper_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// answers are those of a helper to a text.
-func answers(t *testing.T, handle func(*Request) (*Response, error), text string) (all []Response, err error) {
+// responses returns the responses of a helper to the requests in text.
+func responses(t *testing.T, handle func(*Request) (*Response, error), text string) (all []Response, err error) {
 	t.Helper()
 	var out bytes.Buffer
 	err = serve(strings.NewReader(text), &out, handle)
@@ -22,30 +22,30 @@
 	return all, err
 }
 
-func TestRequestsThatMakeNoSenseAreAnsweredInOneLine(t *testing.T) {
-	d, h := &discovery{}, &hollow{}
+func TestInvalidRequestsGetOneLineErrors(t *testing.T) {
+	d, h := &discoveryHelper{}, &inProcessHelper{}
 	defer d.close()
 	for _, c := range []struct {
 		text   string
 		handle func(*Request) (*Response, error)
 	}{
 		{`{"traffic": true}`, d.handle}, {`{"discover": {"agents": [{"list": 3}]}}`, d.handle},
-		{`{"traffic": true}`, d.handle}, // what failed to start is not there
+		{`{"traffic": true}`, d.handle}, // a stand-in that failed to start is not kept
 		{`{}`, h.handle}, {`{"stop": [5]}`, h.handle}, {`{"start": {"launches": [{"name": "x"}]}}`, h.handle},
 		{`{"reload": {"proxies": [1]}}`, h.handle},
 	} {
-		all, err := answers(t, c.handle, c.text)
+		all, err := responses(t, c.handle, c.text)
 		if err != nil || len(all) != 1 || all[0].Error == "" || strings.Contains(all[0].Error, "\n") {
 			t.Errorf("%s: %+v, %v", c.text, all, err)
 		}
 	}
 }
 
-func TestAHelperEndsWithItsInput(t *testing.T) {
-	if all, err := answers(t, (&hollow{}).handle, ""); err != nil || len(all) != 0 {
+func TestHelperEndsWithItsInput(t *testing.T) {
+	if all, err := responses(t, (&inProcessHelper{}).handle, ""); err != nil || len(all) != 0 {
 		t.Errorf("%v, %v", all, err)
 	}
-	if _, err := answers(t, (&hollow{}).handle, "no JSON"); err == nil {
-		t.Error("what is no JSON was read")
+	if _, err := responses(t, (&inProcessHelper{}).handle, "no JSON"); err == nil {
+		t.Error("no error for input that is not JSON")
 	}
 }
--- a/internal/scale/helper/serve.go
+++ b/internal/scale/helper/serve.go
@@ -12,7 +12,7 @@
 	"sandpass/internal/scale/standin"
 )
 
-// Run is the helper if the environment says so, and tells whether it was.
+// Run runs the helper that RoleEnv selects, until its input ends. It reports whether this process is a helper.
 func Run() (bool, error) {
 	role := Role(os.Getenv(RoleEnv))
 	if role == "" {
@@ -22,21 +22,21 @@
 	var handle func(*Request) (*Response, error)
 	switch role {
 	case Discovery:
-		d := &discovery{}
+		d := &discoveryHelper{}
 		defer d.close()
 		handle = d.handle
 	case InProcess:
-		h := &hollow{}
-		log.SetOutput(&h.log)
+		h := &inProcessHelper{}
+		log.SetOutput(&h.reloads)
 		defer h.stopAll()
 		handle = h.handle
 	default:
-		return true, fmt.Errorf("%s: role %q is unknown", RoleEnv, role)
+		return true, fmt.Errorf("%s: unknown role %q", RoleEnv, role)
 	}
 	return true, serve(os.Stdin, os.Stdout, handle)
 }
 
-// serve answers requests until there are no more.
+// serve handles requests until the input ends.
 func serve(in io.Reader, out io.Writer, handle func(*Request) (*Response, error)) error {
 	decoder, encoder := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	for {
@@ -46,37 +46,39 @@
 		} else if err != nil {
 			return err
 		}
-		answer, err := handle(&request)
-		if answer == nil {
-			answer = &Response{}
+		response, err := handle(&request)
+		if response == nil {
+			response = &Response{}
 		}
 		if err != nil {
-			answer.Error = err.Error()
+			response.Error = err.Error()
 		}
-		if err := encoder.Encode(answer); err != nil {
+		if err := encoder.Encode(response); err != nil {
 			return err
 		}
 	}
 }
 
-// discovery is the helper that stands in for it.
-type discovery struct {
+// discoveryHelper is the helper that runs the discovery stand-in.
+type discoveryHelper struct {
 	standin *standin.Discovery
 }
 
-func (d *discovery) close() {
+// close stops the stand-in.
+func (d *discoveryHelper) close() {
 	if d.standin != nil {
 		d.standin.Close()
 		d.standin = nil
 	}
 }
 
-func (d *discovery) handle(r *Request) (*Response, error) {
+// handle handles one request.
+func (d *discoveryHelper) handle(r *Request) (*Response, error) {
 	if r.Discover != nil {
 		return nil, d.start(r.Discover)
 	}
 	if d.standin == nil {
-		return nil, errors.New("discovery was not started")
+		return nil, errors.New("discovery has not been started")
 	}
 	switch {
 	case r.Change != nil:
@@ -93,12 +95,13 @@
 		traffic, watching := d.standin.Traffic()
 		return &Response{Traffic: traffic, OpenWatches: watching}, nil
 	default:
-		return nil, errors.New("discovery does not know this request")
+		return nil, errors.New("request not supported by the discovery helper")
 	}
 	return nil, nil
 }
 
-func (d *discovery) start(r *Discover) error {
+// start starts the stand-in with its lists and agents, in place of one that runs.
+func (d *discoveryHelper) start(r *Discover) error {
 	d.close()
 	d.standin = standin.NewDiscovery(r.Lists)
 	for _, a := range r.Agents {
--- a/internal/scale/meter/meter_test.go
+++ b/internal/scale/meter/meter_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestBytesAreCountedAtTheSocket(t *testing.T) {
+func TestConnCountsBytes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,16 +35,16 @@
 		t.Fatal(err)
 	}
 	if got, want := counter.Traffic(), (Traffic{BytesIn: 5, BytesOut: 7}); got != want {
-		t.Errorf("%+v, wanted %+v", got, want)
+		t.Errorf("traffic %+v, want %+v", got, want)
 	}
 }
 
-func TestAProcessIsRead(t *testing.T) {
+func TestProcessUsage(t *testing.T) {
 	used, err := ProcessUsage(os.Getpid())
 	if err != nil || used.ResidentBytes < 1<<20 {
-		t.Errorf("%+v, %v", used, err)
+		t.Errorf("usage of this process: %+v, %v", used, err)
 	}
 	if _, err := ProcessUsage(-1); err == nil {
-		t.Error("no process was read")
+		t.Error("no error for a process that does not exist")
 	}
 }
--- a/internal/scale/meter/process.go
+++ b/internal/scale/meter/process.go
@@ -8,22 +8,22 @@
 	"strconv"
 )
 
-const clockTick = 0.01 // seconds: what Linux counts processor time in
+const clockTickSeconds = 0.01 // unit of processor time in /proc/PID/stat
 
-// Usage is what a process has used.
+// Usage is the processor time and memory of a process.
 type Usage struct {
-	CPUSeconds    float64 // seconds of a core since its start
-	ResidentBytes float64 // bytes
+	CPUSeconds    float64 // of one core, since the start of the process
+	ResidentBytes float64
 }
 
-// Process reads what a process has used.
+// ProcessUsage reads the usage of a process from /proc.
 func ProcessUsage(pid int) (Usage, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, err
 	}
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
-	const user, system, resident = 11, 12, 21 // places after the name, see proc(5)
+	const user, system, resident = 11, 12, 21 // field indexes after the name, see proc(5)
 	if len(fields) <= resident {
 		return Usage{}, fmt.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
 	}
@@ -33,17 +33,18 @@
 			return Usage{}, err
 		}
 	}
-	cpu := max((values[0]+values[1])*clockTick, threadTime(pid))
+	cpu := max((values[0]+values[1])*clockTickSeconds, threadCPUSeconds(pid))
 	return Usage{CPUSeconds: cpu, ResidentBytes: values[2] * float64(os.Getpagesize())}, nil
 }
 
-// threadTime is the processor time of the threads that live, which the scheduler counts far finer than the process's.
-func threadTime(pid int) (seconds float64) {
-	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is good
+// threadCPUSeconds returns the processor time of the threads that still run. The scheduler counts it at a much finer
+// resolution than the process's total.
+func threadCPUSeconds(pid int) (seconds float64) {
+	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the only error is a malformed pattern
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // ended meanwhile
+			continue // the thread has ended
 		}
 		if fields := bytes.Fields(text); len(fields) > 0 {
 			nanoseconds, _ := strconv.ParseFloat(string(fields[0]), 64)
@@ -53,7 +54,8 @@
 	return seconds
 }
 
-// LoadAverage is the machine's of the last minute; timings mean little beside a high one.
+// LoadAverage returns the machine's load average over the last minute, 0 if it cannot be read. Timings measured under a
+// high load are not reliable.
 func LoadAverage() float64 {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/scale/meter/traffic.go
+++ b/internal/scale/meter/traffic.go
@@ -1,4 +1,4 @@
-// Package meter counts what goes over sockets and what processes use.
+// Package meter measures the traffic of sockets and the processor time and memory of processes.
 package meter
 
 import (
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Traffic is what an end has read and written since it was opened.
+// Traffic is the bytes and messages that one end has read and written since it was opened.
 type Traffic struct {
 	BytesIn     int64 `json:"bytes_in"`
 	BytesOut    int64 `json:"bytes_out"`
@@ -14,70 +14,72 @@
 	MessagesOut int64 `json:"messages_out"`
 }
 
-// Minus is the traffic since an earlier look.
+// Minus returns the traffic since an earlier reading.
 func (t Traffic) Minus(before Traffic) Traffic {
 	return Traffic{t.BytesIn - before.BytesIn, t.BytesOut - before.BytesOut, t.MessagesIn - before.MessagesIn,
 		t.MessagesOut - before.MessagesOut}
 }
 
-// Plus is the traffic of both.
+// Plus returns the sum of both.
 func (t Traffic) Plus(other Traffic) Traffic {
 	return Traffic{t.BytesIn + other.BytesIn, t.BytesOut + other.BytesOut, t.MessagesIn + other.MessagesIn,
 		t.MessagesOut + other.MessagesOut}
 }
 
-// Flipped is the same as the other end sees it.
+// Reversed returns the same traffic as the other end sees it.
 func (t Traffic) Reversed() Traffic {
 	return Traffic{t.BytesOut, t.BytesIn, t.MessagesOut, t.MessagesIn}
 }
 
-// Counter counts the traffic of some connections; it may be used from any goroutine.
+// Counter counts the traffic of a set of connections. It is safe for concurrent use.
 type Counter struct {
 	bytesIn, bytesOut, messagesIn, messagesOut atomic.Int64
 }
 
-// In counts what was read.
+// AddRead adds bytes and messages that were read.
 func (c *Counter) AddRead(bytes, messages int) {
 	c.bytesIn.Add(int64(bytes))
 	c.messagesIn.Add(int64(messages))
 }
 
-// Out counts what was written.
+// AddWritten adds bytes and messages that were written.
 func (c *Counter) AddWritten(bytes, messages int) {
 	c.bytesOut.Add(int64(bytes))
 	c.messagesOut.Add(int64(messages))
 }
 
-// Traffic is what was counted so far.
+// Traffic returns the totals so far.
 func (c *Counter) Traffic() Traffic {
 	return Traffic{c.bytesIn.Load(), c.bytesOut.Load(), c.messagesIn.Load(), c.messagesOut.Load()}
 }
 
-// Conn counts the bytes of a connection; whole messages are for its owner to count.
+// Conn counts the bytes of a connection. Messages are counted by its user.
 type Conn struct {
 	net.Conn
 	Counter *Counter
 }
 
-func (c *Conn) Read(into []byte) (int, error) {
-	n, err := c.Conn.Read(into)
+// Read reads from the connection and counts the bytes.
+func (c *Conn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
 	c.Counter.AddRead(n, 0)
 	return n, err
 }
 
-func (c *Conn) Write(from []byte) (int, error) {
-	n, err := c.Conn.Write(from)
+// Write writes to the connection and counts the bytes.
+func (c *Conn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
 	c.Counter.AddWritten(n, 0)
 	return n, err
 }
 
-// Listener accepts counted connections.
+// Listener counts the bytes of all connections that it accepts.
 type Listener struct {
 	net.Listener
 	Counter *Counter
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and wraps it in a Conn.
 func (l *Listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/scale/observe.go
+++ b/internal/scale/observe.go
@@ -8,44 +8,44 @@
 	"sandpass/internal/scale/meter"
 )
 
-const sampleEvery = time.Second
+const sampleInterval = time.Second
 
 // sample is one look at all.
 type sample struct {
-	at      time.Time
-	usage   usage
-	traffic []meter.Traffic // of each proxy with discovery
+	at               time.Time
+	usage            roleUsage
+	discoveryTraffic []meter.Traffic // of each proxy with discovery
 
 	replicas       []meter.Usage   // of control, by their number; nothing of one that does not run
 	replicaTraffic []meter.Traffic // of each with proxies and the other replicas
-	control        []meter.Traffic // of the counted proxies with control
+	configTraffic  []meter.Traffic // of the counted proxies with control
 }
 
 // both is a proxy's traffic with discovery and, where it is counted, with control.
-func (s *sample) both(i int) meter.Traffic {
-	if i < len(s.control) {
-		return s.traffic[i].Plus(s.control[i])
+func (s *sample) proxyTraffic(i int) meter.Traffic {
+	if i < len(s.configTraffic) {
+		return s.discoveryTraffic[i].Plus(s.configTraffic[i])
 	}
-	return s.traffic[i]
+	return s.discoveryTraffic[i]
 }
 
 // observer looks at a rig each second while something happens to it.
 type observer struct {
-	rig     *Deployment
-	samples []sample
+	deployment *Deployment
+	samples    []sample
 }
 
-func (o *observer) look() error {
-	traffic, err := o.rig.traffic()
+func (o *observer) takeSample() error {
+	traffic, err := o.deployment.traffic()
 	if err == nil {
-		o.samples = append(o.samples, sample{at: time.Now(), usage: o.rig.usage(), traffic: traffic})
-		o.lookAtControl(&o.samples[len(o.samples)-1])
+		o.samples = append(o.samples, sample{at: time.Now(), usage: o.deployment.usage(), discoveryTraffic: traffic})
+		o.sampleControl(&o.samples[len(o.samples)-1])
 	}
 	return err
 }
 
-func (o *observer) lookAtControl(s *sample) {
-	c := o.rig.control
+func (o *observer) sampleControl(s *sample) {
+	c := o.deployment.control
 	if c == nil {
 		return
 	}
@@ -56,7 +56,7 @@
 		}
 		s.replicas = append(s.replicas, used)
 	}
-	s.replicaTraffic, s.control = c.replicaTraffic(), c.proxyTraffic()
+	s.replicaTraffic, s.configTraffic = c.replicaTraffic(), c.proxyTraffic()
 }
 
 // replicaPeak is the most that one of some replicas used in a second.
@@ -67,15 +67,15 @@
 			continue
 		}
 		for n := 1; n < len(o.samples); n++ {
-			was, is := o.samples[n-1], o.samples[n]
-			seconds := is.at.Sub(was.at).Seconds()
-			if seconds < sampleEvery.Seconds()/2 || was.replicas[k].CPUSeconds == 0 || is.replicas[k].CPUSeconds < was.replicas[k].CPUSeconds {
+			previous, current := o.samples[n-1], o.samples[n]
+			seconds := current.at.Sub(previous.at).Seconds()
+			if seconds < sampleInterval.Seconds()/2 || previous.replicas[k].CPUSeconds == 0 || current.replicas[k].CPUSeconds < previous.replicas[k].CPUSeconds {
 				continue
 			}
-			t := is.replicaTraffic[k].Minus(was.replicaTraffic[k])
-			p.CPU = max(p.CPU, (is.replicas[k].CPUSeconds-was.replicas[k].CPUSeconds)/seconds)
+			t := current.replicaTraffic[k].Minus(previous.replicaTraffic[k])
+			p.CPU = max(p.CPU, (current.replicas[k].CPUSeconds-previous.replicas[k].CPUSeconds)/seconds)
 			p.BytesIn, p.BytesOut = max(p.BytesIn, float64(t.BytesIn)/seconds), max(p.BytesOut, float64(t.BytesOut)/seconds)
-			p.Memory = max(p.Memory, is.replicas[k].ResidentBytes)
+			p.Memory = max(p.Memory, current.replicas[k].ResidentBytes)
 		}
 		t := o.samples[len(o.samples)-1].replicaTraffic[k].Minus(o.samples[0].replicaTraffic[k])
 		p.TotalBytes = max(p.TotalBytes, float64(t.BytesIn+t.BytesOut))
@@ -87,22 +87,22 @@
 // seconds until all was as usual.
 func (r *Deployment) observe(ctx context.Context, e Event, do func(e *Event) error) (Event, error) {
 	e.Proxies, e.Setting = len(r.plan.Fleet.Proxies), string(r.plan.ListScope)+" list"
-	o := &observer{rig: r}
+	o := &observer{deployment: r}
 	leader := -1
 	if r.control != nil {
-		leader = r.control.leader()
+		leader = r.control.leaderIndex()
 	}
-	if err := o.look(); err != nil {
+	if err := o.takeSample(); err != nil {
 		return e, err
 	}
 	var wait sync.WaitGroup
 	over := make(chan struct{})
 	var failure error
 	wait.Go(func() {
-		for tick := time.NewTicker(sampleEvery); ; {
+		for tick := time.NewTicker(sampleInterval); ; {
 			select {
 			case <-tick.C:
-				failure = o.look()
+				failure = o.takeSample()
 			case <-over:
 				tick.Stop()
 				return
@@ -114,7 +114,7 @@
 	})
 	err := do(&e)
 	if err == nil {
-		err = pause(ctx, sampleEvery) // what came last is seen over a whole second as well
+		err = sleep(ctx, sampleInterval) // what came last is seen over a whole second as well
 	}
 	close(over)
 	wait.Wait()
@@ -122,7 +122,7 @@
 		err = failure
 	}
 	if err == nil {
-		err = o.look()
+		err = o.takeSample()
 	}
 	if err != nil {
 		return e, err
@@ -134,8 +134,8 @@
 			o.replicaPeak(roleFollower, func(k int) bool { return k != leader }))
 	}
 	first, last := o.samples[0], o.samples[len(o.samples)-1]
-	for i := range last.traffic {
-		e.Connections += int(last.traffic[i].MessagesOut - first.traffic[i].MessagesOut)
+	for i := range last.discoveryTraffic {
+		e.Connections += int(last.discoveryTraffic[i].MessagesOut - first.discoveryTraffic[i].MessagesOut)
 	}
 	return e, ctx.Err()
 }
@@ -144,20 +144,20 @@
 func (o *observer) proxyPeak() Peak {
 	p := Peak{Role: roleProxy}
 	for k := 1; k < len(o.samples); k++ {
-		was, is := o.samples[k-1], o.samples[k]
-		seconds := is.at.Sub(was.at).Seconds()
-		if seconds < sampleEvery.Seconds()/2 {
+		previous, current := o.samples[k-1], o.samples[k]
+		seconds := current.at.Sub(previous.at).Seconds()
+		if seconds < sampleInterval.Seconds()/2 {
 			continue // a part of a second says little of a rate
 		}
-		p.CPU = max(p.CPU, is.usage.cpuSince(was.usage, roleProxy, seconds))
-		for i := range is.traffic {
-			t := is.both(i).Minus(was.both(i))
+		p.CPU = max(p.CPU, current.usage.cpuSince(previous.usage, roleProxy, seconds))
+		for i := range current.discoveryTraffic {
+			t := current.proxyTraffic(i).Minus(previous.proxyTraffic(i))
 			p.BytesIn, p.BytesOut = max(p.BytesIn, float64(t.BytesIn)/seconds), max(p.BytesOut, float64(t.BytesOut)/seconds)
 		}
 	}
 	first, last := o.samples[0], o.samples[len(o.samples)-1]
-	for i := range last.traffic {
-		t := last.both(i).Minus(first.both(i))
+	for i := range last.discoveryTraffic {
+		t := last.proxyTraffic(i).Minus(first.proxyTraffic(i))
 		p.TotalBytes = max(p.TotalBytes, float64(t.BytesIn+t.BytesOut))
 	}
 	return p
@@ -167,19 +167,19 @@
 func (o *observer) discoveryPeak() Peak {
 	p := Peak{Role: roleDiscovery}
 	sum := func(s sample) (all meter.Traffic) {
-		for _, t := range s.traffic {
+		for _, t := range s.discoveryTraffic {
 			all = all.Plus(t.Reversed())
 		}
 		return all
 	}
 	for k := 1; k < len(o.samples); k++ {
-		was, is := o.samples[k-1], o.samples[k]
-		seconds := is.at.Sub(was.at).Seconds()
-		if seconds < sampleEvery.Seconds()/2 {
+		previous, current := o.samples[k-1], o.samples[k]
+		seconds := current.at.Sub(previous.at).Seconds()
+		if seconds < sampleInterval.Seconds()/2 {
 			continue
 		}
-		t := sum(is).Minus(sum(was))
-		p.CPU = max(p.CPU, is.usage.cpuSince(was.usage, roleDiscovery, seconds))
+		t := sum(current).Minus(sum(previous))
+		p.CPU = max(p.CPU, current.usage.cpuSince(previous.usage, roleDiscovery, seconds))
 		p.BytesIn, p.BytesOut = max(p.BytesIn, float64(t.BytesIn)/seconds), max(p.BytesOut, float64(t.BytesOut)/seconds)
 	}
 	t := sum(o.samples[len(o.samples)-1]).Minus(sum(o.samples[0]))
--- a/internal/scale/otherslopes.go
+++ b/internal/scale/otherslopes.go
@@ -11,7 +11,7 @@
 // ServiceSlopes measures how the figures go by the number of services where the number of proxies stays.
 func ServiceSlopes(ctx context.Context, o SlopeOptions, proxies int, services []int, programs Programs,
 	progress func(string)) ([]Series, error) {
-	c := collector{against: ByServices, setting: fmt.Sprintf("%d proxies, service list", proxies)}
+	c := seriesBuilder{against: ByServices, setting: fmt.Sprintf("%d proxies, service list", proxies)}
 	for _, count := range services {
 		sizes := o.Sizes.ScaledTo(proxies)
 		sizes.Services = count
@@ -36,10 +36,10 @@
 		return nil, err
 	}
 	defer r.Close()
-	c := collector{against: ByChangeRate, setting: fmt.Sprintf("%d proxies, whole list", proxies)}
+	c := seriesBuilder{against: ByChangeRate, setting: fmt.Sprintf("%d proxies, whole list", proxies)}
 	for _, rate := range rates {
 		restarts := max(1, int(rate/entries*o.IdleTime.Seconds()))
-		s, err := r.during(func() error { return r.restart(ctx, restarts, rate/entries) })
+		s, err := r.measure(func() error { return r.restartBackends(ctx, restarts, rate/entries) })
 		if err != nil {
 			return nil, fmt.Errorf("%.0f changes a second: %w", rate, err)
 		}
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -21,7 +21,7 @@
 var sections = []section{
 	{"size", (*Data).sizeTable}, {"assumptions", (*Data).assumptionTable}, {"totals", (*Data).totalTable},
 	{"roles", (*Data).roleTables},
-	{"events", (*Data).eventTable}, {"added", (*Data).addedTable}, {"likeness", (*Data).likenessTable},
+	{"events", (*Data).eventTable}, {"added", (*Data).latencyTable}, {"likeness", (*Data).comparisonTable},
 	{"predictions", (*Data).predictionTable},
 }
 
@@ -36,7 +36,7 @@
 	for _, s := range sections {
 		fmt.Fprintf(&out, "## %s\n\n%s\n", s.name, s.text(d))
 	}
-	fmt.Fprintf(&out, "## all series\n\n%s", d.slopeTable())
+	fmt.Fprintf(&out, "## all series\n\n%s", d.seriesTable())
 	return out.String()
 }
 
@@ -98,7 +98,7 @@
 func (t *table) String() string { return t.out.String() }
 
 // amount writes a value with three digits, in a unit that a reader knows.
-func amount(v float64, unit string) string {
+func formatAmount(v float64, unit string) string {
 	switch unit {
 	case "bytes", "bytes/s":
 		per := strings.TrimPrefix(unit, "bytes")
@@ -107,24 +107,24 @@
 			name string
 		}{{1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}} {
 			if math.Abs(v) >= scale.size {
-				return digits(v/scale.size) + " " + scale.name + per
+				return formatNumber(v/scale.size) + " " + scale.name + per
 			}
 		}
-		return digits(v) + " B" + per
+		return formatNumber(v) + " B" + per
 	case "part of a core":
-		return digits(100*v) + "%"
+		return formatNumber(100*v) + "%"
 	case "s":
 		if math.Abs(v) < 1 {
-			return digits(1000*v) + " ms"
+			return formatNumber(1000*v) + " ms"
 		}
-		return digits(v) + " s"
+		return formatNumber(v) + " s"
 	case "connections", "":
-		return digits(v)
+		return formatNumber(v)
 	}
-	return digits(v) + " " + unit
+	return formatNumber(v) + " " + unit
 }
 
-func digits(v float64) string {
+func formatNumber(v float64) string {
 	if v == 0 {
 		return "0"
 	}
@@ -139,17 +139,17 @@
 	t := newTable("what", "size", "from")
 	t.row("proxies, each beside a backend", fmt.Sprint(s.Proxies), "operators")
 	t.row("services", fmt.Sprint(s.Services), "operators")
-	t.row("calls a second, all services together", digits(s.CallsPerSecond), "operators")
+	t.row("calls a second, all services together", formatNumber(s.CallsPerSecond), "operators")
 	t.row("services that a call passes at most", fmt.Sprint(s.Depth), "operators")
 	t.row("regions, zones", fmt.Sprintf("%d, %d", s.Regions, s.Zones), "operators")
-	t.row("changes of configuration a day", digits(s.ChangesPerDay), "operators")
-	t.row("restarts a day", digits(s.RestartsPerDay), "operators")
+	t.row("changes of configuration a day", formatNumber(s.ChangesPerDay), "operators")
+	t.row("restarts a day", formatNumber(s.RestartsPerDay), "operators")
 	t.row("control machines", fmt.Sprint(s.ControlMachines), "operators")
-	t.row("a proxy's budget for control", fmt.Sprintf("%s of a core, %s, %s", amount(b.ProxyCPU, "part of a core"),
-		amount(b.ProxyMemory, "bytes"),
-		amount(b.ProxyTraffic, "bytes/s")), "operators")
-	t.row("a change in force everywhere within", amount(b.InForceSeconds, "s"), "operators")
-	t.row("added to 99 of 100 calls", amount(b.AddedSeconds, "s"), "operators")
+	t.row("a proxy's budget for control", fmt.Sprintf("%s of a core, %s, %s", formatAmount(b.ProxyCPU, "part of a core"),
+		formatAmount(b.ProxyMemory, "bytes"),
+		formatAmount(b.ProxyTraffic, "bytes/s")), "operators")
+	t.row("a change in force everywhere within", formatAmount(b.InForceSeconds, "s"), "operators")
+	t.row("added to 99 of 100 calls", formatAmount(b.AddedSeconds, "s"), "operators")
 	return t.String()
 }
 
@@ -166,17 +166,17 @@
 	t := newTable("assumption", "value", "how")
 	t.row("services that a service calls", fmt.Sprintf("%d to %d; of a machine's backend %s in the mean, %d at most",
 		d.Sizes.CalledLeast, d.Sizes.CalledMost,
-		digits(mean), most), "a, drawn from the seed")
+		formatNumber(mean), most), "a, drawn from the seed")
 	t.row("services that get calls from outside", fmt.Sprintf("%s of them; %d proxies",
-		amount(d.Sizes.FrontShare, "part of a core"), fronts), "a")
-	t.row("calls a second at the busiest service, at its backend", fmt.Sprintf("%s, %s", digits(service), digits(backend)),
+		formatAmount(d.Sizes.FrontShare, "part of a core"), fronts), "a")
+	t.row("calls a second at the busiest service, at its backend", fmt.Sprintf("%s, %s", formatNumber(service), formatNumber(backend)),
 		"a: backends are shared out by calls")
-	t.row("calls a second at a proxy, in the mean", digits(d.Sizes.CallsPerSecond/float64(d.Sizes.Proxies)), "w")
-	if s := d.find(roleProxy, listWhole, ByProxies, string(WholeList)+" list"); s != nil {
-		t.row("bytes of an entry in a whole list", digits(s.Fit.Slope), "m, with the stand-in's names")
+	t.row("calls a second at a proxy, in the mean", formatNumber(d.Sizes.CallsPerSecond/float64(d.Sizes.Proxies)), "w")
+	if s := d.findSeries(roleProxy, figureWholeList, ByProxies, string(WholeList)+" list"); s != nil {
+		t.row("bytes of an entry in a whole list", formatNumber(s.Fit.Slope), "m, with the stand-in's names")
 	}
 	t.row("bytes of a change of configuration", fmt.Sprint(d.Sizes.ChangeBytes), "a")
-	t.row("between two regions, one way", amount(d.Sizes.LatencyMS/1000, "s"), "a")
+	t.row("between two regions, one way", formatAmount(d.Sizes.LatencyMS/1000, "s"), "a")
 	t.row("larger fleets", "services, calls and restarts grow with the proxies; changes, zones, regions and depth stay", "a")
 	return t.String()
 }
@@ -191,22 +191,22 @@
 	for _, total := range d.Totals() {
 		cells := []string{total.Name()}
 		for _, f := range factors {
-			cells = append(cells, amount(total.At(f*n), total.Unit)+" (w)")
+			cells = append(cells, formatAmount(total.At(f*n), total.Unit)+" (w)")
 		}
 		if total.Budget == 0 {
 			t.row(append(cells, "none stated", "-")...)
 			continue
 		}
 		if total.At(n) == 0 {
-			t.row(append(cells, amount(total.Budget, total.Unit), "not measured")...)
+			t.row(append(cells, formatAmount(total.Budget, total.Unit), "not measured")...)
 			continue
 		}
 		room := total.Budget / total.At(n)
-		text := fmt.Sprintf("%s times", digits(room))
+		text := fmt.Sprintf("%s times", formatNumber(room))
 		if room < 1 {
-			text = fmt.Sprintf("**over, %s times**", digits(1/room))
+			text = fmt.Sprintf("**over, %s times**", formatNumber(1/room))
 		}
-		t.row(append(cells, amount(total.Budget, total.Unit), text)...)
+		t.row(append(cells, formatAmount(total.Budget, total.Unit), text)...)
 	}
 	return t.String()
 }
@@ -231,14 +231,14 @@
 			law := "-"
 			if term.Series != nil {
 				law = fmt.Sprintf("%s of %s, %s (%s)", term.Series.Fit.Model, term.Series.Variable,
-					amount(term.Series.Fit.RelativeResidual, "part of a core"), term.Series.Setting)
+					formatAmount(term.Series.Fit.RelativeResidual, "part of a core"), term.Series.Setting)
 			}
 			last := Derived
 			if term.Origin == Measured {
 				last = Predicted
 			}
-			t.row(total.Resource, term.Name, amount(term.At(n), total.Unit)+" ("+string(term.Origin)+")",
-				amount(term.At(4*n), total.Unit)+" ("+string(last)+")", law, term.Mechanism)
+			t.row(total.Resource, term.Name, formatAmount(term.At(n), total.Unit)+" ("+string(term.Origin)+")",
+				formatAmount(term.At(4*n), total.Unit)+" ("+string(last)+")", law, term.Mechanism)
 		}
 	}
 	flush()
@@ -251,15 +251,15 @@
 	for _, e := range d.Events {
 		force := "-"
 		if e.InForce != nil {
-			force = fmt.Sprintf("%s, %s, %s", amount(e.InForce.Median, "s"), amount(e.InForce.P99, "s"), amount(e.InForce.Max, "s"))
+			force = fmt.Sprintf("%s, %s, %s", formatAmount(e.InForce.Median, "s"), formatAmount(e.InForce.P99, "s"), formatAmount(e.InForce.Max, "s"))
 		}
 		var peaks []string
 		for _, p := range e.Peaks {
-			text := fmt.Sprintf("%s: %s, in %s, out %s, in all %s", p.Role, amount(p.CPU, "part of a core"),
-				amount(p.BytesIn, "bytes/s"), amount(p.BytesOut, "bytes/s"),
-				amount(p.TotalBytes, "bytes"))
+			text := fmt.Sprintf("%s: %s, in %s, out %s, in all %s", p.Role, formatAmount(p.CPU, "part of a core"),
+				formatAmount(p.BytesIn, "bytes/s"), formatAmount(p.BytesOut, "bytes/s"),
+				formatAmount(p.TotalBytes, "bytes"))
 			if p.Memory > 0 {
-				text += ", " + amount(p.Memory, "bytes") + " of memory"
+				text += ", " + formatAmount(p.Memory, "bytes") + " of memory"
 			}
 			peaks = append(peaks, text)
 		}
@@ -267,38 +267,38 @@
 		if e.Note != "" {
 			name += ". " + e.Note
 		}
-		t.row(name, e.Setting, force, amount(e.SettledSeconds, "s"), fmt.Sprint(e.Connections), strings.Join(peaks, "; "), digits(e.LoadAverage))
+		t.row(name, e.Setting, force, formatAmount(e.SettledSeconds, "s"), fmt.Sprint(e.Connections), strings.Join(peaks, "; "), formatNumber(e.LoadAverage))
 	}
 	return t.String()
 }
 
-func (d *Data) addedTable() string {
+func (d *Data) latencyTable() string {
 	t := newTable("through", "calls/s", "straight p50, p99, p99.9", "through", "added p50", "added p99", "added p99.9",
 		"failed", "load")
 	three := func(v [3]float64) string {
-		return fmt.Sprintf("%s, %s, %s", amount(v[0], "s"), amount(v[1], "s"), amount(v[2], "s"))
+		return fmt.Sprintf("%s, %s, %s", formatAmount(v[0], "s"), formatAmount(v[1], "s"), formatAmount(v[2], "s"))
 	}
 	for _, a := range d.AddedLatency {
 		added := func(k int) string {
-			return fmt.Sprintf("%s (%s to %s)", amount(a.Proxied[k]-a.Direct[k], "s"), amount(a.MinAdded[k], "s"), amount(a.MaxAdded[k], "s"))
+			return fmt.Sprintf("%s (%s to %s)", formatAmount(a.Proxied[k]-a.Direct[k], "s"), formatAmount(a.MinAdded[k], "s"), formatAmount(a.MaxAdded[k], "s"))
 		}
-		t.row(fmt.Sprintf("%s, %d rounds of %d calls", a.Name, a.Rounds, a.Calls), digits(a.Rate), three(a.Direct),
+		t.row(fmt.Sprintf("%s, %d rounds of %d calls", a.Name, a.Rounds, a.Calls), formatNumber(a.Rate), three(a.Direct),
 			three(a.Proxied), added(0), added(1), added(2),
-			fmt.Sprint(a.Failed), digits(a.LoadAverage))
+			fmt.Sprint(a.Failed), formatNumber(a.LoadAverage))
 	}
 	return t.String()
 }
 
-func (d *Data) likenessTable() string {
+func (d *Data) comparisonTable() string {
 	t := newTable("kind", "real, of a proxy", "hollow", "off")
 	for _, l := range d.Comparisons {
-		t.row(l.Kind, digits(l.Real), digits(l.InProcess), fmt.Sprintf("%+.1f%%", 100*l.RelativeDifference()))
+		t.row(l.Kind, formatNumber(l.Real), formatNumber(l.InProcess), fmt.Sprintf("%+.1f%%", 100*l.RelativeDifference()))
 	}
 	return t.String()
 }
 
 // shown are the series that the page is made of: those of the totals, and whole lists.
-func (d *Data) shown() (series []*Series) {
+func (d *Data) pageSeries() (series []*Series) {
 	add := func(s *Series) {
 		if s != nil && !slices.Contains(series, s) {
 			series = append(series, s)
@@ -310,54 +310,54 @@
 		}
 	}
 	whole := string(WholeList) + " list"
-	add(d.find(roleProxy, listWhole, ByProxies, whole))
-	add(d.find(roleDiscovery, "all ask for whole lists, out, bytes", ByProxies, whole))
-	add(d.find(roleDiscovery, "all ask for whole lists, processor time, s", ByProxies, whole))
+	add(d.findSeries(roleProxy, figureWholeList, ByProxies, whole))
+	add(d.findSeries(roleDiscovery, "all ask for whole lists, out, bytes", ByProxies, whole))
+	add(d.findSeries(roleDiscovery, "all ask for whole lists, processor time, s", ByProxies, whole))
 	for i, s := range d.Series {
-		if s.Role == roleHollow {
+		if s.Role == roleInProcess {
 			add(&d.Series[i])
 		}
 	}
-	add(d.find(roleProxy, "a change of configuration, in force, last, s", ByProxies, controlSetting(d.Sizes.ControlMachines)))
+	add(d.findSeries(roleProxy, "a change of configuration, in force, last, s", ByProxies, controlSetting(d.Sizes.ControlMachines)))
 	return series
 }
 
 func (d *Data) predictionTable() string {
 	t := newTable("role, figure", "setting", "law", "residual", "at the largest size: predicted", "measured", "off")
-	for _, s := range d.shown() {
+	for _, s := range d.pageSeries() {
 		predicted, measured, off := "-", "-", "-"
 		if p := s.Predicted; p != nil {
-			predicted, measured = fmt.Sprintf("%s: %s", digits(p.N), amount(p.Predicted, s.Unit)), amount(p.Measured, s.Unit)
+			predicted, measured = fmt.Sprintf("%s: %s", formatNumber(p.N), formatAmount(p.Predicted, s.Unit)), formatAmount(p.Measured, s.Unit)
 			if p.Measured > 0 {
 				off = fmt.Sprintf("%+.0f%%", 100*p.Error())
 			}
 		}
 		t.row(s.Role+", "+s.Figure, s.Setting, fmt.Sprintf("%s of %s", s.Fit.Model, s.Variable),
-			amount(s.Fit.RelativeResidual, "part of a core"), predicted, measured, off)
+			formatAmount(s.Fit.RelativeResidual, "part of a core"), predicted, measured, off)
 	}
 	return t.String()
 }
 
-func (d *Data) slopeTable() string {
+func (d *Data) seriesTable() string {
 	t := newTable("role", "figure", "against, setting", "measured", "law", "residual", "beyond: predicted, measured, off")
 	for _, s := range d.Series {
 		var points []string
 		for _, p := range s.Points {
-			points = append(points, digits(p.N)+": "+amount(p.Y, s.Unit))
+			points = append(points, formatNumber(p.N)+": "+formatAmount(p.Y, s.Unit))
 		}
 		law := string(s.Fit.Model)
 		if s.Fit.Model == fit.Constant {
-			law += ", " + amount(s.Fit.Intercept, s.Unit)
+			law += ", " + formatAmount(s.Fit.Intercept, s.Unit)
 		} else {
-			law += fmt.Sprintf(", %s + %s each", amount(s.Fit.Intercept, s.Unit), amount(s.Fit.Slope, s.Unit))
+			law += fmt.Sprintf(", %s + %s each", formatAmount(s.Fit.Intercept, s.Unit), formatAmount(s.Fit.Slope, s.Unit))
 		}
 		beyond := "-"
 		if p := s.Predicted; p != nil {
-			beyond = fmt.Sprintf("%s: %s, %s, %+.0f%%", digits(p.N), amount(p.Predicted, s.Unit), amount(p.Measured, s.Unit),
+			beyond = fmt.Sprintf("%s: %s, %s, %+.0f%%", formatNumber(p.N), formatAmount(p.Predicted, s.Unit), formatAmount(p.Measured, s.Unit),
 				100*p.Error())
 		}
 		t.row(s.Role, s.Figure, string(s.Variable)+", "+s.Setting, strings.Join(points, "; "), law,
-			amount(s.Fit.RelativeResidual, "part of a core"), beyond)
+			formatAmount(s.Fit.RelativeResidual, "part of a core"), beyond)
 	}
 	return t.String()
 }
--- a/internal/scale/page_test.go
+++ b/internal/scale/page_test.go
@@ -41,7 +41,7 @@
 
 // overBudget is data of a fleet whose siblings say more than they may.
 func overBudget() *Data {
-	return &Data{Sizes: fleet.Default(), Series: []Series{{Role: roleProxy, Figure: siblingBytes, Unit: "bytes/s",
+	return &Data{Sizes: fleet.Default(), Series: []Series{{Role: roleProxy, Figure: figureSiblingBytes, Unit: "bytes/s",
 		Variable: ByCallRate, Setting: "6 siblings",
 		Points: []fit.Point{{N: 157, Y: 23_000}}, Fit: fit.Fit{Model: fit.Linear, Slope: 147}}}}
 }
--- a/internal/scale/launch.go
+++ b/internal/scale/proxyconfig.go
@@ -14,7 +14,7 @@
 	siblingPort = 9001 // messages between siblings, UDP
 	agentPort   = 9002 // discovery's agent
 	backendPort = 9003 // the backend
-	claimPort   = 9009 // of the first machine: says that a run has these addresses
+	lockPort    = 9009 // of the first machine: says that a run has these addresses
 )
 
 // Lists say which list of discovery's a proxy follows.
@@ -42,7 +42,7 @@
 
 // siblings are the proxies that follow the same list, which count together what is out at its backends. The numbers are
 // indexes into the fleet's proxies; place is the proxy's own among them.
-func siblings(f *fleet.Fleet, i int) (members []int, place int) {
+func siblingIndexes(f *fleet.Fleet, i int) (members []int, place int) {
 	for k, p := range f.Proxies {
 		if p.TargetService != f.Proxies[i].TargetService {
 			continue
@@ -69,7 +69,7 @@
 }
 
 // launch is a proxy's configuration.
-type launch struct {
+type proxyConfig struct {
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
 	Discovery string         `json:"discovery"`
@@ -98,10 +98,10 @@
 
 // launchOf is a proxy's configuration. Peers are the addresses at which it finds its siblings, none where they say nothing
 // to one another.
-func launchOf(f *fleet.Fleet, a addresses, i int, peers []string, place int) launch {
+func newProxyConfig(f *fleet.Fleet, a addresses, i int, peers []string, place int) proxyConfig {
 	call := verb{Name: "pay", Effect: "at_most_once", KeyScope: "all", WindowMS: 5000, ResponseGoalMS: 5000, TimeLimitMS: 10000,
 		Utility: 1, OverdueUtility: 0.5}
-	return launch{
+	return proxyConfig{
 		Name: f.Proxies[i].Name, Listen: a.at(i, proxyPort), Discovery: a.at(i, agentPort),
 		Seed:   fmt.Sprintf("%016x", f.Sizes.Seed<<32+uint64(i)),
 		Limits: map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -118,4 +118,4 @@
 	}
 }
 
-func (l launch) text() (json.RawMessage, error) { return json.Marshal(l) }
+func (l proxyConfig) marshal() (json.RawMessage, error) { return json.Marshal(l) }
--- a/internal/scale/server.go
+++ b/internal/scale/proxyprocess.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	readyWithin = 20 * time.Second
-	endWithin   = 8 * time.Second
-	lookEvery   = 10 * time.Millisecond
+	readyTimeout = 20 * time.Second
+	stopTimeout  = 8 * time.Second
+	pollInterval = 10 * time.Millisecond
 )
 
 // server is a real proxy process.
-type server struct {
-	index   int // of the fleet's proxies
-	command *exec.Cmd
-	config  string
-	logPath string
-	ended   chan struct{}
-	once    sync.Once
+type proxyProcess struct {
+	index      int // of the fleet's proxies
+	command    *exec.Cmd
+	configPath string
+	logPath    string
+	done       chan struct{}
+	killOnce   sync.Once
 }
 
 // startServer starts PROGRAM serve with a configuration, and does not wait until it is ready.
-func startServer(program []string, environment []string, directory string, index int, l launch,
-	operator string) (*server, error) {
-	s := &server{index: index, ended: make(chan struct{}), config: filepath.Join(directory, l.Name+".json"),
+func startProxyProcess(program []string, environment []string, directory string, index int, l proxyConfig,
+	operator string) (*proxyProcess, error) {
+	s := &proxyProcess{index: index, done: make(chan struct{}), configPath: filepath.Join(directory, l.Name+".json"),
 		logPath: filepath.Join(directory, l.Name+".log")}
-	if err := s.write(l); err != nil {
+	if err := s.writeConfig(l); err != nil {
 		return nil, err
 	}
 	out, err := os.OpenFile(s.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -48,7 +48,7 @@
 		arguments = append(arguments, "--operator", operator)
 	}
 	s.command = exec.Command(program[0], arguments...)
-	s.command.Env = append(append(os.Environ(), environment...), "NODE_CONFIG="+s.config)
+	s.command.Env = append(append(os.Environ(), environment...), "NODE_CONFIG="+s.configPath)
 	s.command.Stdout, s.command.Stderr = out, out
 	// A run that is killed leaves no proxy behind.
 	s.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -57,29 +57,29 @@
 	}
 	go func() {
 		_ = s.command.Wait() // how it ended stands in its log
-		close(s.ended)
+		close(s.done)
 	}()
 	return s, nil
 }
 
 // write puts the configuration in place whole.
-func (s *server) write(l launch) error {
-	text, err := l.text()
+func (s *proxyProcess) writeConfig(l proxyConfig) error {
+	text, err := l.marshal()
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(s.config+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(s.configPath+".new", text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(s.config+".new", s.config)
+	return os.Rename(s.configPath+".new", s.configPath)
 }
 
-func (s *server) pid() int { return s.command.Process.Pid }
+func (s *proxyProcess) pid() int { return s.command.Process.Pid }
 
 // awaitReady waits until clients may come.
-func (s *server) awaitReady(address string) error {
+func (s *proxyProcess) awaitReady(address string) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for deadline := time.Now().Add(readyWithin); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		if answer, err := client.Get("http://" + address + "/-/ready"); err == nil {
 			answer.Body.Close()
 			if answer.StatusCode == http.StatusOK {
@@ -87,25 +87,25 @@
 			}
 		}
 		select {
-		case <-s.ended:
+		case <-s.done:
 			return fmt.Errorf("proxy %d ended before it was ready: %s", s.index, s.lastLine())
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
-	return fmt.Errorf("proxy %d was not ready within %v: %s", s.index, readyWithin, s.lastLine())
+	return fmt.Errorf("proxy %d was not ready within %v: %s", s.index, readyTimeout, s.lastLine())
 }
 
-func (s *server) lastLine() string {
+func (s *proxyProcess) lastLine() string {
 	text, _ := os.ReadFile(s.logPath) // none says nothing
 	text = bytes.TrimRight(text, "\n")
 	return string(text[bytes.LastIndexByte(text, '\n')+1:])
 }
 
 // hangUp has it read its configuration anew.
-func (s *server) hangUp() error { return s.command.Process.Signal(syscall.SIGHUP) }
+func (s *proxyProcess) signalReload() error { return s.command.Process.Signal(syscall.SIGHUP) }
 
 // reloads are the times of its log at which a configuration was in force.
-func (s *server) reloads() (at []time.Time) {
+func (s *proxyProcess) reloadTimes() (at []time.Time) {
 	text, _ := os.ReadFile(s.logPath) // none has no reloads
 	for line := range strings.Lines(string(text)) {
 		const layout = "2006/01/02 15:04:05.000000"
@@ -120,21 +120,21 @@
 }
 
 // kill ends it at once and waits.
-func (s *server) kill() {
-	s.once.Do(func() {
+func (s *proxyProcess) kill() {
+	s.killOnce.Do(func() {
 		if err := s.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			return
 		}
-		<-s.ended
+		<-s.done
 	})
 }
 
 // stop asks it to end as planned, and kills it where it does not.
-func (s *server) stop() {
+func (s *proxyProcess) stop() {
 	_ = s.command.Process.Signal(syscall.SIGTERM) // it may have ended
 	select {
-	case <-s.ended:
-	case <-time.After(endWithin):
+	case <-s.done:
+	case <-time.After(stopTimeout):
 	}
 	s.kill()
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -49,12 +49,12 @@
 	return Programs{Proxy: []string{sandpassProgram, "serve"}, Helper: os.Args[0]}
 }
 
-var smallLikeness = ComparisonOptions{ProxiesEach: 6, Restarts: 12, RestartsPerSecond: 6, CallsPerSecond: 100, CallSeconds: 5,
+var smallComparison = ComparisonOptions{ProxiesEach: 6, Restarts: 12, RestartsPerSecond: 6, CallsPerSecond: 100, CallSeconds: 5,
 	IdleTime: 2 * time.Second, Replicas: 3, Changes: 4}
 
 func TestHollowProxiesAreLikeRealOnes(t *testing.T) {
 	t.Parallel()
-	all, err := CompareInProcess(context.Background(), smallLikeness, programs())
+	all, err := CompareInProcess(context.Background(), smallComparison, programs())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 
 func TestAHollowProxyThatSkipsItsWorkIsFound(t *testing.T) {
 	t.Parallel()
-	o := smallLikeness
+	o := smallComparison
 	o.SeedDefect, o.Restarts, o.CallSeconds = true, 3, 0.5
 	all, err := CompareInProcess(context.Background(), o, programs())
 	if err != nil {
@@ -88,4 +88,4 @@
 }
 
 // signalZero tells by its error that a process is no more.
-func signalZero(pid int) error { return syscall.Kill(pid, 0) }
+func checkProcessExists(pid int) error { return syscall.Kill(pid, 0) }
--- a/internal/scale/relays.go
+++ b/internal/scale/siblinglinks.go
@@ -9,19 +9,19 @@
 
 // relays stand between siblings and count their messages. Where one of two is hollow and no calls come to it, there is none: they
 // say nothing to one another.
-type relays struct {
+type siblingLinks struct {
 	plan      Plan
 	addresses addresses
 	pairs     map[[2]int]*faultnet.DatagramForwarder // by the fleet's indexes, the smaller first
 }
 
-func newRelays(plan Plan, a addresses) (*relays, error) {
-	r := &relays{plan: plan, addresses: a, pairs: map[[2]int]*faultnet.DatagramForwarder{}}
+func newSiblingLinks(plan Plan, a addresses) (*siblingLinks, error) {
+	r := &siblingLinks{plan: plan, addresses: a, pairs: map[[2]int]*faultnet.DatagramForwarder{}}
 	if !plan.Peers {
 		return r, nil
 	}
 	for i := range max(plan.RealProxies, plan.CountedProxies) {
-		members, _ := siblings(plan.Fleet, i)
+		members, _ := siblingIndexes(plan.Fleet, i)
 		for _, k := range members {
 			if k >= max(plan.RealProxies, plan.CountedProxies) || k <= i {
 				continue
@@ -39,8 +39,8 @@
 }
 
 // peers are the addresses at which a proxy finds its siblings, and its own place among them.
-func (r *relays) peers(i int) (texts []string, place int) {
-	members, place := siblings(r.plan.Fleet, i)
+func (r *siblingLinks) peers(i int) (texts []string, place int) {
+	members, place := siblingIndexes(r.plan.Fleet, i)
 	for _, k := range members {
 		text := r.addresses.at(k, siblingPort)
 		if pair := r.pairs[[2]int{min(i, k), max(i, k)}]; pair != nil && k != i {
@@ -54,7 +54,7 @@
 }
 
 // traffic is what each counted proxy has said to siblings and heard from them.
-func (r *relays) traffic() []meter.Traffic {
+func (r *siblingLinks) traffic() []meter.Traffic {
 	all := make([]meter.Traffic, max(r.plan.RealProxies, r.plan.CountedProxies))
 	for ends, pair := range r.pairs {
 		there, back := pair.Delivered()
@@ -65,7 +65,7 @@
 	return all
 }
 
-func (r *relays) close() {
+func (r *siblingLinks) close() {
 	for _, pair := range r.pairs {
 		pair.Close()
 	}
--- a/internal/scale/keepers.go
+++ b/internal/scale/siblings.go
@@ -10,7 +10,7 @@
 )
 
 // datagramHeaders are the bytes of IPv4 and UDP around each message between siblings, which the socket does not show.
-const datagramHeaders = 28
+const datagramHeaderBytes = 28
 
 // KeeperOptions say how messages between siblings are measured: real proxies, with calls.
 type SiblingOptions struct {
@@ -23,18 +23,18 @@
 
 // Keepers measures messages between siblings against calls, and against siblings.
 func SiblingSlopes(ctx context.Context, o SiblingOptions, programs Programs, progress func(string)) ([]Series, error) {
-	byCalls := collector{against: ByCallRate, setting: fmt.Sprintf("%d siblings", o.FixedSiblings)}
+	byCalls := seriesBuilder{against: ByCallRate, setting: fmt.Sprintf("%d siblings", o.FixedSiblings)}
 	for _, rate := range o.Rates {
-		figures, err := keeperFigures(ctx, o.FixedSiblings, rate, o.Seconds, programs)
+		figures, err := siblingFigures(ctx, o.FixedSiblings, rate, o.Seconds, programs)
 		if err != nil {
 			return nil, fmt.Errorf("%.0f calls a second: %w", rate, err)
 		}
 		byCalls.add(rate, figures)
 		progress(fmt.Sprintf("%d siblings, %.0f calls/s", o.FixedSiblings, rate))
 	}
-	bySiblings := collector{against: BySiblings, setting: fmt.Sprintf("%.0f calls/s", o.FixedRate)}
+	bySiblings := seriesBuilder{against: BySiblings, setting: fmt.Sprintf("%.0f calls/s", o.FixedRate)}
 	for _, n := range o.Siblings {
-		figures, err := keeperFigures(ctx, n, o.FixedRate, o.Seconds, programs)
+		figures, err := siblingFigures(ctx, n, o.FixedRate, o.Seconds, programs)
 		if err != nil {
 			return nil, fmt.Errorf("%d siblings: %w", n, err)
 		}
@@ -50,7 +50,7 @@
 }
 
 // keeperFigures runs so many siblings as real proxies with calls, with their messages counted and without messages.
-func keeperFigures(ctx context.Context, n int, rate, seconds float64, programs Programs) ([]figure, error) {
+func siblingFigures(ctx context.Context, n int, rate, seconds float64, programs Programs) ([]figure, error) {
 	notes, with, err := siblingRun(ctx, n, rate, seconds, true, programs)
 	if err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 		{roleProxy, "siblings' messages, out", "messages/s", per(messagesOut)},
 		{roleProxy, "siblings' messages, in", "bytes/s", per(bytesIn)},
 		{roleProxy, "siblings' messages, out", "bytes/s", per(bytesOut)},
-		{roleProxy, "siblings' messages, in, with IP and UDP headers", "bytes/s", per(bytesIn) + datagramHeaders*per(messagesIn)},
+		{roleProxy, "siblings' messages, in, with IP and UDP headers", "bytes/s", per(bytesIn) + datagramHeaderBytes*per(messagesIn)},
 		{roleProxy, "siblings' messages, busiest proxy, both ways", "bytes/s", busiest(notes) / seconds},
 		{roleProxy, "processor time with calls and messages", "part of a core", with},
 		{roleProxy, "processor time with calls, no messages", "part of a core", without},
@@ -95,16 +95,16 @@
 	if err := r.startBackends(); err != nil {
 		return nil, 0, err
 	}
-	all := everyProxy(plan.Fleet)
-	r.call(ctx, all, rate, 1) // connections are open and usual latencies known from here on
-	before, used, begun := r.relays.traffic(), r.usage(), time.Now()
-	good, bad := r.call(ctx, all, rate, seconds)
-	after, notes := r.usage(), r.relays.traffic()
+	all := allProxies(plan.Fleet)
+	r.sendCalls(ctx, all, rate, 1) // connections are open and usual latencies known from here on
+	before, used, started := r.siblingLinks.traffic(), r.usage(), time.Now()
+	good, bad := r.sendCalls(ctx, all, rate, seconds)
+	after, notes := r.usage(), r.siblingLinks.traffic()
 	if bad*100 > good {
 		return nil, 0, fmt.Errorf("%d calls failed, %d did not", bad, good)
 	}
 	for i := range notes {
 		notes[i] = notes[i].Minus(before[i])
 	}
-	return notes, after.cpuSince(used, roleProxy, time.Since(begun).Seconds()), ctx.Err()
+	return notes, after.cpuSince(used, roleProxy, time.Since(started).Seconds()), ctx.Err()
 }
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -22,19 +22,19 @@
 }
 
 // collector gathers figures of several sizes into series.
-type collector struct {
+type seriesBuilder struct {
 	against Variable
 	setting string
 	series  []Series
 }
 
-func (c *collector) add(n float64, figures []figure) {
+func (c *seriesBuilder) add(n float64, figures []figure) {
 	for _, f := range figures {
 		c.seriesOf(f).Points = append(c.seriesOf(f).Points, fit.Point{N: n, Y: f.value})
 	}
 }
 
-func (c *collector) seriesOf(f figure) *Series {
+func (c *seriesBuilder) seriesOf(f figure) *Series {
 	name := f.name + ", " + f.unit
 	for i, s := range c.series {
 		if s.Role == f.role && s.Figure == name {
@@ -45,10 +45,10 @@
 	return &c.series[len(c.series)-1]
 }
 
-func (c *collector) fit(upTo float64) ([]Series, error) {
+func (c *seriesBuilder) fit(upTo float64) ([]Series, error) {
 	for i := range c.series {
 		var err error
-		if c.series[i], err = fitted(c.series[i], upTo); err != nil {
+		if c.series[i], err = fitSeries(c.series[i], upTo); err != nil {
 			return nil, fmt.Errorf("%s: %w", c.series[i].Figure, err)
 		}
 	}
@@ -59,7 +59,7 @@
 func ProxySlopes(ctx context.Context, o SlopeOptions, programs Programs, progress func(string)) ([]Series, error) {
 	var all []Series
 	for _, lists := range o.ListScopes {
-		c := collector{against: ByProxies, setting: string(lists) + " list"}
+		c := seriesBuilder{against: ByProxies, setting: string(lists) + " list"}
 		for _, n := range o.ProxyCounts {
 			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), RealProxies: min(n, o.RealProxies), ListScope: lists, Peers: true}
 			figures, err := sizeFigures(ctx, o, plan, programs)
@@ -85,25 +85,25 @@
 		return nil, err
 	}
 	defer r.Close()
-	if err := pause(ctx, time.Second); err != nil { // what a start allocates is collected
+	if err := sleep(ctx, time.Second); err != nil { // what a start allocates is collected
 		return nil, err
 	}
-	rest, err := r.during(func() error { return pause(ctx, o.IdleTime) })
+	rest, err := r.measure(func() error { return sleep(ctx, o.IdleTime) })
 	if err != nil {
 		return nil, err
 	}
-	figures := restFigures(rest, r.hollowBase, len(plan.Fleet.Proxies)-plan.RealProxies)
-	restarts, err := r.during(func() error { return r.restart(ctx, o.Restarts, o.RestartsPerSecond) })
+	figures := idleFigures(rest, r.helperBaseBytes, len(plan.Fleet.Proxies)-plan.RealProxies)
+	restarts, err := r.measure(func() error { return r.restartBackends(ctx, o.Restarts, o.RestartsPerSecond) })
 	if err != nil {
 		return nil, err
 	}
 	figures = append(figures, restartFigures(restarts, rest, o.Restarts)...)
-	back, err := r.during(func() error {
-		_, err := r.breakAll(ctx)
+	back, err := r.measure(func() error {
+		_, err := r.reconnectAll(ctx)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return append(figures, returnFigures(back, rest)...), nil
+	return append(figures, reconnectFigures(back, rest)...), nil
 }
--- a/internal/scale/small_test.go
+++ b/internal/scale/smallfleet_test.go
@@ -32,7 +32,7 @@
 		{roleDiscovery, "all ask for whole lists, out, bytes", fit.Square, 0.05},
 		{roleDiscovery, "all ask for whole lists, connections, connections", fit.Linear, 0.001},
 	} {
-		s := d.find(c.role, c.figure, ByProxies, "whole list")
+		s := d.findSeries(c.role, c.figure, ByProxies, "whole list")
 		if s == nil {
 			t.Errorf("%s was not measured", c.figure)
 			continue
@@ -71,7 +71,7 @@
 }
 
 func TestARunThatIsTooLargeIsRefused(t *testing.T) {
-	plan := Plan{Fleet: fleet.Generate(fleet.Default()), RealProxies: mostProcesses, ListScope: ServiceList}
+	plan := Plan{Fleet: fleet.Generate(fleet.Default()), RealProxies: maxProcesses, ListScope: ServiceList}
 	if _, _, err := Deploy(context.Background(), plan, programs()); !errors.Is(err, ErrResourceLimit) {
 		t.Errorf("%v", err)
 	}
@@ -85,15 +85,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	processes := r.processes()
+	processes := r.processIDs()
 	interrupt()
-	if err := pause(running, time.Minute); !errors.Is(err, context.Canceled) {
+	if err := sleep(running, time.Minute); !errors.Is(err, context.Canceled) {
 		t.Errorf("the run goes on: %v", err)
 	}
 	r.Close()
 	for role, pids := range processes {
 		for _, pid := range pids {
-			if err := signalZero(pid); err == nil {
+			if err := checkProcessExists(pid); err == nil {
 				t.Errorf("%s %d is still there", role, pid)
 			}
 		}
--- a/internal/scale/standin/backend.go
+++ b/internal/scale/standin/backend.go
@@ -8,26 +8,26 @@
 	"strconv"
 )
 
-// Backend answers each call at once; one with Next makes a call of its own first, and answers when that is answered.
+// Backend answers each call at once. One with a next caller first makes a call of its own and answers when that is answered.
 type Backend struct {
 	listener net.Listener
 	next     func() (NestedCaller, error)
 }
 
-// Nested is the call that a backend makes for each call that it gets.
+// NestedCaller makes the call that a backend sends for each call that it receives.
 type NestedCaller interface {
 	Once() error
 	Close()
 }
 
 var (
-	answer        = []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	failure       = []byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+	okResponse    = []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	errorResponse = []byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	contentLength = []byte("content-length:")
 )
 
-// NewBackend serves at an address until it is closed. next, which may be nil, opens the connection that the calls of one
-// incoming connection go on over.
+// NewBackend listens on an address and serves until it is closed. For each incoming connection, next opens the connection
+// that its nested calls use. Without nested calls next is nil.
 func NewBackend(address string, next func() (NestedCaller, error)) (*Backend, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -38,12 +38,13 @@
 	return b, nil
 }
 
-// Address is where it listens.
+// Address returns the address that it listens on.
 func (b *Backend) Address() string { return b.listener.Addr().String() }
 
-// Close ends it; connections end with their other ends.
+// Close stops accepting connections. Open connections stay until the other end closes them.
 func (b *Backend) Close() { b.listener.Close() }
 
+// accept serves each incoming connection in a goroutine.
 func (b *Backend) accept() {
 	for {
 		c, err := b.listener.Accept()
@@ -54,6 +55,7 @@
 	}
 }
 
+// serve answers the calls of one connection, one after another.
 func (b *Backend) serve(c net.Conn) {
 	defer c.Close()
 	var nested NestedCaller
@@ -66,12 +68,12 @@
 	}
 	in := bufio.NewReaderSize(c, 8<<10)
 	for {
-		if skipCall(in) != nil {
+		if readCall(in) != nil {
 			return
 		}
-		text := answer
+		text := okResponse
 		if nested != nil && nested.Once() != nil {
-			text = failure
+			text = errorResponse
 		}
 		if _, err := c.Write(text); err != nil {
 			return
@@ -79,8 +81,8 @@
 	}
 }
 
-// skipCall reads one call whole.
-func skipCall(in *bufio.Reader) error {
+// readCall reads one call and discards it.
+func readCall(in *bufio.Reader) error {
 	length := int64(0)
 	for {
 		line, err := in.ReadSlice('\n')
--- a/internal/scale/standin/discovery.go
+++ b/internal/scale/standin/discovery.go
@@ -1,6 +1,6 @@
-// Package standin has what stands in for other systems in a scale run: discovery's agents and the backends.
+// Package standin provides the stand-ins for other systems in a scale run: the discovery agents and the backends.
 //
-// All of it listens on loopback only. Traffic is counted at the stand-in's ends of the sockets.
+// Everything listens on loopback only. Traffic is counted at the stand-ins' ends of the sockets.
 package standin
 
 import (
@@ -15,9 +15,9 @@
 	"sandpass/internal/scale/meter"
 )
 
-const heartbeat = 2 * time.Second // between empty lines of a watch that has nothing to say
+const heartbeatInterval = 2 * time.Second // between the empty lines of a watch without updates
 
-// Endpoint is an entry as discovery words it.
+// Endpoint is an entry of a backend list in the format of the discovery service.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -29,40 +29,43 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-// message is what a watch carries.
+// message is one update that a watch sends: the whole list or the entries added since the previous one.
 type message struct {
 	Index     int        `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// list is the history of one list.
+// list is one backend list with all entries that were ever added.
 type list struct {
-	mu      sync.Mutex
-	history []Endpoint
-	latest  map[string]int // by name, the place of the newest entry
-	changed chan struct{}  // closed at each change
+	mu          sync.Mutex
+	history     []Endpoint
+	latestIndex map[string]int // index in history of the newest entry, by name
+	changed     chan struct{}  // closed and replaced at each change
 }
 
+// newList returns a list with the given first entries.
 func newList(endpoints []Endpoint) *list {
-	l := &list{latest: map[string]int{}, changed: make(chan struct{})}
+	l := &list{latestIndex: map[string]int{}, changed: make(chan struct{})}
 	l.add(endpoints)
 	return l
 }
 
+// add appends entries and wakes the open watches.
 func (l *list) add(endpoints []Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range endpoints {
-		l.latest[e.Name] = len(l.history)
+		l.latestIndex[e.Name] = len(l.history)
 		l.history = append(l.history, e)
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// since gives what is new from an index on, or the whole list.
-func (l *list) since(index int, whole bool) (message, chan struct{}) {
+// updatesSince returns the entries added from an index on, or the current list if whole is set, and a channel that is closed
+// at the next change.
+func (l *list) updatesSince(index int, whole bool) (message, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := message{Index: len(l.history), Snapshot: whole}
@@ -71,25 +74,25 @@
 		return m, l.changed
 	}
 	for i, e := range l.history {
-		if l.latest[e.Name] == i && e.Status != "gone" {
+		if l.latestIndex[e.Name] == i && e.Status != "gone" {
 			m.Endpoints = append(m.Endpoints, e)
 		}
 	}
 	return m, l.changed
 }
 
-// agent is discovery's on one machine.
+// agent is the discovery agent of one machine.
 type agent struct {
-	counter  meter.Counter
-	listener net.Listener
-	list     *list
-	mu       sync.Mutex
-	open     map[net.Conn]bool
-	speaking chan struct{} // closed while it speaks
-	watching int           // answers that are open and have had the whole list
+	counter     meter.Counter
+	listener    net.Listener
+	list        *list
+	mu          sync.Mutex
+	connections map[net.Conn]bool
+	sending     chan struct{} // closed unless the agent is silent
+	openWatches int           // open watches that have received the whole list
 }
 
-// Discovery has an agent for each machine.
+// Discovery is a stand-in for the discovery service, with an agent for each machine.
 type Discovery struct {
 	server *http.Server
 	lists  []*list
@@ -98,9 +101,10 @@
 	done   sync.WaitGroup
 }
 
-type agentKey struct{}
+// agentContextKey is the context key of the agent that accepted a connection.
+type agentContextKey struct{}
 
-// NewDiscovery makes the lists; agents are added by Listen.
+// NewDiscovery returns a discovery service with the given lists and without agents, which Listen adds.
 func NewDiscovery(lists [][]Endpoint) *Discovery {
 	d := &Discovery{}
 	for _, endpoints := range lists {
@@ -108,22 +112,24 @@
 	}
 	d.server = &http.Server{Handler: d, ReadHeaderTimeout: time.Minute,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, agentKey{}, c.(*agentConn).agent)
+			return context.WithValue(ctx, agentContextKey{}, c.(*agentConn).agent)
 		}}
 	return d
 }
 
-// agentListener hands out counted connections that know their agent.
+// agentListener wraps each connection that it accepts in an agentConn.
 type agentListener struct {
 	net.Listener
 	agent *agent
 }
 
+// agentConn counts the traffic of a connection for its agent.
 type agentConn struct {
 	meter.Conn
 	agent *agent
 }
 
+// Accept waits for the next connection and registers it with the agent.
 func (l agentListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -131,82 +137,83 @@
 	}
 	counted := &agentConn{meter.Conn{Conn: c, Counter: &l.agent.counter}, l.agent}
 	l.agent.mu.Lock()
-	l.agent.open[counted] = true
+	l.agent.connections[counted] = true
 	l.agent.mu.Unlock()
 	return counted, nil
 }
 
-// Close closes the connection.
+// Close closes the connection and removes it from its agent.
 func (c *agentConn) Close() error {
 	c.agent.mu.Lock()
-	delete(c.agent.open, c)
+	delete(c.agent.connections, c)
 	c.agent.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// Listen starts an agent at an address that tells one of the lists.
+// Listen starts an agent that serves one of the lists on an address.
 func (d *Discovery) Listen(address string, list int) error {
 	if list < 0 || list >= len(d.lists) {
-		return fmt.Errorf("list %d is not one of %d", list, len(d.lists))
+		return fmt.Errorf("list %d does not exist: there are %d lists", list, len(d.lists))
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	a := &agent{listener: l, list: d.lists[list], open: map[net.Conn]bool{}, speaking: make(chan struct{})}
-	close(a.speaking)
+	a := &agent{listener: l, list: d.lists[list], connections: map[net.Conn]bool{}, sending: make(chan struct{})}
+	close(a.sending)
 	d.mu.Lock()
 	d.agents = append(d.agents, a)
 	d.mu.Unlock()
-	d.done.Go(func() { _ = d.server.Serve(agentListener{l, a}) }) // ends with the server
+	d.done.Go(func() { _ = d.server.Serve(agentListener{l, a}) }) // returns when the server is closed
 	return nil
 }
 
-// Change adds entries to a list; each agent of it tells them.
+// Update adds entries to a list, which its agents send to their watches.
 func (d *Discovery) Update(list int, endpoints []Endpoint) error {
 	if list < 0 || list >= len(d.lists) {
-		return fmt.Errorf("list %d is not one of %d", list, len(d.lists))
+		return fmt.Errorf("list %d does not exist: there are %d lists", list, len(d.lists))
 	}
 	d.lists[list].add(endpoints)
 	return nil
 }
 
-// Silence has agents say nothing, heartbeats included, or speak again.
-func (d *Discovery) SetSilent(agents []int, on bool) {
+// SetSilent makes agents stop sending, heartbeats included, or start again.
+func (d *Discovery) SetSilent(agents []int, silent bool) {
 	for _, i := range agents {
-		d.agents[i].silence(on)
+		d.agents[i].setSilent(silent)
 	}
 }
 
-func (a *agent) silence(on bool) {
+// setSilent makes the agent stop sending, or start again.
+func (a *agent) setSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	select {
-	case <-a.speaking:
-		if on {
-			a.speaking = make(chan struct{})
+	case <-a.sending:
+		if silent {
+			a.sending = make(chan struct{})
 		}
 	default:
-		if !on {
-			close(a.speaking)
+		if !silent {
+			close(a.sending)
 		}
 	}
 }
 
-// speaks is closed while the agent is not silent.
-func (a *agent) speaks() chan struct{} {
+// sendingGate returns a channel that is closed while the agent may send.
+func (a *agent) sendingGate() chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.speaking
+	return a.sending
 }
 
-// Break closes all connections of some agents, as an agent does that starts anew.
+// CloseConnections closes all connections of some agents, as the restart of an agent does.
 func (d *Discovery) CloseConnections(agents []int) {
 	for _, i := range agents {
 		a := d.agents[i]
 		a.mu.Lock()
 		var open []net.Conn
-		for c := range a.open {
+		for c := range a.connections {
 			open = append(open, c)
 		}
 		a.mu.Unlock()
@@ -216,7 +223,8 @@
 	}
 }
 
-// Traffic is what each agent has read and written, and how many watches of each are open and up to date.
+// Traffic returns, for each agent, the bytes and messages that it has read and written, and the number of open watches that
+// have received the whole list.
 func (d *Discovery) Traffic() (traffic []meter.Traffic, watching []int) {
 	d.mu.Lock()
 	agents := d.agents
@@ -224,21 +232,21 @@
 	for _, a := range agents {
 		traffic = append(traffic, a.counter.Traffic())
 		a.mu.Lock()
-		watching = append(watching, a.watching)
+		watching = append(watching, a.openWatches)
 		a.mu.Unlock()
 	}
 	return traffic, watching
 }
 
-// Close ends all agents.
+// Close stops all agents and waits for them.
 func (d *Discovery) Close() {
 	d.server.Close()
 	d.done.Wait()
 }
 
-// ServeHTTP gives the whole list, and what is new from then on.
+// ServeHTTP sends the whole list and, to a watch, all later updates.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a := r.Context().Value(agentKey{}).(*agent)
+	a := r.Context().Value(agentContextKey{}).(*agent)
 	if r.URL.Path != "/api/targets" {
 		http.NotFound(w, r)
 		return
@@ -249,35 +257,36 @@
 	index, whole := 0, true
 	for {
 		select {
-		case <-a.speaks():
+		case <-a.sendingGate():
 		case <-watch.done:
 			return
 		}
-		news, changed := a.list.since(index, whole)
-		if watch.tell(news) != nil || !follow {
+		update, changed := a.list.updatesSince(index, whole)
+		if watch.write(update) != nil || !follow {
 			return
 		}
 		if whole {
-			a.watch(1)
-			defer a.watch(-1)
+			a.addOpenWatches(1)
+			defer a.addOpenWatches(-1)
 		}
-		index, whole = news.Index, false
+		index, whole = update.Index, false
 		select {
 		case <-changed:
-		case <-time.After(heartbeat):
+		case <-time.After(heartbeatInterval):
 		case <-watch.done:
 			return
 		}
 	}
 }
 
-func (a *agent) watch(n int) {
+// addOpenWatches adds n to the number of open watches.
+func (a *agent) addOpenWatches(n int) {
 	a.mu.Lock()
-	a.watching += n
+	a.openWatches += n
 	a.mu.Unlock()
 }
 
-// watch is one open answer.
+// watch is one open response.
 type watch struct {
 	discovery *Discovery
 	agent     *agent
@@ -286,8 +295,8 @@
 	done      <-chan struct{}
 }
 
-// tell writes what is new, or a heartbeat where nothing is.
-func (w watch) tell(m message) error {
+// write sends an update, or a heartbeat if the update is empty.
+func (w watch) write(m message) error {
 	text := []byte("\n")
 	if m.Snapshot || len(m.Endpoints) > 0 {
 		var err error
--- a/internal/scale/standin/standin_test.go
+++ b/internal/scale/standin/standin_test.go
@@ -12,9 +12,9 @@
 	"sandpass/internal/scale/meter"
 )
 
-const answersWithin = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// follow opens a watch and gives its lines as they come.
+// follow opens a watch and returns a scanner over its lines.
 func follow(t *testing.T, address string) (net.Conn, *bufio.Scanner) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -22,13 +22,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(answersWithin))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "GET /api/targets?follow=1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	return c, bufio.NewScanner(c)
 }
 
-// next is the next message of a watch, heartbeats and chunks' frames left out.
-func next(t *testing.T, lines *bufio.Scanner) (m message) {
+// nextMessage returns the next message of a watch. It skips heartbeats and the framing of chunks.
+func nextMessage(t *testing.T, lines *bufio.Scanner) (m message) {
 	t.Helper()
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "{") {
@@ -38,11 +38,12 @@
 			return m
 		}
 	}
-	t.Fatalf("the watch ended: %v", lines.Err())
+	t.Fatalf("the watch ended without a message: %v", lines.Err())
 	return m
 }
 
-func started(t *testing.T, agents int) (*Discovery, []string) {
+// startDiscovery starts a discovery service with one list of two backends and the given number of agents.
+func startDiscovery(t *testing.T, agents int) (*Discovery, []string) {
 	t.Helper()
 	d := NewDiscovery([][]Endpoint{{{Name: "a", Status: "ready"}, {Name: "b", Status: "ready"}}})
 	t.Cleanup(d.Close)
@@ -56,20 +57,20 @@
 	return d, addresses
 }
 
-func TestAWatchHasTheListAndWhatChanges(t *testing.T) {
-	d, addresses := started(t, 1)
+func TestWatchSendsListAndUpdates(t *testing.T) {
+	d, addresses := startDiscovery(t, 1)
 	_, lines := follow(t, addresses[0])
-	if m := next(t, lines); !m.Snapshot || len(m.Endpoints) != 2 {
+	if m := nextMessage(t, lines); !m.Snapshot || len(m.Endpoints) != 2 {
 		t.Errorf("%+v", m)
 	}
 	if err := d.Update(0, []Endpoint{{Name: "a", Status: "gone"}}); err != nil {
 		t.Fatal(err)
 	}
-	if m := next(t, lines); m.Snapshot || len(m.Endpoints) != 1 || m.Index != 3 {
+	if m := nextMessage(t, lines); m.Snapshot || len(m.Endpoints) != 1 || m.Index != 3 {
 		t.Errorf("%+v", m)
 	}
 	_, again := follow(t, addresses[0])
-	if m := next(t, again); !m.Snapshot || len(m.Endpoints) != 1 || m.Endpoints[0].Name != "b" {
+	if m := nextMessage(t, again); !m.Snapshot || len(m.Endpoints) != 1 || m.Endpoints[0].Name != "b" {
 		t.Errorf("%+v", m)
 	}
 	traffic, _ := d.Traffic()
@@ -77,15 +78,15 @@
 		t.Errorf("%+v", got)
 	}
 	if err := d.Update(1, nil); err == nil {
-		t.Error("a list that is not there was changed")
+		t.Error("a list that does not exist was updated")
 	}
 }
 
-func TestASilentAgentAnswersWhenItSpeaksAgain(t *testing.T) {
-	d, addresses := started(t, 2)
+func TestSilentAgentAnswersAfterSilence(t *testing.T) {
+	d, addresses := startDiscovery(t, 2)
 	d.SetSilent([]int{0}, true)
 	_, other := follow(t, addresses[1])
-	next(t, other) // the other one is not silent
+	nextMessage(t, other) // the other agent still sends
 	_, lines := follow(t, addresses[0])
 	for traffic, _ := d.Traffic(); traffic[0].MessagesIn == 0; traffic, _ = d.Traffic() {
 		time.Sleep(time.Millisecond)
@@ -94,31 +95,34 @@
 		t.Errorf("%+v, %v", traffic, watching)
 	}
 	d.SetSilent([]int{0}, false)
-	if m := next(t, lines); !m.Snapshot {
+	if m := nextMessage(t, lines); !m.Snapshot {
 		t.Errorf("%+v", m)
 	}
 }
 
-func TestBrokenConnectionsEnd(t *testing.T) {
-	d, addresses := started(t, 1)
+func TestCloseConnectionsEndsWatches(t *testing.T) {
+	d, addresses := startDiscovery(t, 1)
 	_, lines := follow(t, addresses[0])
-	next(t, lines)
+	nextMessage(t, lines)
 	d.CloseConnections([]int{0})
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "{") {
-			t.Errorf("%s came after the break", lines.Text())
+			t.Errorf("received %s after the connection was closed", lines.Text())
 		}
 	}
 }
 
-// chained counts the calls that go on.
-type chained struct{ calls int }
+// countingCaller counts the nested calls.
+type countingCaller struct{ calls int }
 
-func (c *chained) Once() error { c.calls++; return nil }
-func (c *chained) Close()      {}
+// Once counts a call.
+func (c *countingCaller) Once() error { c.calls++; return nil }
 
-func TestABackendGoesOnBeforeItAnswers(t *testing.T) {
-	var next chained
+// Close does nothing.
+func (c *countingCaller) Close() {}
+
+func TestBackendMakesNestedCallBeforeAnswer(t *testing.T) {
+	var next countingCaller
 	b, err := NewBackend("127.0.0.1:0", func() (NestedCaller, error) { return &next, nil })
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +134,7 @@
 	}
 	defer c.Close()
 	counted := &meter.Conn{Conn: c, Counter: &meter.Counter{}}
-	c.SetDeadline(time.Now().Add(answersWithin))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(counted, "POST /pay HTTP/1.1\r\nContent-length: 3\r\n\r\nabcPOST /pay HTTP/1.1\r\n\r\n")
 	in := bufio.NewReader(counted)
 	for range 2 {
@@ -144,6 +148,6 @@
 		}
 	}
 	if next.calls != 2 {
-		t.Errorf("%d calls went on", next.calls)
+		t.Errorf("%d nested calls, want 2", next.calls)
 	}
 }
--- a/internal/scale/totals.go
+++ b/internal/scale/totals.go
@@ -20,7 +20,7 @@
 // Missing stands where no package carries something.
 const MissingMechanism = "**missing**"
 
-const secondsOfDay = 86_400
+const secondsPerDay = 86_400
 
 // Term is a part of what a role takes.
 type Term struct {
@@ -54,21 +54,21 @@
 
 // figures of series that totals are made of.
 const (
-	restCPU        = "processor time at rest, part of a core"
-	restCPUWatch   = "processor time at rest with a configuration watch, part of a core"
-	memoryBytes    = "memory, bytes"
-	memoryWatch    = "memory with a configuration watch, bytes"
-	listRest       = "list watch at rest, in, bytes/s"
-	listRestarts   = "each backend restarted once, list watch in, bytes"
-	listRestartCPU = "each backend restarted once, processor time, s"
-	listWhole      = "whole list, in, bytes"
-	siblingBytes   = "siblings' messages, in, with IP and UDP headers, bytes/s"
-	siblingCPU     = "processor time of siblings' messages, part of a core"
-	configRestIn   = "configuration watch at rest, in, bytes/s"
-	configRestOut  = "configuration watch at rest, out, bytes/s"
-	configIn       = "a change of configuration, in, bytes"
-	configOut      = "a change of configuration, out, bytes"
-	configCPU      = "a change of configuration, processor time, s"
+	figureIdleCPU        = "processor time at rest, part of a core"
+	figureIdleWatchCPU   = "processor time at rest with a configuration watch, part of a core"
+	figureMemory         = "memory, bytes"
+	figureWatchMemory    = "memory with a configuration watch, bytes"
+	figureListIdle       = "list watch at rest, in, bytes/s"
+	figureListRestarts   = "each backend restarted once, list watch in, bytes"
+	figureListRestartCPU = "each backend restarted once, processor time, s"
+	figureWholeList      = "whole list, in, bytes"
+	figureSiblingBytes   = "siblings' messages, in, with IP and UDP headers, bytes/s"
+	figureSiblingCPU     = "processor time of siblings' messages, part of a core"
+	figureConfigIdleIn   = "configuration watch at rest, in, bytes/s"
+	figureConfigIdleOut  = "configuration watch at rest, out, bytes/s"
+	figureConfigIn       = "a change of configuration, in, bytes"
+	figureConfigOut      = "a change of configuration, out, bytes"
+	figureConfigCPU      = "a change of configuration, processor time, s"
 )
 
 // calculator makes totals of the data.
@@ -78,7 +78,7 @@
 }
 
 // value is a measured point where there is one, else what the law gives.
-func value(s *Series, n float64) float64 {
+func seriesValue(s *Series, n float64) float64 {
 	for _, p := range s.Points {
 		if p.N == n {
 			return p.Y
@@ -88,8 +88,8 @@
 }
 
 // proxies is the series of a figure against the number of proxies.
-func (c calculator) proxies(role, name, setting string) *Series {
-	return c.data.find(role, name, ByProxies, setting)
+func (c calculator) seriesByProxies(role, name, setting string) *Series {
+	return c.data.findSeries(role, name, ByProxies, setting)
 }
 
 func (c calculator) controlSetting() string {
@@ -97,7 +97,7 @@
 }
 
 // calls is the series of a figure against calls a second.
-func (c calculator) calls(name string) *Series {
+func (c calculator) seriesByCallRate(name string) *Series {
 	for i, s := range c.data.Series {
 		if s.Role == roleProxy && s.Figure == name && s.Variable == ByCallRate {
 			return &c.data.Series[i]
@@ -112,25 +112,27 @@
 		return Term{Name: name, Mechanism: MissingMechanism, Origin: Measured, At: func(float64) float64 { return 0 }}
 	}
 	return Term{Name: name, Mechanism: mechanism, Origin: origin, Series: s,
-		At: func(n float64) float64 { return factor(n) * value(s, n) }}
+		At: func(n float64) float64 { return factor(n) * seriesValue(s, n) }}
 }
 
-func once(float64) float64 { return 1 }
+func factorOne(float64) float64 { return 1 }
 
 // restartsASecond is how often each backend restarts.
-func (c calculator) restartsASecond(float64) float64 {
-	return c.data.Sizes.RestartsPerDay / float64(c.data.Sizes.Proxies) / secondsOfDay
+func (c calculator) restartsPerSecond(float64) float64 {
+	return c.data.Sizes.RestartsPerDay / float64(c.data.Sizes.Proxies) / secondsPerDay
 }
 
-func (c calculator) changesASecond(float64) float64 { return c.data.Sizes.ChangesPerDay / secondsOfDay }
+func (c calculator) changesPerSecond(float64) float64 {
+	return c.data.Sizes.ChangesPerDay / secondsPerDay
+}
 
 // ownCalls is the calls a second at a proxy, in the mean.
-func (c calculator) ownCalls() float64 {
+func (c calculator) callsPerProxy() float64 {
 	return c.data.Sizes.CallsPerSecond / float64(c.data.Sizes.Proxies)
 }
 
 // frontCalls is the calls a second that a front proxy gets from outside, in the mean.
-func (c calculator) frontCalls() float64 {
+func (c calculator) callsPerFrontProxy() float64 {
 	calls, proxies := 0.0, 0.0
 	for _, s := range c.fleet.Services {
 		if s.Level == 0 {
@@ -141,7 +143,7 @@
 }
 
 // byCalls is a part that goes by the calls at a proxy, not by the number of proxies.
-func byCalls(name, mechanism string, s *Series, calls, times float64) Term {
+func callRateTerm(name, mechanism string, s *Series, calls, times float64) Term {
 	if s == nil {
 		return Term{Name: name, Mechanism: MissingMechanism, At: func(float64) float64 { return 0 }}
 	}
@@ -152,7 +154,7 @@
 		}
 	}
 	return Term{Name: name, Mechanism: mechanism, Origin: origin, Series: s,
-		At: func(float64) float64 { return times * value(s, calls) }}
+		At: func(float64) float64 { return times * seriesValue(s, calls) }}
 }
 
 const (
@@ -163,40 +165,40 @@
 )
 
 // ofProxy are the totals of a proxy with so many calls a second, whose list is a service's.
-func (c calculator) ofProxy(role string, calls float64) []Total {
+func (c calculator) proxyTotals(role string, calls float64) []Total {
 	budget := fleet.OperatorBudget
 	service := string(ServiceList) + " list"
 	whole := string(WholeList) + " list"
 	control := c.controlSetting()
 	traffic := Total{Role: role, Resource: "bytes a second, both ways", Unit: "bytes/s", Budget: budget.ProxyTraffic, Terms: []Term{
-		term("list watch, heartbeats", listMechanism, Measured, c.proxies(roleProxy, listRest, service), once),
+		term("list watch, heartbeats", listMechanism, Measured, c.seriesByProxies(roleProxy, figureListIdle, service), factorOne),
 		term("list watch, backends that restart, one whole list of the fleet", listMechanism, Derived,
-			c.proxies(roleProxy, listRestarts, whole), c.restartsASecond),
-		byCalls("siblings' messages, with IP and UDP headers", siblingMechanism, c.calls(siblingBytes), calls, 2),
-		term("configuration watch, heartbeats in", configMechanism, Measured, c.proxies(roleProxy, configRestIn, control), once),
-		term("configuration watch, out", configMechanism, Measured, c.proxies(roleProxy, configRestOut, control), once),
-		term("changes of configuration, in", configMechanism, Derived, c.proxies(roleProxy, configIn, control), c.changesASecond),
-		term("changes of configuration, out", configMechanism, Derived, c.proxies(roleProxy, configOut, control), c.changesASecond),
+			c.seriesByProxies(roleProxy, figureListRestarts, whole), c.restartsPerSecond),
+		callRateTerm("siblings' messages, with IP and UDP headers", siblingMechanism, c.seriesByCallRate(figureSiblingBytes), calls, 2),
+		term("configuration watch, heartbeats in", configMechanism, Measured, c.seriesByProxies(roleProxy, figureConfigIdleIn, control), factorOne),
+		term("configuration watch, out", configMechanism, Measured, c.seriesByProxies(roleProxy, figureConfigIdleOut, control), factorOne),
+		term("changes of configuration, in", configMechanism, Derived, c.seriesByProxies(roleProxy, figureConfigIn, control), c.changesPerSecond),
+		term("changes of configuration, out", configMechanism, Derived, c.seriesByProxies(roleProxy, figureConfigOut, control), c.changesPerSecond),
 	}}
 	rest := term("at rest, list and configuration watch", processMechanism, Measured,
-		c.proxies(roleProxy, restCPUWatch, control), once)
+		c.seriesByProxies(roleProxy, figureIdleWatchCPU, control), factorOne)
 	if rest.Series == nil {
-		rest = term("at rest, list watch", processMechanism, Measured, c.proxies(roleProxy, restCPU, service), once)
+		rest = term("at rest, list watch", processMechanism, Measured, c.seriesByProxies(roleProxy, figureIdleCPU, service), factorOne)
 	}
 	processor := Total{Role: role, Resource: "processor time for control", Unit: "part of a core", Budget: budget.ProxyCPU, Terms: []Term{
 		rest,
-		byCalls("siblings' messages", siblingMechanism, c.calls(siblingCPU), calls, 1),
-		term("backends that restart", listMechanism, Derived, c.proxies(roleProxy, listRestartCPU, whole), c.restartsASecond),
-		term("changes of configuration", configMechanism, Derived, c.proxies(roleProxy, configCPU, control), c.changesASecond),
+		callRateTerm("siblings' messages", siblingMechanism, c.seriesByCallRate(figureSiblingCPU), calls, 1),
+		term("backends that restart", listMechanism, Derived, c.seriesByProxies(roleProxy, figureListRestartCPU, whole), c.restartsPerSecond),
+		term("changes of configuration", configMechanism, Derived, c.seriesByProxies(roleProxy, figureConfigCPU, control), c.changesPerSecond),
 	}}
 	watchMemory := Term{Name: "configuration watch, and what it holds", Mechanism: MissingMechanism, At: func(float64) float64 { return 0 }}
-	with, without := c.proxies(roleProxy, memoryWatch, control), c.proxies(roleProxy, memoryBytes, service)
+	with, without := c.seriesByProxies(roleProxy, figureWatchMemory, control), c.seriesByProxies(roleProxy, figureMemory, service)
 	if with != nil && without != nil {
 		watchMemory = Term{Name: watchMemory.Name, Origin: Derived, Mechanism: configMechanism, Series: with,
-			At: func(n float64) float64 { return max(0, value(with, n)-value(without, n)) }}
+			At: func(n float64) float64 { return max(0, seriesValue(with, n)-seriesValue(without, n)) }}
 	}
 	memory := Total{Role: role, Resource: "memory", Unit: "bytes", Budget: budget.ProxyMemory, Terms: []Term{
-		term("a process with one whole list of the fleet", processMechanism, Measured, c.proxies(roleProxy, memoryBytes, whole), once),
+		term("a process with one whole list of the fleet", processMechanism, Measured, c.seriesByProxies(roleProxy, figureMemory, whole), factorOne),
 		watchMemory,
 	}}
 	return []Total{traffic, processor, memory}
@@ -204,19 +206,19 @@
 
 // ofMachine are the totals of a machine whose backend calls several services: a process for each. Its calls are shared among
 // them, so that siblings' messages are no more than one process has.
-func (c calculator) ofMachine(processes float64) (all []Total) {
+func (c calculator) machineTotals(processes float64) (all []Total) {
 	const role = "machine whose backend calls most services"
-	for _, one := range c.ofProxy(role, c.ownCalls()) {
+	for _, one := range c.proxyTotals(role, c.callsPerProxy()) {
 		all = append(all, Total{Role: role, Resource: one.Resource, Unit: one.Unit, Budget: one.Budget, Terms: []Term{{
 			Name: fmt.Sprintf("%.0f processes, one for each service that is called", processes), Origin: Derived,
 			Mechanism: MissingMechanism + ": one process for several lists",
-			At:        func(n float64) float64 { return perMachine(one, processes, n) }}}})
+			At:        func(n float64) float64 { return machineSum(one, processes, n) }}}})
 	}
 	return all
 }
 
 // perMachine is a total of several processes that share a machine's calls.
-func perMachine(one Total, processes, n float64) (sum float64) {
+func machineSum(one Total, processes, n float64) (sum float64) {
 	for _, term := range one.Terms {
 		if term.Series != nil && term.Series.Variable == ByCallRate {
 			sum += term.At(n)
@@ -228,38 +230,38 @@
 }
 
 // ofReplica are the totals of a control machine.
-func (c calculator) ofReplica(role string) []Total {
+func (c calculator) replicaTotals(role string) []Total {
 	const mechanism = "`internal/control`, `internal/controlserver`"
 	setting := c.controlSetting()
-	at := func(name string) *Series { return c.proxies(role, name, setting) }
+	at := func(name string) *Series { return c.seriesByProxies(role, name, setting) }
 	return []Total{
 		{Role: role, Resource: "bytes a second, both ways", Unit: "bytes/s", Terms: []Term{
-			term("at rest, in", mechanism, Measured, at("at rest, in, bytes/s"), once),
-			term("at rest, out", mechanism, Measured, at("at rest, out, bytes/s"), once),
-			term("changes of configuration, in", mechanism, Derived, at(configIn), c.changesASecond),
-			term("changes of configuration, out", mechanism, Derived, at(configOut), c.changesASecond),
+			term("at rest, in", mechanism, Measured, at("at rest, in, bytes/s"), factorOne),
+			term("at rest, out", mechanism, Measured, at("at rest, out, bytes/s"), factorOne),
+			term("changes of configuration, in", mechanism, Derived, at(figureConfigIn), c.changesPerSecond),
+			term("changes of configuration, out", mechanism, Derived, at(figureConfigOut), c.changesPerSecond),
 		}},
 		{Role: role, Resource: "processor time", Unit: "part of a core", Budget: 1, Terms: []Term{
-			term("at rest", mechanism, Measured, at(restCPU), once),
-			term("changes of configuration", mechanism, Derived, at(configCPU), c.changesASecond),
+			term("at rest", mechanism, Measured, at(figureIdleCPU), factorOne),
+			term("changes of configuration", mechanism, Derived, at(figureConfigCPU), c.changesPerSecond),
 		}},
 		{Role: role, Resource: "memory", Unit: "bytes", Terms: []Term{
-			term("the process: log, state, watches", mechanism, Measured, at(memoryBytes), once),
+			term("the process: log, state, watches", mechanism, Measured, at(figureMemory), factorOne),
 		}},
 	}
 }
 
 // ofDiscovery are the totals of discovery's agent on one machine: the stand-in's for all, in equal parts.
-func (c calculator) ofDiscovery() []Total {
+func (c calculator) discoveryTotals() []Total {
 	const role, mechanism = "discovery's agent, one machine (stand-in)", "stand-in `internal/scale/standin`"
 	setting := string(WholeList) + " list"
 	each := func(n float64) float64 { return 1 / n }
-	at := func(name string) *Series { return c.proxies(roleDiscovery, name, setting) }
+	at := func(name string) *Series { return c.seriesByProxies(roleDiscovery, name, setting) }
 	return []Total{
 		{Role: role, Resource: "bytes a second, out", Unit: "bytes/s", Terms: []Term{
 			term("heartbeats", mechanism, Measured, at("list watch at rest, all agents, out, bytes/s"), each),
 			term("backends that restart", mechanism, Derived, at("each backend restarted once, all agents, out, bytes"),
-				func(n float64) float64 { return each(n) * c.restartsASecond(n) }),
+				func(n float64) float64 { return each(n) * c.restartsPerSecond(n) }),
 		}},
 		{Role: role, Resource: "processor time", Unit: "part of a core", Terms: []Term{
 			term("at rest", mechanism, Measured, at("processor time at rest, all agents, part of a core"), each),
@@ -273,12 +275,12 @@
 func (d *Data) Totals() []Total {
 	c := calculator{data: d, fleet: fleet.Generate(d.Sizes)}
 	_, most := c.fleet.CalleesPerProxy()
-	all := c.ofProxy("proxy beside a backend", float64(int(c.ownCalls())))
-	all = append(all, c.ofProxy("front proxy", c.frontCalls())...)
-	all = append(all, c.ofMachine(float64(most))...)
-	all = append(all, c.ofReplica(roleLeader)...)
-	all = append(all, c.ofReplica(roleFollower)...)
-	return append(all, c.ofDiscovery()...)
+	all := c.proxyTotals("proxy beside a backend", float64(int(c.callsPerProxy())))
+	all = append(all, c.proxyTotals("front proxy", c.callsPerFrontProxy())...)
+	all = append(all, c.machineTotals(float64(most))...)
+	all = append(all, c.replicaTotals(roleLeader)...)
+	all = append(all, c.replicaTotals(roleFollower)...)
+	return append(all, c.discoveryTotals()...)
 }
 
 // Over are the totals over their budget at the size.
