--- a/internal/scale/added.go
+++ b/internal/scale/added.go
@@ -11,25 +11,26 @@
 	"sandpass/internal/testbed"
 )
 
-// AddedOptions say how the time that a proxy adds is measured.
+// AddedLatencyOptions are the parameters of the measurement of the latency that proxies add.
 type AddedLatencyOptions struct {
-	Rates       []float64 // calls a second, open loop
-	ChainRate   float64
-	Depth       int // of the chain
+	Rates       []float64 // calls per second, open loop, through one proxy
+	ChainRate   float64   // calls per second, open loop, through the chain
+	Depth       int       // proxies in the chain
 	Connections int
-	Seconds     float64 // of each measure
-	Rounds      int     // in each of which straight and through are measured in turn
+	Seconds     float64 // duration of each measurement
+	Rounds      int     // in each, direct and proxied calls are measured one after the other
 }
 
-// addedRun measures straight and through alternately.
+// latencyRun measures direct and proxied calls alternately.
 type latencyRun struct {
-	direct, proxied string // addresses
+	direct, proxied string // addresses that calls are sent to
 	rate            float64
 	options         AddedLatencyOptions
 }
 
-// MeasureAdded measures what one proxy adds, at each rate, and what a chain adds.
-func MeasureAddedLatency(ctx context.Context, o AddedLatencyOptions, programs Programs, progress func(string)) ([]AddedLatency, error) {
+// MeasureAddedLatency measures the latency that one proxy adds, at each rate, and the latency that a chain of proxies adds.
+func MeasureAddedLatency(ctx context.Context, o AddedLatencyOptions, programs Programs, progress func(string)) ([]AddedLatency,
+	error) {
 	var all []AddedLatency
 	for _, rate := range o.Rates {
 		a, err := measureChain(ctx, o, 1, rate, programs)
@@ -44,23 +45,23 @@
 	return append(all, a), err
 }
 
-// addedByChain has calls go through a chain: a proxy, its backend, the next proxy, and so on; and straight from backend to
-// backend. Each service of the chain has one backend, which is on the machine of the proxy that comes after it.
+// measureChain measures calls through a chain: a proxy, its backend, the next proxy, and so on. The direct calls go from
+// backend to backend. Each service of the chain has one backend, on the machine of the proxy that calls it.
 func measureChain(ctx context.Context, o AddedLatencyOptions, depth int, rate float64, programs Programs) (AddedLatency, error) {
 	sizes := fleet.Default()
 	sizes.Proxies, sizes.Services, sizes.Depth = depth, 1, 1
 	f := fleet.Generate(sizes)
 	makeChain(f)
-	r, ctx, err := Deploy(ctx, Plan{Fleet: f, RealProxies: depth, ListScope: ServiceList}, programs)
+	d, ctx, err := Deploy(ctx, Plan{Fleet: f, RealProxies: depth, ListScope: ServiceList}, programs)
 	if err != nil {
 		return AddedLatency{}, err
 	}
-	defer r.Close()
-	straight, err := r.startChain(depth)
+	defer d.Close()
+	direct, err := d.startChain(depth)
 	if err != nil {
 		return AddedLatency{}, err
 	}
-	run := latencyRun{direct: straight, proxied: r.addresses.at(0, proxyPort), rate: rate, options: o}
+	run := latencyRun{direct: direct, proxied: d.addresses.at(0, proxyPort), rate: rate, options: o}
 	name := "one proxy"
 	if depth > 1 {
 		name = fmt.Sprintf("a chain of %d", depth)
@@ -68,7 +69,7 @@
 	return run.measure(ctx, name)
 }
 
-// chainOf makes each proxy's list that of the one backend beside it.
+// makeChain changes a fleet so that the list of each proxy is the one backend beside it.
 func makeChain(f *fleet.Fleet) {
 	f.Services = nil
 	for i := range f.Proxies {
@@ -77,49 +78,50 @@
 	}
 }
 
-// startChain starts two backends on each machine: one that calls the next machine's proxy, behind the proxy, and one that
-// calls the next machine's backend straight. It gives the address of the first one of the latter.
-func (r *Deployment) startChain(depth int) (straight string, err error) {
-	const straightPort = 9004
+// startChain starts two backends on each machine: one behind the proxy, which calls the proxy of the next machine, and one
+// that calls the backend of the next machine directly. It returns the address of the first of the latter.
+func (d *Deployment) startChain(depth int) (direct string, err error) {
+	const directPort = 9004
 	for i := range depth {
-		for _, way := range []struct{ port, next int }{{backendPort, proxyPort}, {straightPort, straightPort}} {
+		for _, backend := range []struct{ port, next int }{{backendPort, proxyPort}, {directPort, directPort}} {
 			var next func() (standin.NestedCaller, error)
 			if i+1 < depth {
-				address := r.addresses.at(i+1, way.next)
+				address := d.addresses.at(i+1, backend.next)
 				next = func() (standin.NestedCaller, error) { return testbed.NewCaller(address), nil }
 			}
-			b, err := standin.NewBackend(r.addresses.at(i, way.port), next)
+			b, err := standin.NewBackend(d.addresses.at(i, backend.port), next)
 			if err != nil {
 				return "", err
 			}
-			r.backends = append(r.backends, b)
+			d.backends = append(d.backends, b)
 		}
 	}
-	return r.addresses.at(0, straightPort), nil
+	return d.addresses.at(0, directPort), nil
 }
 
-// measure takes the rounds.
+// measure runs the rounds.
 func (a latencyRun) measure(ctx context.Context, name string) (AddedLatency, error) {
-	var straight, through, differences [3][]float64
+	var direct, proxied, added [3][]float64
 	out := AddedLatency{Name: name, Rate: a.rate, Rounds: a.options.Rounds, Calls: int(a.rate * a.options.Seconds)}
 	for range a.options.Rounds {
-		direct, bad := testbed.OpenLoop(ctx, []string{a.direct}, a.options.Connections, a.rate, a.options.Seconds)
-		out.Failed += bad
-		proxied, bad := testbed.OpenLoop(ctx, []string{a.proxied}, a.options.Connections, a.rate, a.options.Seconds)
-		out.Failed += bad
-		for k := range direct {
-			straight[k], through[k] = append(straight[k], direct[k]), append(through[k], proxied[k])
-			differences[k] = append(differences[k], proxied[k]-direct[k])
+		directTimes, failed := testbed.OpenLoop(ctx, []string{a.direct}, a.options.Connections, a.rate, a.options.Seconds)
+		out.Failed += failed
+		proxiedTimes, failed := testbed.OpenLoop(ctx, []string{a.proxied}, a.options.Connections, a.rate, a.options.Seconds)
+		out.Failed += failed
+		for k := range directTimes {
+			direct[k], proxied[k] = append(direct[k], directTimes[k]), append(proxied[k], proxiedTimes[k])
+			added[k] = append(added[k], proxiedTimes[k]-directTimes[k])
 		}
 	}
-	for k := range straight {
-		out.Direct[k], out.Proxied[k] = median(straight[k]), median(through[k])
-		out.MinAdded[k], out.MaxAdded[k] = slices.Min(differences[k]), slices.Max(differences[k])
+	for k := range direct {
+		out.Direct[k], out.Proxied[k] = median(direct[k]), median(proxied[k])
+		out.MinAdded[k], out.MaxAdded[k] = slices.Min(added[k]), slices.Max(added[k])
 	}
 	out.LoadAverage = meter.LoadAverage()
 	return out, ctx.Err()
 }
 
+// median returns the median of values, the upper one of the two in the middle.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -10,23 +10,24 @@
 	"sandpass/internal/testbed"
 )
 
-const connectionsPerProxy = 2 // connections on which calls come to a proxy
+const connectionsPerProxy = 2 // client connections to each proxy
 
-// startBackends starts the stand-in for the backend on each machine.
-func (r *Deployment) startBackends() error {
-	for i := range r.plan.Fleet.Proxies {
-		b, err := standin.NewBackend(r.addresses.at(i, backendPort), nil)
+// startBackends starts the stand-in for the backend of each machine.
+func (d *Deployment) startBackends() error {
+	for i := range d.plan.Fleet.Proxies {
+		b, err := standin.NewBackend(d.addresses.at(i, backendPort), nil)
 		if err != nil {
 			return err
 		}
-		r.backends = append(r.backends, b)
+		d.backends = append(d.backends, b)
 	}
 	return nil
 }
 
-// call has calls come to proxies at a rate each for a while, evenly spaced. It gives how many ended well and how many not.
-func (r *Deployment) sendCalls(ctx context.Context, proxies []int, perSecond, seconds float64) (good, bad int) {
-	var ended, failed atomic.Int64
+// sendCalls sends calls to each of the proxies at a rate, evenly spaced, for a number of seconds. It returns how many
+// succeeded and how many failed.
+func (d *Deployment) sendCalls(ctx context.Context, proxies []int, perSecond, seconds float64) (succeeded, failed int) {
+	var sentCount, failedCount atomic.Int64
 	var wait sync.WaitGroup
 	total := int64(perSecond * seconds)
 	started := time.Now()
@@ -34,21 +35,21 @@
 		var next atomic.Int64
 		for range connectionsPerProxy {
 			wait.Go(func() {
-				caller := testbed.NewCaller(r.addresses.at(i, proxyPort))
+				caller := testbed.NewCaller(d.addresses.at(i, proxyPort))
 				defer caller.Close()
 				for n := next.Add(1) - 1; n < total; n = next.Add(1) - 1 {
 					due := started.Add(time.Duration(float64(n) / perSecond * float64(time.Second)))
 					if sleep(ctx, time.Until(due)) != nil {
 						return
 					}
-					ended.Add(1)
+					sentCount.Add(1)
 					if caller.Once() != nil {
-						failed.Add(1)
+						failedCount.Add(1)
 					}
 				}
 			})
 		}
 	}
 	wait.Wait()
-	return int(ended.Load() - failed.Load()), int(failed.Load())
+	return int(sentCount.Load() - failedCount.Load()), int(failedCount.Load())
 }
--- a/internal/scale/charts.go
+++ b/internal/scale/charts.go
@@ -16,26 +16,26 @@
 	curveSteps              = 100
 )
 
-// Charts draws each series with its law as a PNG file in a folder, and names the files.
-func (d *Data) Charts(folder string) (made []string, err error) {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+// Charts draws each series with its model as a PNG file in a directory and returns the paths of the files.
+func (d *Data) Charts(directory string) (paths []string, err error) {
+	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return nil, err
 	}
 	for _, s := range d.Series {
 		p, err := s.chart()
 		if err != nil {
-			return made, err
+			return paths, err
 		}
-		path := filepath.Join(folder, slug(s.Role+" "+s.Figure+" "+string(s.Variable)+" "+s.Setting)+".png")
+		path := filepath.Join(directory, slug(s.Role+" "+s.Figure+" "+string(s.Variable)+" "+s.Setting)+".png")
 		if err := p.Save(chartWidth, chartHeight, path); err != nil {
-			return made, err
+			return paths, err
 		}
-		made = append(made, path)
+		paths = append(paths, path)
 	}
-	return made, nil
+	return paths, nil
 }
 
-// fileName keeps letters and digits of a text.
+// slug returns the text in lower case, with all but letters and digits replaced by hyphens.
 func slug(text string) string {
 	return strings.Trim(strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' {
@@ -45,7 +45,7 @@
 	}, strings.ToLower(text)), "-")
 }
 
-// chart draws what was measured, and the law over all of it.
+// chart draws the measured points and the curve of the model.
 func (s Series) chart() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Role + ": " + s.Figure
--- a/internal/scale/comparison.go
+++ b/internal/scale/comparison.go
@@ -10,101 +10,103 @@
 	"sandpass/internal/scale/meter"
 )
 
-// LikenessWithin is by which part a kind of traffic of hollow proxies may differ from that of real ones.
+// ComparisonTolerance is the relative difference up to which in-process proxies count as equal to real ones.
 const ComparisonTolerance = 0.05
 
-// LikenessOptions say how hollow and real proxies are compared.
+// ComparisonOptions are the parameters of the comparison of in-process proxies with real ones.
 type ComparisonOptions struct {
-	ProxiesEach       int     // proxies of each sort
-	Restarts          int     // of backends
-	RestartsPerSecond float64 // a second
-	CallsPerSecond    float64 // a second to each proxy, while siblings' messages are counted
+	ProxiesEach       int     // number of proxies of each kind
+	Restarts          int     // backend restarts in each of the two services
+	RestartsPerSecond float64 // backend restarts per second
+	CallsPerSecond    float64 // calls per second to each proxy while messages between siblings are counted
 	CallSeconds       float64
 	IdleTime          time.Duration
-	Replicas          int  // of control
-	Changes           int  // of configuration
-	SeedDefect        bool // for tests: a hollow proxy that does nothing
+	Replicas          int  // control replicas
+	Changes           int  // configuration changes
+	SeedDefect        bool // for tests: the in-process proxies do not run
 }
 
-// Compare runs hollow and real proxies side by side through the same changes, and counts both at the sockets. They are two
-// services of the same shape: the n-th hollow proxy has the same place in its service as the n-th real one.
+// CompareInProcess runs in-process and real proxies through the same changes and compares their traffic, counted at the
+// sockets. They form two services of the same shape: the n-th in-process proxy has the same position in its service as the n-th
+// real one.
 func CompareInProcess(ctx context.Context, o ComparisonOptions, programs Programs) ([]Comparison, error) {
 	sizes := fleet.Default()
 	sizes.Proxies, sizes.Services, sizes.Depth, sizes.FrontShare = 2*o.ProxiesEach, 2, 1, 1
-	plan := Plan{Fleet: fleet.Generate(sizes), RealProxies: o.ProxiesEach, ListScope: ServiceList, Peers: true, CountedProxies: 2 * o.ProxiesEach,
-		SeedDefect: o.SeedDefect,
-		Replicas:   o.Replicas}
-	r, ctx, err := Deploy(ctx, plan, programs)
+	plan := Plan{Fleet: fleet.Generate(sizes), RealProxies: o.ProxiesEach, ListScope: ServiceList, Peers: true,
+		CountedProxies: 2 * o.ProxiesEach,
+		SeedDefect:     o.SeedDefect,
+		Replicas:       o.Replicas}
+	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	if err := r.startBackends(); err != nil {
+	defer d.Close()
+	if err := d.startBackends(); err != nil {
 		return nil, err
 	}
 	var all []Comparison
-	watch, err := r.measure(func() error {
-		return errors.Join(sleep(ctx, o.IdleTime), r.restartBackendPairs(ctx, o))
+	restarts, err := d.measure(func() error {
+		return errors.Join(sleep(ctx, o.IdleTime), d.restartBackendPairs(ctx, o))
 	})
 	if err != nil {
 		return nil, err
 	}
-	all = append(all, compareTraffic("list watch, restarts", watch.traffic, o.ProxiesEach)...)
+	all = append(all, compareTraffic("list watch, restarts", restarts.traffic, o.ProxiesEach)...)
 	if !o.SeedDefect {
-		back, err := r.measure(func() error {
-			_, err := r.reconnectAll(ctx)
+		reconnect, err := d.measure(func() error {
+			_, err := d.reconnectAll(ctx)
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, compareTraffic("list watch, whole lists", back.traffic, o.ProxiesEach)...)
+		all = append(all, compareTraffic("list watch, whole lists", reconnect.traffic, o.ProxiesEach)...)
 	}
 	if o.Replicas > 0 {
-		config, err := r.changeConfigs(ctx, o)
+		config, err := d.changeConfigs(ctx, o)
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, compareTraffic("configuration watch, changes", config, o.ProxiesEach)...)
 	}
-	before := r.siblingLinks.traffic()
-	if _, bad := r.sendCalls(ctx, allProxies(plan.Fleet), o.CallsPerSecond, o.CallSeconds); bad > 0 && !o.SeedDefect {
-		return nil, fmt.Errorf("%d calls failed", bad)
+	before := d.siblingLinks.traffic()
+	if _, failed := d.sendCalls(ctx, allProxies(plan.Fleet), o.CallsPerSecond, o.CallSeconds); failed > 0 && !o.SeedDefect {
+		return nil, fmt.Errorf("%d calls failed", failed)
 	}
-	notes := r.siblingLinks.traffic()
-	for i := range notes {
-		notes[i] = notes[i].Minus(before[i])
+	messages := d.siblingLinks.traffic()
+	for i := range messages {
+		messages[i] = messages[i].Minus(before[i])
 	}
-	return append(all, compareTraffic("siblings' messages", notes, o.ProxiesEach)...), nil
+	return append(all, compareTraffic("siblings' messages", messages, o.ProxiesEach)...), nil
 }
 
-// changeTwins changes the configuration of all proxies, and gives what each has said to control and heard from it.
-func (r *Deployment) changeConfigs(ctx context.Context, o ComparisonOptions) ([]meter.Traffic, error) {
+// changeConfigs changes the configuration of all proxies and returns the traffic of each with control meanwhile.
+func (d *Deployment) changeConfigs(ctx context.Context, o ComparisonOptions) ([]meter.Traffic, error) {
 	wanted := 2 * o.ProxiesEach
 	if o.SeedDefect {
 		wanted = o.ProxiesEach
 	}
-	before := r.control.proxyTraffic()
-	operator := operator{deployment: r}
+	before := d.control.proxyTraffic()
+	operator := operator{deployment: d}
 	for range o.Changes {
 		if _, err := operator.change(ctx, false, wanted); err != nil {
 			return nil, err
 		}
 	}
-	after := r.control.proxyTraffic()
+	after := d.control.proxyTraffic()
 	for i := range after {
 		after[i] = after[i].Minus(before[i])
 	}
 	return after, nil
 }
 
-// restartTwins restarts the same backend of both services at the same time.
-func (r *Deployment) restartBackendPairs(ctx context.Context, o ComparisonOptions) error {
+// restartBackendPairs restarts the same backend of both services at the same time.
+func (d *Deployment) restartBackendPairs(ctx context.Context, o ComparisonOptions) error {
 	const states = 3
 	for k := range o.Restarts {
 		i := k % o.ProxiesEach
 		for _, status := range []string{"draining", "gone", "ready"} {
-			if err := r.updateBackends([]int{i, i + o.ProxiesEach}, status); err != nil {
+			if err := d.updateBackends([]int{i, i + o.ProxiesEach}, status); err != nil {
 				return err
 			}
 			if err := sleep(ctx, time.Duration(float64(time.Second)/o.RestartsPerSecond/states)); err != nil {
@@ -115,11 +117,12 @@
 	return nil
 }
 
+// allProxies returns the indexes of all proxies of a fleet.
 func allProxies(f *fleet.Fleet) []int {
 	return indexes(len(f.Proxies))
 }
 
-// kinds compares the four kinds of traffic; the first ones are the real proxies'.
+// compareTraffic compares the four counts of traffic. The first proxies are the real ones.
 func compareTraffic(name string, traffic []meter.Traffic, real int) (all []Comparison) {
 	for _, k := range []struct {
 		name  string
@@ -131,12 +134,12 @@
 	return all
 }
 
-// Unlike are the kinds that differ by more than they may.
-func OutsideTolerance(all []Comparison) (off []Comparison) {
-	for _, l := range all {
-		if l.RelativeDifference() > ComparisonTolerance || l.RelativeDifference() < -ComparisonTolerance {
-			off = append(off, l)
+// OutsideTolerance returns the comparisons that differ by more than ComparisonTolerance.
+func OutsideTolerance(all []Comparison) (outside []Comparison) {
+	for _, c := range all {
+		if c.RelativeDifference() > ComparisonTolerance || c.RelativeDifference() < -ComparisonTolerance {
+			outside = append(outside, c)
 		}
 	}
-	return off
+	return outside
 }
--- a/internal/scale/cluster.go
+++ b/internal/scale/controlcluster.go
@@ -22,11 +22,11 @@
 const (
 	controlFleet        = "scale"
 	controlPort         = 9100
-	firstReplicaMachine = 62_000 // its machine's number: no proxy has it
+	firstReplicaMachine = 62_000 // index of the machine of the first replica, above those of all proxies
 	replicaTimeout      = 20 * time.Second
 )
 
-// replica is a control replica, `sandpass control serve`.
+// replica is a control replica, a process that runs `sandpass control serve`.
 type replica struct {
 	name, region, address string
 	configPath, logPath   string
@@ -34,29 +34,31 @@
 	done                  chan struct{}
 }
 
-// door is the way from the proxies of a region to a replica.
+// regionLink identifies the link from the proxies of a region to a replica.
 type regionLink struct {
 	region  string
 	replica int
 }
 
-// cluster is the control replicas, with the ways among them and from the proxies.
+// controlCluster is the control replicas and the links between them and from the proxies. The links forward connections: they
+// count the traffic, add the latency between regions and can be cut.
 type controlCluster struct {
 	program              []string
-	directory            string // of logs and configurations
-	stateDirectory       string // folder of what proxies save
+	directory            string // for logs and configurations
+	stateDirectory       string // where the proxies save their state
 	regionLatencySeconds float64
 	replicas             []*replica
 	replicaLinks         map[[2]int]*faultnet.StreamForwarder
 	regionLinks          map[regionLink]*faultnet.StreamForwarder
-	proxyLinks           map[int][]*faultnet.StreamForwarder // of a proxy that is counted, a way to each replica
+	proxyLinks           map[int][]*faultnet.StreamForwarder // of each counted proxy, a link to each replica
 	client               *controlclient.Client
 }
 
-// startCluster starts so many replicas, spread over the fleet's regions.
+// startCluster starts the replicas of the plan, distributed over the regions of the fleet.
 func startCluster(plan Plan, programs Programs, a addresses, directory string) (*controlCluster, error) {
 	c := &controlCluster{program: programs.Proxy, directory: directory, regionLatencySeconds: plan.Fleet.Sizes.LatencyMS / 1000,
-		replicaLinks: map[[2]int]*faultnet.StreamForwarder{}, regionLinks: map[regionLink]*faultnet.StreamForwarder{}, proxyLinks: map[int][]*faultnet.StreamForwarder{}}
+		replicaLinks: map[[2]int]*faultnet.StreamForwarder{}, regionLinks: map[regionLink]*faultnet.StreamForwarder{},
+		proxyLinks: map[int][]*faultnet.StreamForwarder{}}
 	for k := range plan.Replicas {
 		name := fmt.Sprintf("control-%d", k+1)
 		c.replicas = append(c.replicas, &replica{name: name, region: fmt.Sprintf("region-%d", k%plan.Fleet.Sizes.Regions+1),
@@ -70,9 +72,10 @@
 	return c, nil
 }
 
+// open creates the links, starts the replicas and waits for a leader.
 func (c *controlCluster) open(plan Plan) (err error) {
-	// What proxies save lies in memory: on one machine's disk their syncs would wait for one another, which on machines of
-	// their own they don't.
+	// The proxies save their state to a file system in memory. On one shared disk their fsync calls would delay one another,
+	// which they do not on separate machines.
 	if c.stateDirectory, err = os.MkdirTemp("/dev/shm", "sandlab-scale-"); err != nil {
 		return err
 	}
@@ -117,6 +120,7 @@
 	return c.awaitLeader()
 }
 
+// regionNames returns the names of the regions of the fleet.
 func regionNames(plan Plan) (regions []string) {
 	for k := range plan.Fleet.Sizes.Regions {
 		regions = append(regions, fmt.Sprintf("region-%d", k+1))
@@ -124,7 +128,7 @@
 	return regions
 }
 
-// way leads from a region to a replica, with the regions' latency.
+// newLink creates a link from a region to a replica, with the latency between the regions.
 func (c *controlCluster) newLink(region string, k int) (*faultnet.StreamForwarder, error) {
 	stream, err := faultnet.NewStreamForwarder(c.replicas[k].address, uint64(k+1))
 	if err == nil {
@@ -133,6 +137,7 @@
 	return stream, err
 }
 
+// configureLink sets the latency of a link from a region to a replica, and whether it is cut.
 func (c *controlCluster) configureLink(stream *faultnet.StreamForwarder, region string, k int, cut bool) {
 	w := faultnet.Conditions{Blocked: cut}
 	if region != c.replicas[k].region {
@@ -141,23 +146,24 @@
 	stream.SetConditions(w, w)
 }
 
+// writeConfig writes the configuration file of a replica.
 func (c *controlCluster) writeConfig(i int) error {
 	r := c.replicas[i]
 	text := fmt.Sprintf("fleet = %q\nname = %q\nfolder = %q\nlisten = %q\n", controlFleet, r.name,
 		filepath.Join(c.directory, r.name), r.address)
 	for j, other := range c.replicas {
 		address := other.address
-		if way := c.replicaLinks[[2]int{i, j}]; way != nil {
-			address = way.Addr()
+		if link := c.replicaLinks[[2]int{i, j}]; link != nil {
+			address = link.Addr()
 		}
 		text += fmt.Sprintf("[[replica]]\nname = %q\naddress = %q\nregion = %q\n", other.name, address, other.region)
 	}
-	// The base is a proxy's own configuration, as each proxy has it.
+	// The base that changes are checked against is the configuration of a proxy.
 	text = strings.Replace(text, "[[replica]]", "check_base = \"base.json\"\n[[replica]]", 1)
 	return os.WriteFile(r.configPath, []byte(text), 0o600)
 }
 
-// start starts a replica's process.
+// startReplica starts the process of a replica.
 func (c *controlCluster) startReplica(k int) error {
 	r := c.replicas[k]
 	out, err := os.OpenFile(r.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -172,23 +178,24 @@
 		return err
 	}
 	r.done = make(chan struct{})
-	go func(command *exec.Cmd, ended chan struct{}) {
-		_ = command.Wait() // how it ended stands in its log
-		close(ended)
+	go func(command *exec.Cmd, done chan struct{}) {
+		_ = command.Wait() // the log shows how it ended
+		close(done)
 	}(r.command, r.done)
 	return nil
 }
 
-// kill ends a replica at once and waits.
+// killReplica kills a replica and waits until it has ended.
 func (c *controlCluster) killReplica(k int) {
 	r := c.replicas[k]
 	if r.command == nil || r.done == nil {
 		return
 	}
-	_ = r.command.Process.Kill() // it may have ended
+	_ = r.command.Process.Kill() // an error means that it has already ended
 	<-r.done
 }
 
+// running reports whether the process of a replica has not ended.
 func (c *controlCluster) running(k int) bool {
 	select {
 	case <-c.replicas[k].done:
@@ -198,13 +205,14 @@
 	}
 }
 
-// status is the fleet as the leader knows it.
+// status returns the status of the fleet that the leader reports.
 func (c *controlCluster) status(number revision.Number) (controlapi.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), replicaTimeout)
 	defer cancel()
 	return c.client.Status(ctx, number, false)
 }
 
+// awaitLeader waits until the replicas have elected a leader.
 func (c *controlCluster) awaitLeader() error {
 	deadline := time.Now().Add(replicaTimeout)
 	for {
@@ -213,23 +221,24 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("no leader within %v: %w", replicaTimeout, errors.Join(err, c.lastLogLines()))
+			return fmt.Errorf("no control leader elected within %v: %w", replicaTimeout, errors.Join(err, c.lastLogLines()))
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
+// lastLogLines returns an error with the last log line of each replica.
 func (c *controlCluster) lastLogLines() error {
 	var all []error
 	for _, r := range c.replicas {
-		text, _ := os.ReadFile(r.logPath) // none says nothing
+		text, _ := os.ReadFile(r.logPath) // without a log the line is empty
 		lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 		all = append(all, fmt.Errorf("%s: %s", r.name, lines[len(lines)-1]))
 	}
 	return errors.Join(all...)
 }
 
-// leader is the index of the replica that leads, -1 while none does.
+// leaderIndex returns the index of the leader, -1 if there is none.
 func (c *controlCluster) leaderIndex() int {
 	status, err := c.status(0)
 	if err != nil {
@@ -243,7 +252,7 @@
 	return -1
 }
 
-// connected is how many proxies are connected to each replica.
+// connectedProxies returns the number of proxies connected to each replica.
 func (c *controlCluster) connectedProxies() ([]int, error) {
 	status, err := c.status(0)
 	if err != nil {
@@ -260,20 +269,20 @@
 	return counts, nil
 }
 
-// awaitConnected waits until so many proxies are connected, none of them to a replica that was lost.
+// awaitConnected waits until the wanted number of proxies is connected, none of them to a lost replica.
 func (c *controlCluster) awaitConnected(ctx context.Context, wanted int, lost ...int) error {
 	deadline := time.Now().Add(settleTimeout)
 	for {
 		counts, err := c.connectedProxies()
 		sum := 0
-		gone := 0 // proxies that are told as connected to what was lost
+		stale := 0 // proxies reported as connected to a lost replica
 		for k, n := range counts {
 			sum += n
 			if slices.Contains(lost, k) {
-				gone += n
+				stale += n
 			}
 		}
-		if err == nil && sum >= wanted && gone == 0 {
+		if err == nil && sum >= wanted && stale == 0 {
 			return nil
 		}
 		if time.Now().After(deadline) {
@@ -285,7 +294,7 @@
 	}
 }
 
-// apply makes a revision of a scope and gives its number.
+// apply creates a revision of the fleet scope and returns its number.
 func (c *controlCluster) apply(ctx context.Context, base revision.Number, document revision.Document,
 	atOnce bool) (revision.Number, error) {
 	response, err := c.client.Apply(ctx, controlapi.ApplyRequest{Scope: revision.FleetScope, Base: base, Document: document,
@@ -293,24 +302,24 @@
 	return response.Number, err
 }
 
-// operatorFile writes what the operators say to a proxy, and gives the file's path.
+// operatorFile writes the operator file of a proxy and returns its path. Replicas of its own region come first.
 func (c *controlCluster) operatorFile(plan Plan, i int) (string, error) {
 	p := plan.Fleet.Proxies[i]
 	var near, far []string
 	for k, r := range c.replicas {
-		at := ""
-		if ways := c.proxyLinks[i]; len(ways) > 0 {
-			at = ways[k].Addr()
+		address := ""
+		if links := c.proxyLinks[i]; len(links) > 0 {
+			address = links[k].Addr()
 		} else {
-			at = c.regionLinks[regionLink{p.Region, k}].Addr()
+			address = c.regionLinks[regionLink{p.Region, k}].Addr()
 		}
 		if r.region == p.Region {
-			near = append(near, fmt.Sprintf("%q", at))
+			near = append(near, fmt.Sprintf("%q", address))
 		} else {
-			far = append(far, fmt.Sprintf("%q", at))
+			far = append(far, fmt.Sprintf("%q", address))
 		}
 	}
-	if len(near) > 1 { // the proxies of a region share its replicas
+	if len(near) > 1 { // spread the proxies of a region over its replicas
 		k := (i / plan.Fleet.Sizes.Regions) % len(near)
 		near[0], near[k] = near[k], near[0]
 	}
@@ -322,34 +331,36 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// cutRegion cuts a region off from the others, replicas and proxies, or heals the cut.
-func (c *controlCluster) setRegionCut(plan Plan, region string, on bool) {
+// setRegionCut cuts all links between a region and the others, of replicas and proxies, or restores them.
+func (c *controlCluster) setRegionCut(plan Plan, region string, cut bool) {
 	crosses := func(from string, k int) bool { return (from == region) != (c.replicas[k].region == region) }
 	for ends, stream := range c.replicaLinks {
 		if crosses(c.replicas[ends[0]].region, ends[1]) {
-			c.configureLink(stream, c.replicas[ends[0]].region, ends[1], on)
+			c.configureLink(stream, c.replicas[ends[0]].region, ends[1], cut)
 		}
 	}
 	for at, stream := range c.regionLinks {
 		if crosses(at.region, at.replica) {
-			c.configureLink(stream, at.region, at.replica, on)
+			c.configureLink(stream, at.region, at.replica, cut)
 		}
 	}
 	for i, streams := range c.proxyLinks {
 		for k, stream := range streams {
 			if crosses(plan.Fleet.Proxies[i].Region, k) {
-				c.configureLink(stream, plan.Fleet.Proxies[i].Region, k, on)
+				c.configureLink(stream, plan.Fleet.Proxies[i].Region, k, cut)
 			}
 		}
 	}
 }
 
+// streamTraffic returns the traffic of a link as seen by the end that opens connections.
 func streamTraffic(s *faultnet.StreamForwarder) meter.Traffic {
-	there, back := s.Delivered()
-	return meter.Traffic{BytesOut: there.Bytes, MessagesOut: there.Messages, BytesIn: back.Bytes, MessagesIn: back.Messages}
+	sent, received := s.Delivered()
+	return meter.Traffic{BytesOut: sent.Bytes, MessagesOut: sent.Messages, BytesIn: received.Bytes, MessagesIn: received.Messages}
 }
 
-// proxyTraffic is what each counted proxy has said to replicas and heard from them; messages are pieces as they were read.
+// proxyTraffic returns the traffic of each counted proxy with the replicas. A message is what the link has read at once, which
+// need not be one message of the protocol.
 func (c *controlCluster) proxyTraffic() []meter.Traffic {
 	all := make([]meter.Traffic, len(c.proxyLinks))
 	for i, streams := range c.proxyLinks {
@@ -360,7 +371,7 @@
 	return all
 }
 
-// replicaTraffic is what each replica has read and written, with proxies and with one another.
+// replicaTraffic returns the traffic of each replica with the proxies and the other replicas.
 func (c *controlCluster) replicaTraffic() []meter.Traffic {
 	all := make([]meter.Traffic, len(c.replicas))
 	for at, s := range c.regionLinks {
@@ -378,6 +389,7 @@
 	return all
 }
 
+// close kills the replicas, closes the links and removes the saved state.
 func (c *controlCluster) close() {
 	for k := range c.replicas {
 		c.killReplica(k)
@@ -398,6 +410,7 @@
 	}
 }
 
+// closeStream closes a link unless it failed to be created.
 func closeStream(s *faultnet.StreamForwarder) {
 	if s != nil {
 		s.Close()
--- a/internal/scale/controlevents.go
+++ b/internal/scale/controlevents.go
@@ -13,21 +13,21 @@
 	"sandpass/internal/scale/helper"
 )
 
-const applyTimeout = 20 * time.Second // for a change
+const applyTimeout = 20 * time.Second // for control to accept a change
 
-// ControlOptions say what happens to a fleet that has its configuration from control.
+// ControlOptions are the parameters of the events in a fleet whose proxies get their configuration from control.
 type ControlOptions struct {
 	Sizes        fleet.Sizes
 	RealProxies  int
 	Replicas     int
-	Changes      int // of configuration, one after another
-	Burst        int // changes within BurstIn
+	Changes      int // configuration changes, one after another
+	Burst        int // configuration changes within BurstWindow
 	BurstWindow  time.Duration
-	RegionOutage time.Duration // of a region
-	EventNames   []string      // names of events; nil: all of them
+	RegionOutage time.Duration // how long a region is cut off
+	EventNames   []string      // events to run; nil: all
 }
 
-// Names of events.
+// Names of events, as in the data file.
 const (
 	eventChange      = "control: a change of configuration"
 	eventBurst       = "control: a burst of changes"
@@ -35,35 +35,35 @@
 	eventRegionCut   = "control: a region is cut off"
 )
 
-// operator is one who changes the fleet's configuration.
+// operator changes the configuration of the fleet.
 type operator struct {
 	deployment    *Deployment
 	base          revision.Number
 	revisionCount int
 
-	acceptSeconds float64 // seconds that the last change took to be accepted
+	acceptSeconds float64 // until control accepted the last change
 }
 
-// document is a configuration of about the size of a change: what each customer may have.
+// document returns a configuration of about Sizes.ChangeBytes, an allowance for each of many customers.
 func (o *operator) document() revision.Document {
 	type realm struct {
 		Name      string  `json:"name"`
 		Allowance float64 `json:"allowance_per_s"`
 	}
-	const realmBytes = 45 // of one in JSON
+	const realmBytes = 45 // size of one entry in JSON
 	realms := []realm{{"c0", 1e6}}
 	for i := range o.deployment.plan.Fleet.Sizes.ChangeBytes / realmBytes {
 		realms = append(realms, realm{fmt.Sprintf("customer-%04d", i), float64(100_000 + o.revisionCount)})
 	}
-	text, _ := json.Marshal(map[string]any{"settings": map[string]any{"realms": realms}}) // it has nothing that can't be encoded
-	document, _ := revision.Canonicalize(text)                                            // and is an object
+	text, _ := json.Marshal(map[string]any{"settings": map[string]any{"realms": realms}}) // all values can be encoded
+	document, _ := revision.Canonicalize(text)                                            // the text is an object
 	return document
 }
 
-// change makes a revision and waits until it is in force at so many proxies, or a minute has passed. It gives the seconds from
-// the moment of the call, of each proxy.
+// change creates a revision and waits until it is in force at the wanted number of proxies, for at most a minute. It returns
+// the seconds from the call until it was in force, for each proxy.
 func (o *operator) change(ctx context.Context, atOnce bool, wanted int) ([]float64, error) {
-	marks, err := o.deployment.reloadCounts()
+	counts, err := o.deployment.reloadCounts()
 	if err != nil {
 		return nil, err
 	}
@@ -72,12 +72,13 @@
 		return nil, err
 	}
 	for deadline := time.Now().Add(settleTimeout); ; {
-		took, err := o.deployment.reloadSecondsSince(marks, started)
+		took, err := o.deployment.reloadSecondsSince(counts, started)
 		if err != nil || len(took) >= wanted {
 			return took, err
 		}
 		if time.Now().After(deadline) {
-			return took, fmt.Errorf("revision %d is in force at %d of %d proxies after %v", o.base, len(took), wanted, settleTimeout)
+			return took, fmt.Errorf("revision %d is in force at only %d of %d proxies after %v", o.base, len(took), wanted,
+				settleTimeout)
 		}
 		if err := sleep(ctx, 2*pollInterval); err != nil {
 			return nil, err
@@ -85,7 +86,7 @@
 	}
 }
 
-// apply makes a revision over the newest one.
+// apply creates a revision on top of the newest one.
 func (o *operator) apply(ctx context.Context, atOnce bool) error {
 	o.revisionCount++
 	started := time.Now()
@@ -99,15 +100,16 @@
 	return nil
 }
 
-// marks is how many configurations have come into force so far, by process.
+// reloadCounts is the number of configurations that have come into force so far in each process.
 type reloadCounts struct {
-	groups  []int
-	servers map[int]int
+	groups      []int       // of in-process proxies
+	realProxies map[int]int // by index in the fleet
 }
 
-func (r *Deployment) reloadCounts() (reloadCounts, error) {
-	m := reloadCounts{groups: make([]int, len(r.inProcess)), servers: map[int]int{}}
-	for g, group := range r.inProcess {
+// reloadCounts returns the current counts.
+func (d *Deployment) reloadCounts() (reloadCounts, error) {
+	m := reloadCounts{groups: make([]int, len(d.inProcess)), realProxies: map[int]int{}}
+	for g, group := range d.inProcess {
 		if group == nil {
 			continue
 		}
@@ -118,15 +120,15 @@
 		}
 		m.groups[g] = len(a.AppliedAt)
 	}
-	for i, s := range r.realProxies {
-		m.servers[i] = len(s.reloadTimes())
+	for i, s := range d.realProxies {
+		m.realProxies[i] = len(s.reloadTimes())
 	}
 	return m, nil
 }
 
-// takenOver is the seconds until each configuration since the marks came into force.
-func (r *Deployment) reloadSecondsSince(m reloadCounts, started time.Time) (took []float64, err error) {
-	for g, group := range r.inProcess {
+// reloadSecondsSince returns, for each configuration that has come into force since the counts m, the seconds from started.
+func (d *Deployment) reloadSecondsSince(m reloadCounts, started time.Time) (took []float64, err error) {
+	for g, group := range d.inProcess {
 		if group == nil {
 			continue
 		}
@@ -138,24 +140,26 @@
 			took = append(took, at-float64(started.UnixNano())/1e9)
 		}
 	}
-	for i, s := range r.realProxies {
-		for _, at := range s.reloadTimes()[m.servers[i]:] {
+	for i, s := range d.realProxies {
+		for _, at := range s.reloadTimes()[m.realProxies[i]:] {
 			took = append(took, at.Sub(started).Seconds())
 		}
 	}
 	return took, nil
 }
 
-// ControlEvents has each event happen to a fleet with control, one after another.
+// RunControlEvents runs the events, one after another, in a fleet with a control service and measures each.
 func RunControlEvents(ctx context.Context, o ControlOptions, programs Programs, progress func(string)) ([]Event, error) {
-	plan := Plan{Fleet: fleet.Generate(o.Sizes), RealProxies: o.RealProxies, ListScope: ServiceList, Peers: true, Replicas: o.Replicas}
-	r, ctx, err := Deploy(ctx, plan, programs)
+	plan := Plan{Fleet: fleet.Generate(o.Sizes), RealProxies: o.RealProxies, ListScope: ServiceList, Peers: true,
+		Replicas: o.Replicas}
+	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	s := controlScenario{ctx: ctx, deployment: r, options: o, operator: operator{deployment: r}}
-	if _, err := s.operator.change(ctx, false, s.proxyCount()); err != nil { // the first is a whole configuration
+	defer d.Close()
+	s := controlScenario{ctx: ctx, deployment: d, options: o, operator: operator{deployment: d}}
+	if _,
+		err := s.operator.change(ctx, false, s.proxyCount()); err != nil { // the first revision contains the whole configuration
 		return nil, err
 	}
 	var all []Event
@@ -176,7 +180,7 @@
 		if o.EventNames != nil && !slices.Contains(o.EventNames, step.name) {
 			continue
 		}
-		e, err := r.observe(ctx, Event{Name: step.name}, step.do)
+		e, err := d.observe(ctx, Event{Name: step.name}, step.do)
 		if err != nil {
 			return all, fmt.Errorf("%s: %w", step.name, err)
 		}
@@ -186,7 +190,7 @@
 	return all, nil
 }
 
-// controlStage is where events happen to control.
+// controlScenario runs events in a fleet with a control service.
 type controlScenario struct {
 	ctx        context.Context
 	deployment *Deployment
@@ -194,48 +198,55 @@
 	operator   operator
 }
 
+// proxyCount returns the number of proxies of the fleet.
 func (s *controlScenario) proxyCount() int { return len(s.deployment.plan.Fleet.Proxies) }
 
+// idle lets the fleet run without changes.
 func (s *controlScenario) idle(*Event) error { return sleep(s.ctx, 8*sampleInterval) }
 
-// changes makes so many changes one after another.
+// changes makes configuration changes one after another.
 func (s *controlScenario) changes(e *Event, count int, atOnce bool, every time.Duration) error {
 	return e.changes(s.ctx, count, every, func(int) ([]float64, error) {
 		return s.operator.change(s.ctx, atOnce, s.proxyCount())
 	})
 }
 
+// change makes guarded changes.
 func (s *controlScenario) change(e *Event) error {
 	return s.changes(e, s.options.Changes, false, 2*sampleInterval)
 }
 
+// atOnce makes changes that skip the guard.
 func (s *controlScenario) atOnce(e *Event) error {
 	return s.changes(e, s.options.Changes, true, 2*sampleInterval)
 }
 
+// burst makes many changes in a short time.
 func (s *controlScenario) burst(e *Event) error {
 	return s.changes(e, s.options.Burst, false, s.options.BurstWindow/time.Duration(s.options.Burst))
 }
 
-// lose kills replicas, waits until all proxies hang on others, makes a change, and starts the replicas again.
+// loseReplicas kills replicas, waits until all proxies are connected to others, makes a change and starts the replicas
+// again.
 func (s *controlScenario) loseReplicas(e *Event, lost []int) error {
 	c := s.deployment.control
 	connected, err := c.connectedProxies()
 	if err != nil {
 		return err
 	}
-	hung := 0
+	affected := 0
 	for _, k := range lost {
 		c.killReplica(k)
-		hung += connected[k]
+		affected += connected[k]
 	}
 	started := time.Now()
 	if err := c.awaitConnected(s.ctx, s.proxyCount(), lost...); err != nil {
 		return err
 	}
 	e.SettledSeconds = time.Since(started).Seconds()
-	e.Connections = hung
-	e.Note = fmt.Sprintf("%d proxies hung on what was lost; settled: all on other machines; in force: a change after that", hung)
+	e.Connections = affected
+	e.Note = fmt.Sprintf("%d proxies hung on what was lost; settled: all on other machines; in force: a change after that",
+		affected)
 	took, err := s.operator.change(s.ctx, false, s.proxyCount())
 	if err != nil {
 		return err
@@ -245,6 +256,7 @@
 	return s.restartReplicas(lost)
 }
 
+// restartReplicas starts replicas again and waits for a leader and for all proxies to be connected.
 func (s *controlScenario) restartReplicas(lost []int) error {
 	for _, k := range lost {
 		if err := s.deployment.control.startReplica(k); err != nil {
@@ -257,14 +269,16 @@
 	return s.deployment.control.awaitConnected(s.ctx, s.proxyCount())
 }
 
+// loseLeader loses the leader.
 func (s *controlScenario) loseLeader(e *Event) error {
 	leader := s.deployment.control.leaderIndex()
 	if leader < 0 {
-		return errors.New("no leader")
+		return errors.New("control has no leader")
 	}
 	return s.loseReplicas(e, []int{leader})
 }
 
+// loseBusiest loses the replica with the most connected proxies.
 func (s *controlScenario) loseBusiest(e *Event) error {
 	connected, err := s.deployment.control.connectedProxies()
 	if err != nil {
@@ -279,6 +293,7 @@
 	return s.loseReplicas(e, []int{busiest})
 }
 
+// loseTwo loses two of five replicas. It does nothing with fewer than five.
 func (s *controlScenario) loseTwo(e *Event) error {
 	if len(s.deployment.control.replicas) < 5 {
 		return nil
@@ -286,8 +301,8 @@
 	return s.loseReplicas(e, []int{0, 1})
 }
 
-// regionCut cuts a region off, with its replicas and proxies; a change is made meanwhile, and its proxies have it only after the
-// cut has healed.
+// cutRegion cuts off a region with its replicas and proxies, makes a change and restores the region. Its proxies get the
+// change only then.
 func (s *controlScenario) cutRegion(e *Event) error {
 	c := s.deployment.control
 	region := c.replicas[len(c.replicas)-1].region
@@ -299,10 +314,10 @@
 	}
 	c.setRegionCut(s.deployment.plan, region, true)
 	started := time.Now()
-	if err := sleep(s.ctx, 3*sampleInterval); err != nil { // a leader in the region is found to be cut off
+	if err := sleep(s.ctx, 3*sampleInterval); err != nil { // time to detect a leader that is cut off
 		return err
 	}
-	marks, err := s.deployment.reloadCounts()
+	counts, err := s.deployment.reloadCounts()
 	if err != nil {
 		return err
 	}
@@ -313,19 +328,20 @@
 	if err := sleep(s.ctx, s.options.RegionOutage-time.Since(started)); err != nil {
 		return err
 	}
-	healed := time.Now()
+	restored := time.Now()
 	c.setRegionCut(s.deployment.plan, region, false)
 	for {
-		all, err := s.deployment.reloadSecondsSince(marks, healed)
+		all, err := s.deployment.reloadSecondsSince(counts, restored)
 		if err != nil {
 			return err
 		}
 		if len(all) >= s.proxyCount() {
-			e.SettledSeconds = time.Since(healed).Seconds()
+			e.SettledSeconds = time.Since(restored).Seconds()
 			break
 		}
-		if time.Since(healed) > settleTimeout {
-			return fmt.Errorf("%d of %d proxies have the change %v after the cut has healed", len(all), s.proxyCount(), settleTimeout)
+		if time.Since(restored) > settleTimeout {
+			return fmt.Errorf("only %d of %d proxies have the change %v after the region was restored", len(all), s.proxyCount(),
+				settleTimeout)
 		}
 		if err := sleep(s.ctx, 2*pollInterval); err != nil {
 			return err
@@ -335,12 +351,12 @@
 	e.Note = fmt.Sprintf("%d proxies in %s are cut off; in force: at the others, during the cut; settled: at all, after it has healed",
 		inside, region)
 	if err := s.deployment.control.awaitConnected(s.ctx, s.proxyCount()); err != nil {
-		e.Note += "; **" + err.Error() + "**" // they have the change: what control tells of them is wrong
+		e.Note += "; **" + err.Error() + "**" // they have the change, so what control reports about them is wrong
 	}
 	return nil
 }
 
-// allLost kills all replicas and starts them again; all proxies return at once.
+// loseAll kills all replicas and starts them again. All proxies reconnect at the same time.
 func (s *controlScenario) loseAll(e *Event) error {
 	c := s.deployment.control
 	lost := indexes(len(c.replicas))
--- a/internal/scale/controlslopes.go
+++ b/internal/scale/controlslopes.go
@@ -9,18 +9,19 @@
 	"sandpass/internal/scale/meter"
 )
 
-// ControlSlopes measures how control's use grows with the number of proxies, for each number of replicas.
+// ControlSlopes measures how the resource use of control grows with the number of proxies, for each number of replicas.
 func ControlSlopes(ctx context.Context, o SlopeOptions, replicas []int, changes int, programs Programs,
 	progress func(string)) ([]Series, error) {
 	var all []Series
 	for _, count := range replicas {
 		c := seriesBuilder{against: ByProxies, setting: controlSetting(count)}
 		counts := o.ProxyCounts
-		if count != o.Sizes.ControlMachines { // as few as a law needs
+		if count != o.Sizes.ControlMachines { // the fewest sizes that a model can be fitted to
 			counts = []int{counts[0], counts[len(counts)/2], counts[len(counts)-1]}
 		}
 		for _, n := range counts {
-			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), RealProxies: min(n, o.RealProxies), ListScope: ServiceList, Peers: true,
+			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), RealProxies: min(n, o.RealProxies), ListScope: ServiceList,
+				Peers:    true,
 				Replicas: count}
 			figures, err := controlFigures(ctx, o, plan, changes, programs)
 			if err != nil {
@@ -38,24 +39,24 @@
 	return all, nil
 }
 
-// controlSetting names the series of so many replicas.
+// controlSetting returns the setting of the series with this number of replicas.
 func controlSetting(replicas int) string { return fmt.Sprintf("%d control machines", replicas) }
 
-// controlSpan is what control and the counted proxies have used and said in a stretch of time.
+// controlInterval is the usage and traffic of control and the counted proxies over a period of time.
 type controlInterval struct {
 	seconds          float64
 	leader           int
-	usage            []meter.Usage // of each replica, processor time since the start of the stretch
-	traffic          []meter.Traffic
-	proxyTraffic     []meter.Traffic // of the counted ones with control
-	proxyCPUSeconds  float64         // processor time of a real proxy, seconds
-	proxyMemoryBytes float64         // of a real proxy
+	usage            []meter.Usage   // of each replica; processor time within the interval
+	traffic          []meter.Traffic // of each replica
+	proxyTraffic     []meter.Traffic // of the counted proxies with control
+	proxyCPUSeconds  float64         // mean of the real proxies
+	proxyMemoryBytes float64         // mean of the real proxies
 }
 
-// duringControl measures what control does meanwhile.
-func (r *Deployment) measureControl(do func() error) (*controlInterval, error) {
-	o := &observer{deployment: r}
-	s := &controlInterval{leader: r.control.leaderIndex()}
+// measureControl returns the usage and traffic of control while do runs.
+func (d *Deployment) measureControl(do func() error) (*controlInterval, error) {
+	o := &observer{deployment: d}
+	s := &controlInterval{leader: d.control.leaderIndex()}
 	if err := o.takeSample(); err != nil {
 		return nil, err
 	}
@@ -68,7 +69,8 @@
 	previous, current := o.samples[0], o.samples[1]
 	s.seconds = current.at.Sub(previous.at).Seconds()
 	for k := range current.replicas {
-		s.usage = append(s.usage, meter.Usage{CPUSeconds: current.replicas[k].CPUSeconds - previous.replicas[k].CPUSeconds, ResidentBytes: current.replicas[k].ResidentBytes})
+		s.usage = append(s.usage, meter.Usage{CPUSeconds: current.replicas[k].CPUSeconds - previous.replicas[k].CPUSeconds,
+			ResidentBytes: current.replicas[k].ResidentBytes})
 		s.traffic = append(s.traffic, current.replicaTraffic[k].Minus(previous.replicaTraffic[k]))
 	}
 	for i := range current.configTraffic {
@@ -79,7 +81,7 @@
 	return s, nil
 }
 
-// of gives a figure of the leader, or the mean over the followers.
+// roleValue returns a value of the leader, or its mean over the followers.
 func (s *controlInterval) roleValue(role string, value func(k int) float64) float64 {
 	if role == roleLeader {
 		return value(max(0, s.leader))
@@ -93,27 +95,27 @@
 	return sum / max(1, count)
 }
 
-// controlFigures measures one size: at rest, and with changes of configuration.
+// controlFigures measures one size: idle, and with configuration changes.
 func controlFigures(ctx context.Context, o SlopeOptions, plan Plan, changes int, programs Programs) ([]figure, error) {
-	r, ctx, err := Deploy(ctx, plan, programs)
+	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	operator := operator{deployment: r}
+	defer d.Close()
+	operator := operator{deployment: d}
 	all := len(plan.Fleet.Proxies)
-	if _, err := operator.change(ctx, false, all); err != nil { // the first is a whole configuration
+	if _, err := operator.change(ctx, false, all); err != nil { // the first revision contains the whole configuration
 		return nil, err
 	}
 	if err := sleep(ctx, time.Second); err != nil {
 		return nil, err
 	}
-	rest, err := r.measureControl(func() error { return sleep(ctx, o.IdleTime) })
+	idle, err := d.measureControl(func() error { return sleep(ctx, o.IdleTime) })
 	if err != nil {
 		return nil, err
 	}
 	var took []float64
-	busy, err := r.measureControl(func() error {
+	busy, err := d.measureControl(func() error {
 		for range changes {
 			one, err := operator.change(ctx, false, all)
 			if err != nil {
@@ -129,9 +131,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return append(controlIdleFigures(rest), controlChangeFigures(busy, rest, changes, took)...), nil
+	return append(controlIdleFigures(idle), controlChangeFigures(busy, idle, changes, took)...), nil
 }
 
+// controlIdleFigures returns the figures of an idle fleet with a control service.
 func controlIdleFigures(s *controlInterval) []figure {
 	figures := []figure{
 		{roleProxy, "configuration watch at rest, in", "bytes/s", mean(s.proxyTraffic, bytesIn) / s.seconds},
@@ -144,28 +147,32 @@
 			figure{role, "processor time at rest", "part of a core",
 				s.roleValue(role, func(k int) float64 { return s.usage[k].CPUSeconds / s.seconds })},
 			figure{role, "memory", "bytes", s.roleValue(role, func(k int) float64 { return s.usage[k].ResidentBytes })},
-			figure{role, "at rest, in", "bytes/s", s.roleValue(role, func(k int) float64 { return float64(s.traffic[k].BytesIn) / s.seconds })},
-			figure{role, "at rest, out", "bytes/s", s.roleValue(role, func(k int) float64 { return float64(s.traffic[k].BytesOut) / s.seconds })},
+			figure{role, "at rest, in", "bytes/s", s.roleValue(role,
+				func(k int) float64 { return float64(s.traffic[k].BytesIn) / s.seconds })},
+			figure{role, "at rest, out", "bytes/s", s.roleValue(role,
+				func(k int) float64 { return float64(s.traffic[k].BytesOut) / s.seconds })},
 		)
 	}
 	return figures
 }
 
-// controlChangeFigures are those of one change of configuration, what rest takes left out.
-func controlChangeFigures(s, rest *controlInterval, changes int, took []float64) []figure {
-	over := func(busy, idle float64) float64 { return max(0, busy-idle/rest.seconds*s.seconds) / float64(changes) }
+// controlChangeFigures returns the figures of one configuration change, without the idle use.
+func controlChangeFigures(s, idle *controlInterval, changes int, took []float64) []figure {
+	overIdle := func(busy, base float64) float64 { return max(0, busy-base/idle.seconds*s.seconds) / float64(changes) }
 	q := quantiles(took)
 	figures := []figure{
-		{roleProxy, "a change of configuration, in", "bytes", over(mean(s.proxyTraffic, bytesIn), mean(rest.proxyTraffic, bytesIn))},
-		{roleProxy, "a change of configuration, out", "bytes", over(mean(s.proxyTraffic, bytesOut), mean(rest.proxyTraffic, bytesOut))},
-		{roleProxy, "a change of configuration, processor time", "s", over(s.proxyCPUSeconds, rest.proxyCPUSeconds)},
+		{roleProxy, "a change of configuration, in", "bytes",
+			overIdle(mean(s.proxyTraffic, bytesIn), mean(idle.proxyTraffic, bytesIn))},
+		{roleProxy, "a change of configuration, out", "bytes",
+			overIdle(mean(s.proxyTraffic, bytesOut), mean(idle.proxyTraffic, bytesOut))},
+		{roleProxy, "a change of configuration, processor time", "s", overIdle(s.proxyCPUSeconds, idle.proxyCPUSeconds)},
 		{roleProxy, "a change of configuration, in force, median", "s", q.Median},
 		{roleProxy, "a change of configuration, in force, last", "s", q.Max},
 	}
 	for _, role := range []string{roleLeader, roleFollower} {
 		each := func(value func(s *controlInterval, k int) float64) float64 {
-			return over(s.roleValue(role, func(k int) float64 { return value(s, k) }),
-				rest.roleValue(role, func(k int) float64 { return value(rest, k) }))
+			return overIdle(s.roleValue(role, func(k int) float64 { return value(s, k) }),
+				idle.roleValue(role, func(k int) float64 { return value(idle, k) }))
 		}
 		figures = append(figures,
 			figure{role, "a change of configuration, processor time", "s",
--- a/internal/scale/data.go
+++ b/internal/scale/data.go
@@ -9,7 +9,7 @@
 	"sandpass/internal/scale/fleet"
 )
 
-// The roles whose use is measured.
+// The roles whose resource use is measured, under their names in the data file and on the page.
 const (
 	roleProxy     = "proxy"
 	roleInProcess = "hollow proxy"
@@ -19,10 +19,10 @@
 	roleFollower  = "control follower"
 )
 
-// Against names what a figure is measured against.
+// Variable names the quantity that is varied in a series of measurements.
 type Variable string
 
-// What figures are measured against.
+// The quantities that are varied.
 const (
 	ByProxies    Variable = "proxies"
 	ByBackends   Variable = "backends"
@@ -32,7 +32,7 @@
 	BySiblings   Variable = "siblings"
 )
 
-// Series is a figure measured at several sizes, and the law that was fitted to them.
+// Series is a figure measured at several values of a variable, and the growth model fitted to it.
 type Series struct {
 	Role      string      `json:"role"`
 	Figure    string      `json:"figure"`
@@ -44,14 +44,14 @@
 	Predicted *Prediction `json:"predicted,omitempty"`
 }
 
-// Prediction is what the fit gave for a size beyond those fitted, beside what was measured there.
+// Prediction is the predicted and the measured value at a size that was left out of the fit.
 type Prediction struct {
 	N         float64 `json:"n"`
 	Predicted float64 `json:"predicted"`
 	Measured  float64 `json:"measured"`
 }
 
-// Error is by which part of the measured value the prediction is off.
+// Error returns the relative error of the prediction, 0 if the measured value is 0.
 func (p Prediction) Error() float64 {
 	if p.Measured == 0 {
 		return 0
@@ -59,20 +59,20 @@
 	return p.Predicted/p.Measured - 1
 }
 
-// Event is something that happens to the fleet at its size.
+// Event is the measurement of one event in a fleet of the given size, such as a configuration change or a lost zone.
 type Event struct {
 	Name           string     `json:"name"`
 	Proxies        int        `json:"proxies"`
 	Setting        string     `json:"setting"`
 	InForce        *Quantiles `json:"in_force,omitempty"` // seconds until a change was in force at each proxy
-	SettledSeconds float64    `json:"settled"`            // seconds until all was as usual
-	Connections    int        `json:"connections"`        // opened anew
+	SettledSeconds float64    `json:"settled"`            // seconds until the fleet was back to normal
+	Connections    int        `json:"connections"`        // connections that were opened again
 	Peaks          []Peak     `json:"peaks"`              // by role
-	LoadAverage    float64    `json:"load"`               // the machine's load average at the end: timings go by it
+	LoadAverage    float64    `json:"load"`               // load average of the machine at the end: timings depend on it
 	Note           string     `json:"note,omitempty"`
 }
 
-// Quantiles of some values.
+// Quantiles are the quantiles of a set of values.
 type Quantiles struct {
 	Values int     `json:"values"`
 	Median float64 `json:"median"`
@@ -80,54 +80,56 @@
 	Max    float64 `json:"last"`
 }
 
+// quantiles returns the quantiles of values.
 func quantiles(values []float64) *Quantiles {
 	q := &Quantiles{Values: len(values)}
 	q.Median, q.P99, q.Max = fit.Quantiles(values)
 	return q
 }
 
-// Peak is the most that a role used in one second of an event.
+// Peak is the highest resource use of a role in any second of an event.
 type Peak struct {
 	Role       string  `json:"role"`
-	CPU        float64 `json:"cpu"`              // part of a core; of several processes the mean
-	BytesIn    float64 `json:"bytes_in"`         // of the busiest one, in a second
-	BytesOut   float64 `json:"bytes_out"`        // the same
-	Memory     float64 `json:"memory,omitempty"` // bytes, of the largest one; of control machines only
-	TotalBytes float64 `json:"total"`            // bytes in the whole event, of the busiest one, both ways
+	CPU        float64 `json:"cpu"`              // share of a core, the mean over the processes of the role
+	BytesIn    float64 `json:"bytes_in"`         // per second, of the busiest process
+	BytesOut   float64 `json:"bytes_out"`        // per second, of the busiest process
+	Memory     float64 `json:"memory,omitempty"` // bytes, of the largest process; control machines only
+	TotalBytes float64 `json:"total"`            // in the whole event, both directions, of the busiest process
 }
 
-// Likeness is a kind of traffic of hollow proxies beside that of real ones.
+// Comparison compares the mean traffic of one kind between proxies in processes of their own (real) and in-process proxies
+// (hollow in the data file and on the page).
 type Comparison struct {
 	Kind      string  `json:"kind"`
 	Real      float64 `json:"real"`
 	InProcess float64 `json:"hollow"`
 }
 
-// Off is by which part the hollow ones' differs.
-func (l Comparison) RelativeDifference() float64 {
-	if l.Real == l.InProcess {
+// RelativeDifference returns by how much the in-process proxies differ, relative to the real ones.
+func (c Comparison) RelativeDifference() float64 {
+	if c.Real == c.InProcess {
 		return 0
 	}
-	return l.InProcess/l.Real - 1
+	return c.InProcess/c.Real - 1
 }
 
-// Added is what a proxy, or a chain of them, adds to calls.
+// AddedLatency is the latency that a proxy, or a chain of proxies, adds to calls.
 type AddedLatency struct {
 	Name        string     `json:"name"`
-	Rate        float64    `json:"rate"` // calls a second, open loop
+	Rate        float64    `json:"rate"` // calls per second, open loop
 	Rounds      int        `json:"rounds"`
 	Calls       int        `json:"calls"`
-	Direct      [3]float64 `json:"straight"` // seconds: median, 99 in 100, 99.9 in 100; the median over the rounds
+	Direct      [3]float64 `json:"straight"` // seconds at p50, p99 and p99.9, each the median over the rounds
 	Proxied     [3]float64 `json:"through"`
-	MinAdded    [3]float64 `json:"least"` // least and most that was added in a round
+	MinAdded    [3]float64 `json:"least"` // minimum and maximum over the rounds of what was added
 	MaxAdded    [3]float64 `json:"most"`
 	Failed      int        `json:"failed"`
 	LoadAverage float64    `json:"load"`
 }
 
-// Data is what a scale run has measured.
+// Data is the content of a data file: the results of a scale run.
 type Data struct {
-	Program      string         `json:"program"` // version of the program
+	Program      string         `json:"program"` // version of the program that measured
 	Cores        int            `json:"cores"`
 	Sizes        fleet.Sizes    `json:"sizes"`
 	Comparisons  []Comparison   `json:"likeness"`
@@ -149,7 +151,7 @@
 	return &d, nil
 }
 
-// Write puts the data file in place whole.
+// Write replaces the data file atomically.
 func (d *Data) Write(path string) error {
 	text, err := json.MarshalIndent(d, "", " ")
 	if err != nil {
@@ -161,7 +163,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// find is the series of a figure.
+// findSeries returns the series of a figure, nil if there is none.
 func (d *Data) findSeries(role, figure string, against Variable, setting string) *Series {
 	for i, s := range d.Series {
 		if s.Role == role && s.Figure == figure && s.Variable == against && s.Setting == setting {
@@ -171,7 +173,7 @@
 	return nil
 }
 
-// replaceSeries puts series in place of those of the same figures.
+// replaceSeries adds series, each in place of an earlier one of the same figure.
 func (d *Data) replaceSeries(series []Series) {
 	for _, s := range series {
 		if old := d.findSeries(s.Role, s.Figure, s.Variable, s.Setting); old != nil {
@@ -182,7 +184,7 @@
 	}
 }
 
-// replaceEvent puts an event in place of the one of the same name and setting.
+// replaceEvent adds an event, in place of an earlier one with the same name, setting and number of proxies.
 func (d *Data) replaceEvent(e Event) {
 	for i, old := range d.Events {
 		if old.Name == e.Name && old.Setting == e.Setting && old.Proxies == e.Proxies {
@@ -193,7 +195,7 @@
 	d.Events = append(d.Events, e)
 }
 
-// replaceAdded puts a measure in place of the one of the same name and rate.
+// replaceAdded adds a latency measurement, in place of an earlier one with the same name and rate.
 func (d *Data) replaceAdded(a AddedLatency) {
 	for i, old := range d.AddedLatency {
 		if old.Name == a.Name && old.Rate == a.Rate {
--- a/internal/scale/deployment.go
+++ b/internal/scale/deployment.go
@@ -1,5 +1,8 @@
-// Package scale measures how the control side of a fleet grows: real proxies beside hollow ones, with stand-ins for all
-// else, on one machine. Laws are fitted to what was measured at several sizes; docs/CAPACITY.md is made from the data.
+// Package scale measures how the resource use of a fleet's control traffic grows with the size of the fleet.
+//
+// It deploys a fleet on one machine: some proxies as processes of their own, the others many to a process, and stand-ins for
+// the other systems. Growth models are fitted to the measurements at several sizes, and docs/CAPACITY.md is generated from
+// the data.
 package scale
 
 import (
@@ -19,43 +22,43 @@
 	"sandpass/internal/scale/standin"
 )
 
-// What a run may take of the machine: under half of its memory, and a few hundred processes.
+// Limits of a run: less than half of the memory of the machine, and a few hundred processes.
 const (
-	maxMemoryBytes        = 12e9 // bytes
+	maxMemoryBytes        = 12e9
 	maxProcesses          = 300
 	resourceCheckInterval = time.Second
 	settleTimeout         = 60 * time.Second
 )
 
-// Programs are what a run starts.
+// Programs are the programs that a run starts.
 type Programs struct {
-	Proxy       []string // a real proxy with its first arguments
-	Environment []string // of it
-	Helper      string   // a program that calls helper.Run
+	Proxy       []string // the proxy program and its first arguments
+	Environment []string // additional environment of the proxy
+	Helper      string   // program that calls helper.Run
 }
 
-// Plan says what a rig has.
+// Plan describes a deployment.
 type Plan struct {
-	RealProxies    int // proxies that are real processes: the first ones of the fleet
+	RealProxies    int // number of proxies with a process of their own: the first ones of the fleet
 	Fleet          *fleet.Fleet
 	ListScope      ListScope
-	Peers          bool                // siblings have each other's addresses
-	CountedProxies int                 // proxies, the first ones, whose messages to siblings are counted; no fewer than the real ones
-	Group          func(proxy int) int // of hollow proxies, each a process: 0 and up without a gap; nil for one
-	SeedDefect     bool                // for tests: hollow ones skip their work
-	Replicas       int                 // of control; 0 for no control at all
+	Peers          bool                // siblings know the addresses of one another
+	CountedProxies int                 // number of proxies, the first ones, whose messages are counted; RealProxies if smaller
+	Group          func(proxy int) int // group of an in-process proxy, each group a process, numbered from 0; nil: one group
+	SeedDefect     bool                // for tests: in-process proxies do not run
+	Replicas       int                 // control replicas; 0: no control service
 }
 
-// Rig is a fleet that runs.
+// Deployment is a running fleet.
 type Deployment struct {
 	plan            Plan
 	programs        Programs
 	addresses       addresses
-	addressLock     net.Listener // of the addresses
+	addressLock     net.Listener // held while this run uses the addresses
 	directory       string
 	discovery       *helper.Process
 	inProcess       []*inProcessGroup
-	helperBaseBytes float64 // bytes of memory that a hollow helper has before it has a proxy
+	helperBaseBytes float64 // memory of a helper without proxies
 	realProxies     map[int]*proxyProcess
 	siblingLinks    *siblingLinks
 	control         *controlCluster
@@ -66,107 +69,110 @@
 	monitorDone     chan struct{}
 }
 
-// hollowGroup is a helper with hollow proxies.
+// inProcessGroup is a helper process and the proxies that it runs.
 type inProcessGroup struct {
 	process *helper.Process
-	members []int // the fleet's index of its proxies, by their number in the helper
+	members []int // index in the fleet of each proxy, by its number in the helper
 }
 
-// ErrOver says that a run would take more of the machine than it may.
-var ErrResourceLimit = errors.New("the run would go over what it may take of the machine")
+// ErrResourceLimit is returned when a run exceeds, or would exceed, its limits of memory or processes.
+var ErrResourceLimit = errors.New("resource limit of the run exceeded")
 
-// Open starts all of a plan and waits until each proxy has its list. The context that it returns ends when the run goes
-// over its part of the machine, with the cause.
+// Deploy starts everything in a plan and waits until each proxy has its backend list. The returned context is cancelled, with
+// ErrResourceLimit as the cause, when the run exceeds its limits.
 func Deploy(ctx context.Context, plan Plan, programs Programs) (*Deployment, context.Context, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	r := &Deployment{plan: plan, programs: programs, realProxies: map[int]*proxyProcess{}, cancel: cancel, monitorDone: make(chan struct{})}
+	d := &Deployment{plan: plan, programs: programs, realProxies: map[int]*proxyProcess{}, cancel: cancel,
+		monitorDone: make(chan struct{})}
 	if n := plan.RealProxies + plan.Replicas + 4; n > maxProcesses {
 		cancel(nil)
-		return nil, ctx, fmt.Errorf("%w: %d processes, %d are allowed", ErrResourceLimit, n, maxProcesses)
+		return nil, ctx, fmt.Errorf("%w: %d processes needed, limit %d", ErrResourceLimit, n, maxProcesses)
 	}
-	go r.monitorResources(ctx)
-	if err := r.open(ctx); err != nil {
-		r.Close()
+	go d.monitorResources(ctx)
+	if err := d.open(ctx); err != nil {
+		d.Close()
 		if cause := context.Cause(ctx); errors.Is(cause, ErrResourceLimit) {
 			err = cause
 		}
 		return nil, ctx, err
 	}
-	return r, ctx, nil
+	return d, ctx, nil
 }
 
-func (r *Deployment) open(ctx context.Context) (err error) {
-	if r.directory, err = os.MkdirTemp("", "sandlab-scale-"); err != nil {
+// open starts the processes and waits until they are ready. On an error the caller closes what has been started.
+func (d *Deployment) open(ctx context.Context) (err error) {
+	if d.directory, err = os.MkdirTemp("", "sandlab-scale-"); err != nil {
 		return err
 	}
-	if r.addresses, r.addressLock, err = lockAddresses(); err != nil {
+	if d.addresses, d.addressLock, err = lockAddresses(); err != nil {
 		return err
 	}
-	if r.siblingLinks, err = newSiblingLinks(r.plan, r.addresses); err != nil {
+	if d.siblingLinks, err = newSiblingLinks(d.plan, d.addresses); err != nil {
 		return err
 	}
-	if err := r.startControl(); err != nil {
+	if err := d.startControl(); err != nil {
 		return err
 	}
-	if r.discovery, err = r.launchHelper(helper.Discovery); err != nil {
+	if d.discovery, err = d.launchHelper(helper.Discovery); err != nil {
 		return err
 	}
-	if _, err := r.discovery.Do(helper.Request{Discover: r.discoveryRequest()}); err != nil {
+	if _, err := d.discovery.Do(helper.Request{Discover: d.discoveryRequest()}); err != nil {
 		return err
 	}
-	if err := r.startInProcess(); err != nil {
+	if err := d.startInProcess(); err != nil {
 		return err
 	}
-	for i := range r.plan.RealProxies {
-		if err := r.startReal(i); err != nil {
+	for i := range d.plan.RealProxies {
+		if err := d.startReal(i); err != nil {
 			return err
 		}
 	}
-	for i, s := range r.realProxies {
-		if err := s.awaitReady(r.addresses.at(i, proxyPort)); err != nil {
+	for i, s := range d.realProxies {
+		if err := s.awaitReady(d.addresses.at(i, proxyPort)); err != nil {
 			return err
 		}
 	}
-	if r.plan.SeedDefect {
-		return nil // hollow ones have nothing to wait for
+	if d.plan.SeedDefect {
+		return nil // in-process proxies do not run: they never receive a list
 	}
-	if err := r.awaitLists(ctx, nil); err != nil || r.control == nil {
+	if err := d.awaitLists(ctx, nil); err != nil || d.control == nil {
 		return err
 	}
-	return r.control.awaitConnected(ctx, len(r.plan.Fleet.Proxies))
+	return d.control.awaitConnected(ctx, len(d.plan.Fleet.Proxies))
 }
 
-// startControl starts the replicas, where the plan has any.
-func (r *Deployment) startControl() error {
-	if r.plan.Replicas == 0 {
+// startControl starts the control replicas if the plan has any.
+func (d *Deployment) startControl() error {
+	if d.plan.Replicas == 0 {
 		return nil
 	}
-	base, err := newProxyConfig(r.plan.Fleet, r.addresses, 0, nil, 0).marshal()
+	base, err := newProxyConfig(d.plan.Fleet, d.addresses, 0, nil, 0).marshal()
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(r.directory, "base.json"), base, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(d.directory, "base.json"), base, 0o600); err != nil {
 		return err
 	}
-	control, err := startCluster(r.plan, r.programs, r.addresses, r.directory)
+	control, err := startCluster(d.plan, d.programs, d.addresses, d.directory)
 	if err != nil {
 		return err
 	}
-	r.mu.Lock()
-	r.control = control
-	r.mu.Unlock()
+	d.mu.Lock()
+	d.control = control
+	d.mu.Unlock()
 	return nil
 }
 
-// operatorFile is the path of the operators' file of a proxy, empty where there is no control.
-func (r *Deployment) operatorFile(i int) (string, error) {
-	if r.control == nil {
+// operatorFile writes the operator file of a proxy and returns its path, empty if there is no control service.
+func (d *Deployment) operatorFile(i int) (string, error) {
+	if d.control == nil {
 		return "", nil
 	}
-	return r.control.operatorFile(r.plan, i)
+	return d.control.operatorFile(d.plan, i)
 }
 
-// claimAddresses takes a part of the loopback network that no other run has, until the claim is closed.
+// lockAddresses reserves a part of the loopback network that no other run uses. The listener is the lock: closing it releases
+// the addresses.
 func lockAddresses() (addresses, net.Listener, error) {
 	const first, nets = 64, 180
 	for k := range nets {
@@ -175,97 +181,102 @@
 			return a, claim, nil
 		}
 	}
-	return addresses{}, nil, errors.New("no part of the loopback network is free")
+	return addresses{}, nil, errors.New("every part of the loopback network is used by another run")
 }
 
-func (r *Deployment) launchHelper(role helper.Role) (*helper.Process, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.closed {
-		return nil, errors.New("the run has ended")
+// launchHelper starts a helper unless the deployment has been closed.
+func (d *Deployment) launchHelper(role helper.Role) (*helper.Process, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.closed {
+		return nil, errors.New("the deployment has been closed")
 	}
-	return helper.Launch(r.programs.Helper, role)
+	return helper.Launch(d.programs.Helper, role)
 }
 
-// discover is the lists and agents of the plan.
-func (r *Deployment) discoveryRequest() *helper.Discover {
-	f, d := r.plan.Fleet, &helper.Discover{}
-	if r.plan.ListScope == WholeList {
-		d.Lists = make([][]standin.Endpoint, 1)
+// discoveryRequest returns the request that starts discovery with the lists and agents of the plan.
+func (d *Deployment) discoveryRequest() *helper.Discover {
+	f, request := d.plan.Fleet, &helper.Discover{}
+	if d.plan.ListScope == WholeList {
+		request.Lists = make([][]standin.Endpoint, 1)
 	} else {
-		d.Lists = make([][]standin.Endpoint, len(f.Services))
+		request.Lists = make([][]standin.Endpoint, len(f.Services))
 	}
 	for i, p := range f.Proxies {
-		list := r.listIndex(p.Service)
-		d.Lists[list] = append(d.Lists[list], endpoint(f, r.addresses, i, "ready"))
-		d.Agents = append(d.Agents, helper.Agent{Address: r.addresses.at(i, agentPort), List: r.listIndex(p.TargetService)})
+		list := d.listIndex(p.Service)
+		request.Lists[list] = append(request.Lists[list], endpoint(f, d.addresses, i, "ready"))
+		request.Agents = append(request.Agents, helper.Agent{Address: d.addresses.at(i, agentPort),
+			List: d.listIndex(p.TargetService)})
 	}
-	return d
+	return request
 }
 
-func (r *Deployment) listIndex(service int) int {
-	if r.plan.ListScope == WholeList {
+// listIndex returns the index of the list that contains the backends of a service.
+func (d *Deployment) listIndex(service int) int {
+	if d.plan.ListScope == WholeList {
 		return 0
 	}
 	return service
 }
 
-func (r *Deployment) proxyConfig(i int) proxyConfig {
-	if !r.plan.Peers {
-		return newProxyConfig(r.plan.Fleet, r.addresses, i, nil, 0)
+// proxyConfig returns the configuration of a proxy.
+func (d *Deployment) proxyConfig(i int) proxyConfig {
+	if !d.plan.Peers {
+		return newProxyConfig(d.plan.Fleet, d.addresses, i, nil, 0)
 	}
-	peers, place := r.siblingLinks.peers(i)
-	return newProxyConfig(r.plan.Fleet, r.addresses, i, peers, place)
+	peers, place := d.siblingLinks.peers(i)
+	return newProxyConfig(d.plan.Fleet, d.addresses, i, peers, place)
 }
 
-func (r *Deployment) startInProcess() error {
+// startInProcess starts the in-process proxies in their groups.
+func (d *Deployment) startInProcess() error {
 	var members [][]int
-	for i := r.plan.RealProxies; i < len(r.plan.Fleet.Proxies); i++ {
+	for i := d.plan.RealProxies; i < len(d.plan.Fleet.Proxies); i++ {
 		group := 0
-		if r.plan.Group != nil {
-			group = r.plan.Group(i)
+		if d.plan.Group != nil {
+			group = d.plan.Group(i)
 		}
 		for group >= len(members) {
 			members = append(members, nil)
 		}
 		members[group] = append(members[group], i)
 	}
-	r.inProcess = make([]*inProcessGroup, len(members))
+	d.inProcess = make([]*inProcessGroup, len(members))
 	for group := range members {
 		if len(members[group]) == 0 {
 			continue
 		}
-		if err := r.startGroup(group, members[group]); err != nil {
+		if err := d.startGroup(group, members[group]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startGroup starts the process of a group and the proxies in it.
-func (r *Deployment) startGroup(group int, members []int) error {
-	process, err := r.launchHelper(helper.InProcess)
+// startGroup starts the process of a group and its proxies.
+func (d *Deployment) startGroup(group int, members []int) error {
+	process, err := d.launchHelper(helper.InProcess)
 	if err != nil {
 		return err
 	}
 	g := &inProcessGroup{process: process, members: members}
-	r.mu.Lock()
-	r.inProcess[group] = g
-	r.mu.Unlock()
+	d.mu.Lock()
+	d.inProcess[group] = g
+	d.mu.Unlock()
 	if _, err = process.Do(helper.Request{FreeMemory: true}); err != nil {
 		return err
 	}
 	if used, err := meter.ProcessUsage(process.PID()); err == nil && group == 0 {
-		r.helperBaseBytes = used.ResidentBytes
+		d.helperBaseBytes = used.ResidentBytes
 	}
-	start := &helper.Start{SeedDefect: r.plan.SeedDefect}
+	start := &helper.Start{SeedDefect: d.plan.SeedDefect}
 	for _, i := range members {
-		text, err := r.proxyConfig(i).marshal()
+		text, err := d.proxyConfig(i).marshal()
 		if err != nil {
 			return err
 		}
 		start.Configs = append(start.Configs, text)
-		path, err := r.operatorFile(i)
+		path, err := d.operatorFile(i)
 		if err != nil {
 			return err
 		}
@@ -275,12 +286,13 @@
 	return err
 }
 
-// endGroup ends the process of a group with all proxies in it, as SIGTERM does or at once, and gives which they were.
-func (r *Deployment) stopGroup(group int, planned bool) ([]int, error) {
-	r.mu.Lock()
-	g := r.inProcess[group]
-	r.inProcess[group] = nil
-	r.mu.Unlock()
+// stopGroup ends the process of a group and returns the proxies that it ran. With planned set, the proxies are stopped first;
+// otherwise the process is killed.
+func (d *Deployment) stopGroup(group int, planned bool) ([]int, error) {
+	d.mu.Lock()
+	g := d.inProcess[group]
+	d.inProcess[group] = nil
+	d.mu.Unlock()
 	defer g.process.Kill()
 	if !planned {
 		return g.members, nil
@@ -289,6 +301,7 @@
 	return g.members, err
 }
 
+// indexes returns the integers from 0 to n-1.
 func indexes(n int) []int {
 	all := make([]int, n)
 	for i := range all {
@@ -297,28 +310,30 @@
 	return all
 }
 
-func (r *Deployment) startReal(i int) error {
-	operator, err := r.operatorFile(i)
+// startReal starts a proxy in a process of its own, unless the deployment has been closed.
+func (d *Deployment) startReal(i int) error {
+	operator, err := d.operatorFile(i)
 	if err != nil {
 		return err
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.closed {
-		return errors.New("the run has ended")
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.closed {
+		return errors.New("the deployment has been closed")
 	}
-	s, err := startProxyProcess(r.programs.Proxy, r.programs.Environment, r.directory, i, r.proxyConfig(i), operator)
+	s, err := startProxyProcess(d.programs.Proxy, d.programs.Environment, d.directory, i, d.proxyConfig(i), operator)
 	if err == nil {
-		r.realProxies[i] = s
+		d.realProxies[i] = s
 	}
 	return err
 }
 
-// awaitWatching waits until each proxy has an open watch with the whole list, for which it asked after the traffic given.
-func (r *Deployment) awaitLists(ctx context.Context, since []meter.Traffic) error {
+// awaitLists waits until each proxy has an open watch that has received the whole list. With since set, the watch must have
+// been opened after that reading of the traffic.
+func (d *Deployment) awaitLists(ctx context.Context, since []meter.Traffic) error {
 	deadline := time.Now().Add(settleTimeout)
 	for {
-		a, err := r.discovery.Do(helper.Request{Traffic: true})
+		a, err := d.discovery.Do(helper.Request{Traffic: true})
 		if err != nil {
 			return err
 		}
@@ -332,7 +347,8 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d proxies do not have their list after %v", missing, len(a.OpenWatches), settleTimeout)
+			return fmt.Errorf("%d of %d proxies have not received their list within %v", missing, len(a.OpenWatches),
+				settleTimeout)
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
 			return err
@@ -340,9 +356,9 @@
 	}
 }
 
-// traffic is what each proxy has read and written to discovery, as the proxy sees it.
-func (r *Deployment) traffic() ([]meter.Traffic, error) {
-	a, err := r.discovery.Do(helper.Request{Traffic: true})
+// traffic returns the traffic of each proxy with discovery, as the proxy sees it.
+func (d *Deployment) traffic() ([]meter.Traffic, error) {
+	a, err := d.discovery.Do(helper.Request{Traffic: true})
 	if err != nil {
 		return nil, err
 	}
@@ -352,53 +368,55 @@
 	return a.Traffic, nil
 }
 
-// change tells a new state of some backends.
-func (r *Deployment) updateBackends(proxies []int, status string) error {
+// updateBackends publishes a new status of some backends.
+func (d *Deployment) updateBackends(proxies []int, status string) error {
 	byList := map[int][]standin.Endpoint{}
 	for _, i := range proxies {
-		list := r.listIndex(r.plan.Fleet.Proxies[i].Service)
-		byList[list] = append(byList[list], endpoint(r.plan.Fleet, r.addresses, i, status))
+		list := d.listIndex(d.plan.Fleet.Proxies[i].Service)
+		byList[list] = append(byList[list], endpoint(d.plan.Fleet, d.addresses, i, status))
 	}
 	for list, endpoints := range byList {
-		if _, err := r.discovery.Do(helper.Request{Change: &helper.Change{Lists: []int{list}, Endpoints: endpoints}}); err != nil {
+		if _, err := d.discovery.Do(helper.Request{Change: &helper.Change{Lists: []int{list},
+			Endpoints: endpoints}}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// reload has proxies turn to other configurations, and gives the seconds until each was in force.
-func (r *Deployment) reload(ctx context.Context, turn func(l *proxyConfig)) ([]float64, error) {
+// reload changes the configurations of all proxies and returns the seconds until each was in force. Real proxies get a new
+// file and SIGHUP, in-process proxies a request.
+func (d *Deployment) reload(ctx context.Context, modify func(config *proxyConfig)) ([]float64, error) {
 	started := time.Now()
 	var took []float64
 	before := map[int]int{}
-	for i, s := range r.realProxies {
-		l := r.proxyConfig(i)
-		turn(&l)
+	for i, s := range d.realProxies {
+		config := d.proxyConfig(i)
+		modify(&config)
 		before[i] = len(s.reloadTimes())
-		if err := s.writeConfig(l); err != nil {
+		if err := s.writeConfig(config); err != nil {
 			return nil, err
 		}
 		if err := s.signalReload(); err != nil {
 			return nil, err
 		}
 	}
-	for _, g := range r.inProcess {
+	for _, g := range d.inProcess {
 		if g == nil {
 			continue
 		}
-		more, err := r.reloadGroup(g, started, turn)
+		more, err := d.reloadGroup(g, started, modify)
 		if err != nil {
 			return nil, err
 		}
 		took = append(took, more...)
 	}
-	for i, s := range r.realProxies {
+	for i, s := range d.realProxies {
 		deadline := time.Now().Add(settleTimeout)
 		reloads := s.reloadTimes()
 		for len(reloads) <= before[i] {
 			if time.Now().After(deadline) {
-				return nil, fmt.Errorf("proxy %d did not turn to the configuration: %s", i, s.lastLine())
+				return nil, fmt.Errorf("proxy %d has not applied the configuration: %s", i, s.lastLine())
 			}
 			if err := sleep(ctx, pollInterval); err != nil {
 				return nil, err
@@ -410,19 +428,19 @@
 	return took, nil
 }
 
-// reloadGroup has the hollow proxies of a group turn to other configurations.
-func (r *Deployment) reloadGroup(g *inProcessGroup, started time.Time, turn func(l *proxyConfig)) ([]float64, error) {
-	order := &helper.Reload{}
+// reloadGroup changes the configurations of the in-process proxies of a group.
+func (d *Deployment) reloadGroup(g *inProcessGroup, started time.Time, modify func(config *proxyConfig)) ([]float64, error) {
+	request := &helper.Reload{}
 	for n, i := range g.members {
-		l := r.proxyConfig(i)
-		turn(&l)
-		text, err := l.marshal()
+		config := d.proxyConfig(i)
+		modify(&config)
+		text, err := config.marshal()
 		if err != nil {
 			return nil, err
 		}
-		order.Proxies, order.Configs = append(order.Proxies, n), append(order.Configs, text)
+		request.Proxies, request.Configs = append(request.Proxies, n), append(request.Configs, text)
 	}
-	a, err := g.process.Do(helper.Request{Reload: order})
+	a, err := g.process.Do(helper.Request{Reload: request})
 	if err != nil {
 		return nil, err
 	}
@@ -433,32 +451,33 @@
 	return took, nil
 }
 
-// processes are the numbers of all that was started, by role.
-func (r *Deployment) processIDs() map[string][]int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// processIDs returns the IDs of all processes of the deployment by role.
+func (d *Deployment) processIDs() map[string][]int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	all := map[string][]int{}
-	for _, i := range sortedKeys(r.realProxies) {
-		all[roleProxy] = append(all[roleProxy], r.realProxies[i].pid())
+	for _, i := range sortedKeys(d.realProxies) {
+		all[roleProxy] = append(all[roleProxy], d.realProxies[i].pid())
 	}
-	for _, g := range r.inProcess {
+	for _, g := range d.inProcess {
 		if g != nil {
 			all[roleInProcess] = append(all[roleInProcess], g.process.PID())
 		}
 	}
-	if r.control != nil {
-		for k := range r.control.replicas {
-			if r.control.running(k) {
-				all[roleControl] = append(all[roleControl], r.control.replicas[k].command.Process.Pid)
+	if d.control != nil {
+		for k := range d.control.replicas {
+			if d.control.running(k) {
+				all[roleControl] = append(all[roleControl], d.control.replicas[k].command.Process.Pid)
 			}
 		}
 	}
-	if r.discovery != nil {
-		all[roleDiscovery] = append(all[roleDiscovery], r.discovery.PID())
+	if d.discovery != nil {
+		all[roleDiscovery] = append(all[roleDiscovery], d.discovery.PID())
 	}
 	return all
 }
 
+// sortedKeys returns the keys of a map in ascending request.
 func sortedKeys[V any](m map[int]V) []int {
 	keys := make([]int, 0, len(m))
 	for k := range m {
@@ -468,64 +487,64 @@
 	return keys
 }
 
-// watch ends the run where it goes over its part of the machine.
-func (r *Deployment) monitorResources(ctx context.Context) {
-	defer close(r.monitorDone)
+// monitorResources cancels the run when it exceeds its limits.
+func (d *Deployment) monitorResources(ctx context.Context) {
+	defer close(d.monitorDone)
 	for sleep(ctx, resourceCheckInterval) == nil {
 		memory, count := 0.0, 1
 		pids := []int{os.Getpid()}
-		for _, of := range r.processIDs() {
-			pids = append(pids, of...)
-			count += len(of)
+		for _, ids := range d.processIDs() {
+			pids = append(pids, ids...)
+			count += len(ids)
 		}
 		for _, pid := range pids {
-			used, _ := meter.ProcessUsage(pid) // one that has just ended has nothing
+			used, _ := meter.ProcessUsage(pid) // a process that has just ended uses nothing
 			memory += used.ResidentBytes
 		}
 		if memory > maxMemoryBytes || count > maxProcesses {
-			r.cancel(fmt.Errorf("%w: %.1f GB in %d processes, %.0f GB and %d are allowed", ErrResourceLimit, memory/1e9, count,
+			d.cancel(fmt.Errorf("%w: %.1f GB in %d processes, limits %.0f GB and %d", ErrResourceLimit, memory/1e9, count,
 				maxMemoryBytes/1e9, maxProcesses))
 			return
 		}
 	}
 }
 
-// Close ends all that was started.
-func (r *Deployment) Close() {
-	r.mu.Lock()
-	r.closed = true
-	r.mu.Unlock()
-	r.cancel(nil)
-	<-r.monitorDone
-	for _, s := range r.realProxies {
+// Close ends all processes and removes the files of the deployment.
+func (d *Deployment) Close() {
+	d.mu.Lock()
+	d.closed = true
+	d.mu.Unlock()
+	d.cancel(nil)
+	<-d.monitorDone
+	for _, s := range d.realProxies {
 		s.kill()
 	}
-	for _, g := range r.inProcess {
+	for _, g := range d.inProcess {
 		if g != nil {
 			g.process.Close()
 		}
 	}
-	if r.discovery != nil {
-		r.discovery.Close()
+	if d.discovery != nil {
+		d.discovery.Close()
 	}
-	if r.control != nil {
-		r.control.close()
+	if d.control != nil {
+		d.control.close()
 	}
-	for _, b := range r.backends {
+	for _, b := range d.backends {
 		b.Close()
 	}
-	if r.siblingLinks != nil {
-		r.siblingLinks.close()
+	if d.siblingLinks != nil {
+		d.siblingLinks.close()
 	}
-	if r.addressLock != nil {
-		r.addressLock.Close()
+	if d.addressLock != nil {
+		d.addressLock.Close()
 	}
-	if r.directory != "" {
-		os.RemoveAll(r.directory)
+	if d.directory != "" {
+		os.RemoveAll(d.directory)
 	}
 }
 
-// pause waits, or gives the cause for which the run ends.
+// sleep waits for a duration. If the run is cancelled first, it returns the cause.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -9,29 +9,29 @@
 	"sandpass/internal/scale/helper"
 )
 
-// EventOptions say how large events are and how long they last.
+// EventOptions are the parameters of the events in a fleet without a control service.
 type EventOptions struct {
 	Sizes           fleet.Sizes
 	RealProxies     int
 	ListScope       ListScope
-	Burst           int // changes of configuration within BurstIn
+	Burst           int // configuration changes within BurstWindow
 	BurstWindow     time.Duration
-	Restarts        int           // of proxies and their backends
-	RestartBatch    int           // of them at a time
-	DiscoveryOutage time.Duration // of discovery
-	RegionOutage    time.Duration // of a region
+	Restarts        int           // restarts of a proxy together with its backend
+	RestartBatch    int           // proxies restarted at a time
+	DiscoveryOutage time.Duration // how long discovery is silent
+	RegionOutage    time.Duration // how long a region is cut off from discovery
 }
 
-const lostZone = 3 // which one it is
+const lostZone = 3 // index of the zone
 
-// Groups of hollow proxies; those that are restarted follow, a group for each batch.
+// Groups of in-process proxies. From firstRestartGroup on there is a group for each batch of restarts.
 const (
 	groupOthers = iota
 	groupLostZone
 	firstRestartGroup
 )
 
-// groups parts the hollow proxies by what happens to them.
+// assignGroups returns the group of each in-process proxy, by what happens to it in the events.
 func (o EventOptions) assignGroups(f *fleet.Fleet) func(proxy int) int {
 	group := make([]int, len(f.Proxies))
 	restarted := 0
@@ -40,7 +40,7 @@
 		case i < o.RealProxies:
 		case p.Zone == lostZone%o.Sizes.Zones:
 			group[i] = groupLostZone
-		case restarted < o.Restarts && i%2 == 1: // the rest group must not be empty
+		case restarted < o.Restarts && i%2 == 1: // groupOthers must not be empty
 			group[i] = firstRestartGroup + restarted/o.RestartBatch
 			restarted++
 		}
@@ -48,16 +48,16 @@
 	return func(proxy int) int { return group[proxy] }
 }
 
-// Events has each event happen to a fleet of the size, one after another.
+// RunEvents runs the events, one after another, in a fleet of the given size and measures each.
 func RunEvents(ctx context.Context, o EventOptions, programs Programs, progress func(string)) ([]Event, error) {
 	f := fleet.Generate(o.Sizes)
 	plan := Plan{Fleet: f, RealProxies: o.RealProxies, ListScope: o.ListScope, Peers: true, Group: o.assignGroups(f)}
-	r, ctx, err := Deploy(ctx, plan, programs)
+	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	s := eventScenario{ctx: ctx, deployment: r, options: o}
+	defer d.Close()
+	s := eventScenario{ctx: ctx, deployment: d, options: o}
 	var all []Event
 	for _, step := range []struct {
 		name string
@@ -70,7 +70,7 @@
 		{"a region is cut off from discovery", s.silenceRegion},
 		{"discovery is silent, then all ask at once", s.silenceDiscovery},
 	} {
-		e, err := r.observe(ctx, Event{Name: step.name}, step.do)
+		e, err := d.observe(ctx, Event{Name: step.name}, step.do)
 		if err != nil {
 			return all, err
 		}
@@ -80,18 +80,19 @@
 	return all, nil
 }
 
-// stage is where events happen.
+// eventScenario runs events in a fleet without a control service.
 type eventScenario struct {
 	ctx        context.Context
 	deployment *Deployment
 	options    EventOptions
 }
 
-// shift is a change of configuration: a figure of the settings.
-func changeSettings(step int) func(l *proxyConfig) {
-	return func(l *proxyConfig) { l.Settings.OverageUtility = 0.1 + 0.001*float64(step) }
+// changeSettings returns a configuration change: it sets a value that depends on step.
+func changeSettings(step int) func(config *proxyConfig) {
+	return func(config *proxyConfig) { config.Settings.OverageUtility = 0.1 + 0.001*float64(step) }
 }
 
+// change changes the configuration of every proxy once.
 func (s eventScenario) change(e *Event) error {
 	took, err := s.deployment.reload(s.ctx, changeSettings(1))
 	e.InForce = quantiles(took)
@@ -100,6 +101,7 @@
 	return err
 }
 
+// burst makes many changes in a short time.
 func (s eventScenario) burst(e *Event) error {
 	every := s.options.BurstWindow / time.Duration(s.options.Burst)
 	return e.changes(s.ctx, s.options.Burst, every, func(k int) ([]float64, error) {
@@ -107,7 +109,7 @@
 	})
 }
 
-// changes makes so many changes one after another and notes how long it took until each was in force.
+// changes makes changes at a fixed interval and records the seconds until each was in force.
 func (e *Event) changes(ctx context.Context, count int, every time.Duration, change func(k int) ([]float64, error)) error {
 	var all []float64
 	for k := range count {
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// restarts ends proxies and starts them again, a batch at a time, with their backends.
+// restarts restarts proxies together with their backends, a batch at a time.
 func (s eventScenario) restarts(e *Event) error {
 	started := time.Now()
 	count := 0
@@ -149,7 +151,7 @@
 	return err
 }
 
-// back has discovery tell that backends are gone, starts their proxies anew, and has it tell that they are there.
+// startGroupAndBackends reports backends as gone, starts their proxies again and reports the backends as ready.
 func (s eventScenario) startGroupAndBackends(group int, members []int) error {
 	if err := s.deployment.updateBackends(members, "gone"); err != nil {
 		return err
@@ -160,7 +162,8 @@
 	return s.deployment.updateBackends(members, "ready")
 }
 
-// zone kills the process that has the zone's proxies, has discovery tell that their backends are gone, and starts all anew.
+// loseZone kills the process with the proxies of a zone, reports their backends as gone, and then starts the proxies again and
+// reports the backends as ready.
 func (s eventScenario) loseZone(e *Event) error {
 	members, err := s.deployment.stopGroup(groupLostZone, false)
 	if err != nil {
@@ -185,7 +188,7 @@
 	return err
 }
 
-// region has the agents of one region say nothing while backends of the others restart.
+// silenceRegion makes the agents of one region silent.
 func (s eventScenario) silenceRegion(e *Event) error {
 	var agents []int
 	for i, p := range s.deployment.plan.Fleet.Proxies {
@@ -196,16 +199,17 @@
 	return s.silenceAgents(e, agents, s.options.RegionOutage)
 }
 
+// silenceDiscovery makes all agents silent.
 func (s eventScenario) silenceDiscovery(e *Event) error {
 	return s.silenceAgents(e, allProxies(s.deployment.plan.Fleet), s.options.DiscoveryOutage)
 }
 
-// silent has agents say nothing for a while, and waits until all proxies have their lists again.
-func (s eventScenario) silenceAgents(e *Event, agents []int, lasting time.Duration) error {
+// silenceAgents makes agents silent for a period and waits until all proxies have their lists again.
+func (s eventScenario) silenceAgents(e *Event, agents []int, period time.Duration) error {
 	if _, err := s.deployment.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents, Silent: true}}); err != nil {
 		return err
 	}
-	if err := sleep(s.ctx, lasting); err != nil {
+	if err := sleep(s.ctx, period); err != nil {
 		return err
 	}
 	started := time.Now()
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -9,27 +9,29 @@
 	"sandpass/internal/scale/meter"
 )
 
-// figure is one value that was measured, with the name under which it goes into a series.
+// figure is one measured value of a role, with its name and unit.
 type figure struct {
 	role, name, unit string
 	value            float64
 }
 
-// usage is what the processes of each role have used: each of them.
+// roleUsage is the usage of each process by role.
 type roleUsage map[string][]meter.Usage
 
-func (r *Deployment) usage() roleUsage {
+// usage reads the usage of all processes.
+func (d *Deployment) usage() roleUsage {
 	all := roleUsage{}
-	for role, pids := range r.processIDs() {
+	for role, pids := range d.processIDs() {
 		for _, pid := range pids {
-			used, _ := meter.ProcessUsage(pid) // one that has ended has used nothing since
+			used, _ := meter.ProcessUsage(pid) // a process that has ended counts as unused
 			all[role] = append(all[role], used)
 		}
 	}
 	return all
 }
 
-// cpuSince is the mean part of a core that a process of the role used.
+// cpuSince returns the mean share of a core that a process of the role has used since an earlier reading, 0 if the number of
+// processes has changed.
 func (u roleUsage) cpuSince(before roleUsage, role string, seconds float64) float64 {
 	if n := len(u[role]); n == 0 || n != len(before[role]) {
 		return 0
@@ -41,7 +43,7 @@
 	return sum / seconds / float64(len(u[role]))
 }
 
-// resident is the mean memory of a process of the role.
+// residentBytes returns the mean memory of a process of the role.
 func (u roleUsage) residentBytes(role string) float64 {
 	sum := 0.0
 	for _, used := range u[role] {
@@ -50,26 +52,26 @@
 	return sum
 }
 
-// span is what was used and said in a stretch of time.
+// interval is the usage and traffic of the deployment over a period of time.
 type interval struct {
 	seconds       float64
 	before, after roleUsage
 	traffic       []meter.Traffic // of each proxy with discovery
 }
 
-// during measures what happens while something is done.
-func (r *Deployment) measure(do func() error) (*interval, error) {
-	traffic, err := r.traffic()
+// measure returns the usage and traffic while do runs.
+func (d *Deployment) measure(do func() error) (*interval, error) {
+	traffic, err := d.traffic()
 	if err != nil {
 		return nil, err
 	}
-	s := &interval{before: r.usage()}
+	s := &interval{before: d.usage()}
 	started := time.Now()
 	if err := do(); err != nil {
 		return nil, err
 	}
-	s.after, s.seconds = r.usage(), time.Since(started).Seconds()
-	if s.traffic, err = r.traffic(); err != nil {
+	s.after, s.seconds = d.usage(), time.Since(started).Seconds()
+	if s.traffic, err = d.traffic(); err != nil {
 		return nil, err
 	}
 	for i := range s.traffic {
@@ -78,9 +80,10 @@
 	return s, nil
 }
 
+// cpu returns the mean share of a core that a process of the role used in the interval.
 func (s *interval) cpu(role string) float64 { return s.after.cpuSince(s.before, role, s.seconds) }
 
-// mean is the traffic of one proxy in the mean, of all or of some.
+// mean returns the mean of a value over the traffic of several proxies.
 func mean(traffic []meter.Traffic, value func(meter.Traffic) int64) float64 {
 	sum := 0.0
 	for _, t := range traffic {
@@ -94,8 +97,8 @@
 func messagesIn(t meter.Traffic) int64  { return t.MessagesIn }
 func messagesOut(t meter.Traffic) int64 { return t.MessagesOut }
 
-// restFigures are those of a fleet to which nothing happens.
-func idleFigures(s *interval, hollowBase float64, hollowCount int) []figure {
+// idleFigures returns the figures of an idle fleet.
+func idleFigures(s *interval, helperBaseBytes float64, inProcess int) []figure {
 	per := func(f func(meter.Traffic) int64) float64 { return mean(s.traffic, f) / s.seconds }
 	n := float64(len(s.traffic))
 	figures := []figure{
@@ -108,23 +111,23 @@
 		{roleDiscovery, "memory, all agents", "bytes", s.after.residentBytes(roleDiscovery)},
 		{roleDiscovery, "list watch at rest, all agents, out", "bytes/s", n * per(bytesIn)},
 	}
-	if hollowCount > 0 {
+	if inProcess > 0 {
 		figures = append(figures, figure{roleInProcess, "memory growth for each", "bytes",
-			(s.after.residentBytes(roleInProcess) - hollowBase) / float64(hollowCount)})
+			(s.after.residentBytes(roleInProcess) - helperBaseBytes) / float64(inProcess)})
 	}
 	return figures
 }
 
-// restartFigures are those of restarts at a rate: each takes a backend out of the list and puts it back. They are given for
-// as many restarts as there are backends, so that they compare over sizes of the fleet.
-func restartFigures(s, rest *interval, restarts int) []figure {
+// restartFigures returns the figures of backend restarts, without the idle use. Each restart takes a backend out of the list
+// and puts it back. The figures are scaled to one restart of every backend, so that fleets of different sizes compare.
+func restartFigures(s, idle *interval, restarts int) []figure {
 	each := func(f func(meter.Traffic) int64) float64 {
-		idle := mean(rest.traffic, f) / rest.seconds * s.seconds
-		return max(0, mean(s.traffic, f)-idle) / float64(restarts) * float64(len(s.traffic))
+		idleTraffic := mean(idle.traffic, f) / idle.seconds * s.seconds
+		return max(0, mean(s.traffic, f)-idleTraffic) / float64(restarts) * float64(len(s.traffic))
 	}
 	n := float64(len(s.traffic))
 	cpu := func(role string) float64 {
-		return max(0, s.cpu(role)-rest.cpu(role)) * s.seconds / float64(restarts) * n
+		return max(0, s.cpu(role)-idle.cpu(role)) * s.seconds / float64(restarts) * n
 	}
 	return []figure{
 		{roleProxy, "each backend restarted once, list watch in", "bytes", each(bytesIn)},
@@ -135,26 +138,27 @@
 	}
 }
 
-// returnFigures are those of all proxies asking for whole lists at once.
-func reconnectFigures(s, rest *interval) []figure {
-	cpu := func(role string) float64 { return max(0, s.cpu(role)-rest.cpu(role)) * s.seconds }
+// reconnectFigures returns the figures of all proxies requesting whole lists at once.
+func reconnectFigures(s, idle *interval) []figure {
+	cpu := func(role string) float64 { return max(0, s.cpu(role)-idle.cpu(role)) * s.seconds }
 	return []figure{
 		{roleProxy, "whole list, in", "bytes", mean(s.traffic, bytesIn)},
 		{roleProxy, "whole list, processor time", "s", cpu(roleProxy)},
 		{roleDiscovery, "all ask for whole lists, out", "bytes", float64(len(s.traffic)) * mean(s.traffic, bytesIn)},
 		{roleDiscovery, "all ask for whole lists, processor time", "s", cpu(roleDiscovery)},
-		{roleDiscovery, "all ask for whole lists, connections", "connections", mean(s.traffic, messagesOut) * float64(len(s.traffic))},
+		{roleDiscovery, "all ask for whole lists, connections", "connections",
+			mean(s.traffic, messagesOut) * float64(len(s.traffic))},
 	}
 }
 
-// restart takes backends out of the list one after another and puts them back, at a rate.
-func (r *Deployment) restartBackends(ctx context.Context, restarts int, perSecond float64) error {
+// restartBackends takes backends out of the list one after another, at the given rate, and puts them back.
+func (d *Deployment) restartBackends(ctx context.Context, restarts int, perSecond float64) error {
 	const states = 3
 	step := time.Duration(float64(time.Second) / perSecond / states)
 	for k := range restarts {
-		i := k * 37 % len(r.plan.Fleet.Proxies) // all over the fleet
+		i := k * 37 % len(d.plan.Fleet.Proxies) // 37 spreads the restarts over the fleet
 		for _, status := range []string{"draining", "gone", "ready"} {
-			if err := r.updateBackends([]int{i}, status); err != nil {
+			if err := d.updateBackends([]int{i}, status); err != nil {
 				return err
 			}
 			if err := sleep(ctx, step); err != nil {
@@ -165,31 +169,31 @@
 	return nil
 }
 
-// breakAll closes all watches at once and waits until each proxy has its list again; it gives the seconds.
-func (r *Deployment) reconnectAll(ctx context.Context) (float64, error) {
-	all := allProxies(r.plan.Fleet)
-	before, err := r.traffic()
+// reconnectAll closes all watches at once, waits until each proxy has its list again and returns the seconds that it took.
+func (d *Deployment) reconnectAll(ctx context.Context) (float64, error) {
+	all := allProxies(d.plan.Fleet)
+	before, err := d.traffic()
 	if err != nil {
 		return 0, err
 	}
 	started := time.Now()
-	if _, err := r.discovery.Do(helper.Request{CloseConnections: all}); err != nil {
+	if _, err := d.discovery.Do(helper.Request{CloseConnections: all}); err != nil {
 		return 0, err
 	}
-	err = r.awaitLists(ctx, before)
+	err = d.awaitLists(ctx, before)
 	return time.Since(started).Seconds(), err
 }
 
-// fitted makes a series of points, with what the fit says of the last size where that is beyond those fitted.
+// fitSeries fits a model to the points up to fitUpTo. If the last point is beyond that, it is predicted for comparison.
 func fitSeries(s Series, fitUpTo float64) (Series, error) {
-	var inside []fit.Point
+	var fitted []fit.Point
 	for _, p := range s.Points {
 		if p.N <= fitUpTo {
-			inside = append(inside, p)
+			fitted = append(fitted, p)
 		}
 	}
 	var err error
-	if s.Fit, err = fit.Best(inside); err != nil {
+	if s.Fit, err = fit.Best(fitted); err != nil {
 		return s, err
 	}
 	if last := s.Points[len(s.Points)-1]; last.N > fitUpTo {
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -52,7 +52,7 @@
 		}
 	}
 	if growing > allowed {
-		t.Errorf("growth found in %d of %d samples of pure noise, at most %d allowed", growing, samples, allowed)
+		t.Errorf("growth found in %d of %d samples of pure noise, at most 30 allowed", growing, samples)
 	}
 }
 
--- a/internal/scale/fleet/fleet.go
+++ b/internal/scale/fleet/fleet.go
@@ -122,7 +122,8 @@
 			if len(s.Callees) > 0 {
 				target = s.Callees[k%len(s.Callees)]
 			}
-			f.Proxies = append(f.Proxies, Proxy{Name: fmt.Sprintf("proxy-%d", n+1), Region: f.Regions[zone], Zone: zone, Service: i,
+			f.Proxies = append(f.Proxies, Proxy{Name: fmt.Sprintf("proxy-%d", n+1), Region: f.Regions[zone], Zone: zone,
+				Service:       i,
 				TargetService: target, Cell: k / f.Sizes.CellSize})
 			s.Backends = append(s.Backends, n)
 		}
--- a/internal/scale/helper/inprocess.go
+++ b/internal/scale/helper/inprocess.go
@@ -34,21 +34,21 @@
 var reloadedMarker = []byte("msg=reloaded ")
 
 // Write receives one line of the log.
-func (t *reloadLog) Write(line []byte) (int, error) {
+func (l *reloadLog) Write(line []byte) (int, error) {
 	if bytes.Contains(line, reloadedMarker) {
 		now := float64(time.Now().UnixNano()) / 1e9
-		t.mu.Lock()
-		t.at = append(t.at, now)
-		t.mu.Unlock()
+		l.mu.Lock()
+		l.at = append(l.at, now)
+		l.mu.Unlock()
 	}
 	return len(line), nil
 }
 
 // timesAfter returns all recorded times but the first n.
-func (t *reloadLog) timesAfter(n int) []float64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append([]float64(nil), t.at[min(n, len(t.at)):]...)
+func (l *reloadLog) timesAfter(n int) []float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]float64(nil), l.at[min(n, len(l.at)):]...)
 }
 
 // runningProxy is one proxy with the goroutine that runs it. Its proxy is nil where it is not run.
--- a/internal/scale/observe.go
+++ b/internal/scale/observe.go
@@ -10,18 +10,18 @@
 
 const sampleInterval = time.Second
 
-// sample is one look at all.
+// sample is one reading of the usage and traffic of a deployment.
 type sample struct {
 	at               time.Time
 	usage            roleUsage
 	discoveryTraffic []meter.Traffic // of each proxy with discovery
 
-	replicas       []meter.Usage   // of control, by their number; nothing of one that does not run
-	replicaTraffic []meter.Traffic // of each with proxies and the other replicas
+	replicas       []meter.Usage   // of each control replica; zero if it does not run
+	replicaTraffic []meter.Traffic // of each replica with proxies and other replicas
 	configTraffic  []meter.Traffic // of the counted proxies with control
 }
 
-// both is a proxy's traffic with discovery and, where it is counted, with control.
+// proxyTraffic returns the traffic of a proxy with discovery and, if it is counted, with control.
 func (s *sample) proxyTraffic(i int) meter.Traffic {
 	if i < len(s.configTraffic) {
 		return s.discoveryTraffic[i].Plus(s.configTraffic[i])
@@ -29,12 +29,13 @@
 	return s.discoveryTraffic[i]
 }
 
-// observer looks at a rig each second while something happens to it.
+// observer samples a deployment each second during an event.
 type observer struct {
 	deployment *Deployment
 	samples    []sample
 }
 
+// takeSample adds a sample.
 func (o *observer) takeSample() error {
 	traffic, err := o.deployment.traffic()
 	if err == nil {
@@ -44,6 +45,7 @@
 	return err
 }
 
+// sampleControl adds the usage and traffic of the control replicas to a sample.
 func (o *observer) sampleControl(s *sample) {
 	c := o.deployment.control
 	if c == nil {
@@ -52,24 +54,26 @@
 	for k := range c.replicas {
 		used := meter.Usage{}
 		if c.running(k) {
-			used, _ = meter.ProcessUsage(c.replicas[k].command.Process.Pid) // one that has just ended has nothing
+			used, _ = meter.ProcessUsage(c.replicas[k].command.Process.Pid) // a process that has just ended uses nothing
 		}
 		s.replicas = append(s.replicas, used)
 	}
 	s.replicaTraffic, s.configTraffic = c.replicaTraffic(), c.proxyTraffic()
 }
 
-// replicaPeak is the most that one of some replicas used in a second.
-func (o *observer) replicaPeak(role string, of func(k int) bool) (p Peak) {
+// replicaPeak returns the highest use in one second by any replica that include selects. Seconds in which a replica did not
+// run throughout are left out.
+func (o *observer) replicaPeak(role string, include func(k int) bool) (p Peak) {
 	p.Role = role
 	for k := range o.samples[0].replicas {
-		if !of(k) {
+		if !include(k) {
 			continue
 		}
 		for n := 1; n < len(o.samples); n++ {
 			previous, current := o.samples[n-1], o.samples[n]
 			seconds := current.at.Sub(previous.at).Seconds()
-			if seconds < sampleInterval.Seconds()/2 || previous.replicas[k].CPUSeconds == 0 || current.replicas[k].CPUSeconds < previous.replicas[k].CPUSeconds {
+			if seconds < sampleInterval.Seconds()/2 || previous.replicas[k].CPUSeconds == 0 ||
+				current.replicas[k].CPUSeconds < previous.replicas[k].CPUSeconds {
 				continue
 			}
 			t := current.replicaTraffic[k].Minus(previous.replicaTraffic[k])
@@ -83,43 +87,43 @@
 	return p
 }
 
-// observe does something to a rig and gives what was used and said meanwhile, second by second. What is done gives the
-// seconds until all was as usual.
-func (r *Deployment) observe(ctx context.Context, e Event, do func(e *Event) error) (Event, error) {
-	e.Proxies, e.Setting = len(r.plan.Fleet.Proxies), string(r.plan.ListScope)+" list"
-	o := &observer{deployment: r}
+// observe runs an event and returns it with the peak usage and traffic, which it samples each second. The function do sets
+// the other results of the event.
+func (d *Deployment) observe(ctx context.Context, e Event, do func(e *Event) error) (Event, error) {
+	e.Proxies, e.Setting = len(d.plan.Fleet.Proxies), string(d.plan.ListScope)+" list"
+	o := &observer{deployment: d}
 	leader := -1
-	if r.control != nil {
-		leader = r.control.leaderIndex()
+	if d.control != nil {
+		leader = d.control.leaderIndex()
 	}
 	if err := o.takeSample(); err != nil {
 		return e, err
 	}
 	var wait sync.WaitGroup
-	over := make(chan struct{})
-	var failure error
+	stop := make(chan struct{})
+	var sampleErr error
 	wait.Go(func() {
 		for tick := time.NewTicker(sampleInterval); ; {
 			select {
 			case <-tick.C:
-				failure = o.takeSample()
-			case <-over:
+				sampleErr = o.takeSample()
+			case <-stop:
 				tick.Stop()
 				return
 			}
-			if failure != nil {
+			if sampleErr != nil {
 				return
 			}
 		}
 	})
 	err := do(&e)
 	if err == nil {
-		err = sleep(ctx, sampleInterval) // what came last is seen over a whole second as well
+		err = sleep(ctx, sampleInterval) // includes a whole second after the end of the event
 	}
-	close(over)
+	close(stop)
 	wait.Wait()
 	if err == nil {
-		err = failure
+		err = sampleErr
 	}
 	if err == nil {
 		err = o.takeSample()
@@ -129,7 +133,7 @@
 	}
 	e.LoadAverage = meter.LoadAverage()
 	e.Peaks = append(e.Peaks, o.proxyPeak(), o.discoveryPeak())
-	if r.control != nil {
+	if d.control != nil {
 		e.Peaks = append(e.Peaks, o.replicaPeak(roleLeader, func(k int) bool { return k == leader }),
 			o.replicaPeak(roleFollower, func(k int) bool { return k != leader }))
 	}
@@ -140,14 +144,15 @@
 	return e, ctx.Err()
 }
 
-// proxyPeak is the most that a proxy used in a second: processor time of a real one, traffic of any.
+// proxyPeak returns the highest use in one second: the mean processor time of the real proxies, and the traffic of any
+// proxy.
 func (o *observer) proxyPeak() Peak {
 	p := Peak{Role: roleProxy}
 	for k := 1; k < len(o.samples); k++ {
 		previous, current := o.samples[k-1], o.samples[k]
 		seconds := current.at.Sub(previous.at).Seconds()
 		if seconds < sampleInterval.Seconds()/2 {
-			continue // a part of a second says little of a rate
+			continue // too short an interval to measure a rate
 		}
 		p.CPU = max(p.CPU, current.usage.cpuSince(previous.usage, roleProxy, seconds))
 		for i := range current.discoveryTraffic {
@@ -163,7 +168,7 @@
 	return p
 }
 
-// discoveryPeak is the most that all agents together used in a second.
+// discoveryPeak returns the highest use in one second by all discovery agents together.
 func (o *observer) discoveryPeak() Peak {
 	p := Peak{Role: roleDiscovery}
 	sum := func(s sample) (all meter.Traffic) {
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -11,13 +11,13 @@
 	"sandpass/internal/scale/fleet"
 )
 
-// section is a part of the page that is generated.
+// section is a generated section of the page.
 type section struct {
 	name string
 	text func(d *Data) string
 }
 
-// sections are all of them.
+// sections are all generated sections.
 var sections = []section{
 	{"size", (*Data).sizeTable}, {"assumptions", (*Data).assumptionTable}, {"totals", (*Data).totalTable},
 	{"roles", (*Data).roleTables},
@@ -25,12 +25,15 @@
 	{"predictions", (*Data).predictionTable},
 }
 
+// begin returns the line that marks the begin of the section.
 func (s section) begin() string {
 	return "<!-- begin " + s.name + ", written by sandlab scale report -->\n"
 }
+
+// end returns the line that marks the end of the section.
 func (s section) end() string { return "<!-- end " + s.name + " -->\n" }
 
-// Tables are all generated parts.
+// Tables returns all generated sections and a table of all series.
 func (d *Data) Tables() string {
 	var out strings.Builder
 	for _, s := range sections {
@@ -40,7 +43,7 @@
 	return out.String()
 }
 
-// Page gives a page with its generated parts written anew.
+// Page returns a page with its generated sections replaced.
 func (d *Data) Page(page string) (string, error) {
 	for _, s := range sections {
 		before, rest, found := strings.Cut(page, s.begin())
@@ -56,7 +59,7 @@
 	return page, nil
 }
 
-// WritePage writes the generated parts of a page anew.
+// WritePage replaces the generated sections in the file of a page.
 func (d *Data) WritePage(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -69,7 +72,7 @@
 	return os.WriteFile(path, []byte(page), 0o644)
 }
 
-// NotListed are the totals over their budget that a page does not list as open.
+// UnlistedOverBudget returns the names of the totals over budget that the section Open of a page does not contain.
 func (d *Data) UnlistedOverBudget(page string) (missing []string) {
 	_, open, _ := strings.Cut(page, "\n## Open")
 	open, _, _ = strings.Cut(open, "\n## ")
@@ -81,23 +84,26 @@
 	return missing
 }
 
-// table writes rows of cells.
+// table builds a Markdown table.
 type table struct{ out strings.Builder }
 
-func newTable(head ...string) *table {
+// newTable returns a table with its header row.
+func newTable(header ...string) *table {
 	t := &table{}
-	t.row(head...)
-	t.row(strings.Split(strings.Repeat("---,", len(head)-1)+"---", ",")...)
+	t.row(header...)
+	t.row(strings.Split(strings.Repeat("---,", len(header)-1)+"---", ",")...)
 	return t
 }
 
+// row adds a row.
 func (t *table) row(cells ...string) {
 	fmt.Fprintf(&t.out, "| %s |\n", strings.Join(cells, " | "))
 }
 
+// String returns the table.
 func (t *table) String() string { return t.out.String() }
 
-// amount writes a value with three digits, in a unit that a reader knows.
+// formatAmount formats a value with three digits in a unit that is easy to read, such as KB, % or ms.
 func formatAmount(v float64, unit string) string {
 	switch unit {
 	case "bytes", "bytes/s":
@@ -124,6 +130,7 @@
 	return formatNumber(v) + " " + unit
 }
 
+// formatNumber formats a number with three digits, or without a fraction from 100 on.
 func formatNumber(v float64) string {
 	if v == 0 {
 		return "0"
@@ -134,6 +141,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
+// sizeTable returns the table of the fleet size and the budget.
 func (d *Data) sizeTable() string {
 	s, b := d.Sizes, fleet.OperatorBudget
 	t := newTable("what", "size", "from")
@@ -153,6 +161,7 @@
 	return t.String()
 }
 
+// assumptionTable returns the table of the assumptions about the fleet.
 func (d *Data) assumptionTable() string {
 	f := fleet.Generate(d.Sizes)
 	mean, most := f.CalleesPerProxy()
@@ -169,7 +178,8 @@
 		formatNumber(mean), most), "a, drawn from the seed")
 	t.row("services that get calls from outside", fmt.Sprintf("%s of them; %d proxies",
 		formatAmount(d.Sizes.FrontShare, "part of a core"), fronts), "a")
-	t.row("calls a second at the busiest service, at its backend", fmt.Sprintf("%s, %s", formatNumber(service), formatNumber(backend)),
+	t.row("calls a second at the busiest service, at its backend",
+		fmt.Sprintf("%s, %s", formatNumber(service), formatNumber(backend)),
 		"a: backends are shared out by calls")
 	t.row("calls a second at a proxy, in the mean", formatNumber(d.Sizes.CallsPerSecond/float64(d.Sizes.Proxies)), "w")
 	if s := d.findSeries(roleProxy, figureWholeList, ByProxies, string(WholeList)+" list"); s != nil {
@@ -181,9 +191,10 @@
 	return t.String()
 }
 
-// factors are the sizes for which totals are given, against the operators'.
+// factors are the fleet sizes for which totals are shown, as multiples of the operators' size.
 var factors = []float64{1, 2, 4}
 
+// totalTable returns the table of the totals and their budgets.
 func (d *Data) totalTable() string {
 	n := float64(d.Sizes.Proxies)
 	t := newTable("role, what", fmt.Sprintf("at %.0f", n), fmt.Sprintf("at %.0f", 2*n), fmt.Sprintf("at %.0f", 4*n), "budget",
@@ -211,6 +222,7 @@
 	return t.String()
 }
 
+// roleTables returns a table for each role with the terms of its totals.
 func (d *Data) roleTables() string {
 	var out strings.Builder
 	role := ""
@@ -228,30 +240,32 @@
 			t = newTable("what", "part", fmt.Sprintf("at %.0f", n), fmt.Sprintf("at %.0f", 4*n), "law, residual", "carried by")
 		}
 		for _, term := range total.Terms {
-			law := "-"
+			model := "-"
 			if term.Series != nil {
-				law = fmt.Sprintf("%s of %s, %s (%s)", term.Series.Fit.Model, term.Series.Variable,
+				model = fmt.Sprintf("%s of %s, %s (%s)", term.Series.Fit.Model, term.Series.Variable,
 					formatAmount(term.Series.Fit.RelativeResidual, "part of a core"), term.Series.Setting)
 			}
-			last := Derived
+			lastOrigin := Derived
 			if term.Origin == Measured {
-				last = Predicted
+				lastOrigin = Predicted
 			}
 			t.row(total.Resource, term.Name, formatAmount(term.At(n), total.Unit)+" ("+string(term.Origin)+")",
-				formatAmount(term.At(4*n), total.Unit)+" ("+string(last)+")", law, term.Mechanism)
+				formatAmount(term.At(4*n), total.Unit)+" ("+string(lastOrigin)+")", model, term.Mechanism)
 		}
 	}
 	flush()
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
+// eventTable returns the table of the events.
 func (d *Data) eventTable() string {
 	t := newTable("event", "lists", "in force: median, 99 in 100, last", "settled", "connections anew",
 		"peaks in a second, and bytes in all", "load")
 	for _, e := range d.Events {
 		force := "-"
 		if e.InForce != nil {
-			force = fmt.Sprintf("%s, %s, %s", formatAmount(e.InForce.Median, "s"), formatAmount(e.InForce.P99, "s"), formatAmount(e.InForce.Max, "s"))
+			force = fmt.Sprintf("%s, %s, %s", formatAmount(e.InForce.Median, "s"), formatAmount(e.InForce.P99, "s"),
+				formatAmount(e.InForce.Max, "s"))
 		}
 		var peaks []string
 		for _, p := range e.Peaks {
@@ -267,11 +281,13 @@
 		if e.Note != "" {
 			name += ". " + e.Note
 		}
-		t.row(name, e.Setting, force, formatAmount(e.SettledSeconds, "s"), fmt.Sprint(e.Connections), strings.Join(peaks, "; "), formatNumber(e.LoadAverage))
+		t.row(name, e.Setting, force, formatAmount(e.SettledSeconds, "s"), fmt.Sprint(e.Connections), strings.Join(peaks, "; "),
+			formatNumber(e.LoadAverage))
 	}
 	return t.String()
 }
 
+// latencyTable returns the table of the latency that proxies add.
 func (d *Data) latencyTable() string {
 	t := newTable("through", "calls/s", "straight p50, p99, p99.9", "through", "added p50", "added p99", "added p99.9",
 		"failed", "load")
@@ -280,7 +296,8 @@
 	}
 	for _, a := range d.AddedLatency {
 		added := func(k int) string {
-			return fmt.Sprintf("%s (%s to %s)", formatAmount(a.Proxied[k]-a.Direct[k], "s"), formatAmount(a.MinAdded[k], "s"), formatAmount(a.MaxAdded[k], "s"))
+			return fmt.Sprintf("%s (%s to %s)", formatAmount(a.Proxied[k]-a.Direct[k], "s"), formatAmount(a.MinAdded[k], "s"),
+				formatAmount(a.MaxAdded[k], "s"))
 		}
 		t.row(fmt.Sprintf("%s, %d rounds of %d calls", a.Name, a.Rounds, a.Calls), formatNumber(a.Rate), three(a.Direct),
 			three(a.Proxied), added(0), added(1), added(2),
@@ -289,15 +306,16 @@
 	return t.String()
 }
 
+// comparisonTable returns the table that compares in-process with real proxies.
 func (d *Data) comparisonTable() string {
 	t := newTable("kind", "real, of a proxy", "hollow", "off")
-	for _, l := range d.Comparisons {
-		t.row(l.Kind, formatNumber(l.Real), formatNumber(l.InProcess), fmt.Sprintf("%+.1f%%", 100*l.RelativeDifference()))
+	for _, c := range d.Comparisons {
+		t.row(c.Kind, formatNumber(c.Real), formatNumber(c.InProcess), fmt.Sprintf("%+.1f%%", 100*c.RelativeDifference()))
 	}
 	return t.String()
 }
 
-// shown are the series that the page is made of: those of the totals, and whole lists.
+// pageSeries returns the series that the page shows: those of the totals, of whole lists and of in-process proxies.
 func (d *Data) pageSeries() (series []*Series) {
 	add := func(s *Series) {
 		if s != nil && !slices.Contains(series, s) {
@@ -318,16 +336,19 @@
 			add(&d.Series[i])
 		}
 	}
-	add(d.findSeries(roleProxy, "a change of configuration, in force, last, s", ByProxies, controlSetting(d.Sizes.ControlMachines)))
+	add(d.findSeries(roleProxy, "a change of configuration, in force, last, s", ByProxies,
+		controlSetting(d.Sizes.ControlMachines)))
 	return series
 }
 
+// predictionTable returns the table of predicted and measured values at the largest size.
 func (d *Data) predictionTable() string {
 	t := newTable("role, figure", "setting", "law", "residual", "at the largest size: predicted", "measured", "off")
 	for _, s := range d.pageSeries() {
 		predicted, measured, off := "-", "-", "-"
 		if p := s.Predicted; p != nil {
-			predicted, measured = fmt.Sprintf("%s: %s", formatNumber(p.N), formatAmount(p.Predicted, s.Unit)), formatAmount(p.Measured, s.Unit)
+			predicted, measured = fmt.Sprintf("%s: %s", formatNumber(p.N), formatAmount(p.Predicted, s.Unit)),
+				formatAmount(p.Measured, s.Unit)
 			if p.Measured > 0 {
 				off = fmt.Sprintf("%+.0f%%", 100*p.Error())
 			}
@@ -338,6 +359,7 @@
 	return t.String()
 }
 
+// seriesTable returns the table of all series with their points.
 func (d *Data) seriesTable() string {
 	t := newTable("role", "figure", "against, setting", "measured", "law", "residual", "beyond: predicted, measured, off")
 	for _, s := range d.Series {
@@ -345,18 +367,19 @@
 		for _, p := range s.Points {
 			points = append(points, formatNumber(p.N)+": "+formatAmount(p.Y, s.Unit))
 		}
-		law := string(s.Fit.Model)
+		model := string(s.Fit.Model)
 		if s.Fit.Model == fit.Constant {
-			law += ", " + formatAmount(s.Fit.Intercept, s.Unit)
+			model += ", " + formatAmount(s.Fit.Intercept, s.Unit)
 		} else {
-			law += fmt.Sprintf(", %s + %s each", formatAmount(s.Fit.Intercept, s.Unit), formatAmount(s.Fit.Slope, s.Unit))
+			model += fmt.Sprintf(", %s + %s each", formatAmount(s.Fit.Intercept, s.Unit), formatAmount(s.Fit.Slope, s.Unit))
 		}
 		beyond := "-"
 		if p := s.Predicted; p != nil {
-			beyond = fmt.Sprintf("%s: %s, %s, %+.0f%%", formatNumber(p.N), formatAmount(p.Predicted, s.Unit), formatAmount(p.Measured, s.Unit),
+			beyond = fmt.Sprintf("%s: %s, %s, %+.0f%%", formatNumber(p.N), formatAmount(p.Predicted, s.Unit),
+				formatAmount(p.Measured, s.Unit),
 				100*p.Error())
 		}
-		t.row(s.Role, s.Figure, string(s.Variable)+", "+s.Setting, strings.Join(points, "; "), law,
+		t.row(s.Role, s.Figure, string(s.Variable)+", "+s.Setting, strings.Join(points, "; "), model,
 			formatAmount(s.Fit.RelativeResidual, "part of a core"), beyond)
 	}
 	return t.String()
--- a/internal/scale/page_test.go
+++ b/internal/scale/page_test.go
@@ -14,8 +14,9 @@
 	pageFile = "../../docs/CAPACITY.md"
 )
 
-// The page says what the data says, and lists all that is over its budget.
-func TestThePageIsOfTheData(t *testing.T) {
+// TestPageMatchesData checks that the generated sections of the page match the data file, that the page lists every total over
+// budget, and that in-process proxies are within the tolerance.
+func TestPageMatchesData(t *testing.T) {
 	data, err := ReadData(dataFile)
 	if err != nil {
 		t.Fatal(err)
@@ -32,36 +33,37 @@
 		t.Error("docs/CAPACITY.md differs from docs/capacity.json: run sandlab scale report docs/capacity.json --page docs/CAPACITY.md")
 	}
 	for _, name := range data.UnlistedOverBudget(string(text)) {
-		t.Errorf("%s is over its budget and not listed as open", name)
+		t.Errorf("%s is over budget and not listed as open", name)
 	}
-	for _, l := range OutsideTolerance(data.Comparisons) {
-		t.Errorf("%s: hollow proxies are not like real ones, %+.1f%%", l.Kind, 100*l.RelativeDifference())
+	for _, c := range OutsideTolerance(data.Comparisons) {
+		t.Errorf("%s: in-process proxies differ from real ones by %+.1f%%", c.Kind, 100*c.RelativeDifference())
 	}
 }
 
-// overBudget is data of a fleet whose siblings say more than they may.
+// overBudget returns the data of a fleet whose messages between siblings exceed the budget.
 func overBudget() *Data {
 	return &Data{Sizes: fleet.Default(), Series: []Series{{Role: roleProxy, Figure: figureSiblingBytes, Unit: "bytes/s",
 		Variable: ByCallRate, Setting: "6 siblings",
 		Points: []fit.Point{{N: 157, Y: 23_000}}, Fit: fit.Fit{Model: fit.Linear, Slope: 147}}}}
 }
 
-func TestATotalOverItsBudgetHasToBeListed(t *testing.T) {
+func TestTotalOverBudgetMustBeListed(t *testing.T) {
 	const name = "proxy beside a backend, bytes a second, both ways"
 	data := overBudget()
-	if missing := data.UnlistedOverBudget("# Page\n\n## Open\n\nNothing.\n\n## Next\n\n" + name); len(missing) == 0 || missing[0] != name {
-		t.Errorf("%q", missing)
+	if missing := data.UnlistedOverBudget("# Page\n\n## Open\n\nNothing.\n\n## Next\n\n" + name); len(missing) == 0 ||
+		missing[0] != name {
+		t.Errorf("not listed: %q", missing)
 	}
 	listed := "\n## Open\n"
 	for _, total := range data.OverBudget() {
 		listed += "- " + total.Name() + "\n"
 	}
 	if missing := data.UnlistedOverBudget(listed); len(missing) != 0 {
-		t.Errorf("%q", missing)
+		t.Errorf("not listed: %q", missing)
 	}
 }
 
-func TestAPageThatDiffersIsFound(t *testing.T) {
+func TestPageRestoresEditedFigures(t *testing.T) {
 	data, page := overBudget(), ""
 	for _, s := range sections {
 		page += s.begin() + s.end()
@@ -71,13 +73,13 @@
 		t.Fatal(err)
 	}
 	if again, err := data.Page(page); err != nil || again != page {
-		t.Errorf("writing it again changes it: %v", err)
+		t.Errorf("generating the page again changes it: %v", err)
 	}
-	spoilt, err := data.Page(strings.Replace(page, "46 KB/s", "4.6 KB/s", 1))
-	if err != nil || spoilt != page || !strings.Contains(page, "46 KB/s") {
-		t.Errorf("a figure that was changed by hand stays: %v", err)
+	restored, err := data.Page(strings.Replace(page, "46 KB/s", "4.6 KB/s", 1))
+	if err != nil || restored != page || !strings.Contains(page, "46 KB/s") {
+		t.Errorf("an edited figure was not replaced: %v", err)
 	}
 	if _, err := data.Page("# Page"); err == nil {
-		t.Error("a page without its parts was taken")
+		t.Error("no error for a page without sections")
 	}
 }
--- a/internal/scale/proxyconfig.go
+++ b/internal/scale/proxyconfig.go
@@ -8,54 +8,57 @@
 	"sandpass/internal/scale/standin"
 )
 
-// Ports on each machine's own loopback address.
+// Ports on the loopback address of each machine.
 const (
 	proxyPort   = 9000 // calls
 	siblingPort = 9001 // messages between siblings, UDP
-	agentPort   = 9002 // discovery's agent
-	backendPort = 9003 // the backend
-	lockPort    = 9009 // of the first machine: says that a run has these addresses
+	agentPort   = 9002 // discovery agent
+	backendPort = 9003 // backend
+	lockPort    = 9009 // on the first machine: bound while a run uses the addresses
 )
 
-// Lists say which list of discovery's a proxy follows.
+// ListScope selects which backend list of discovery a proxy follows.
 type ListScope string
 
-// The lists.
+// The scopes of backend lists.
 const (
-	ServiceList ListScope = "service" // of the one service that it calls
-	WholeList   ListScope = "whole"   // of all backends, the most that a list can be
+	ServiceList ListScope = "service" // backends of the service that the proxy calls
+	WholeList   ListScope = "whole"   // all backends of the fleet, the largest possible list
 )
 
-// addresses are the machines' on loopback: one address of 127.0.0.0/8 each, so that no port is ever another's.
+// addresses are the loopback addresses of the machines. Each has its own in 127.0.0.0/8, so that machines can use the same
+// ports.
 type addresses struct{ net int }
 
+// machine returns the IP address of a machine.
 func (a addresses) machine(i int) string { return fmt.Sprintf("127.%d.%d.%d", a.net, i/250, 1+i%250) }
 
+// at returns the address of a port on a machine.
 func (a addresses) at(i, port int) string { return fmt.Sprintf("%s:%d", a.machine(i), port) }
 
-// endpoint is a machine's backend as discovery tells it.
+// endpoint returns the discovery entry of the backend on a machine.
 func endpoint(f *fleet.Fleet, a addresses, i int, status string) standin.Endpoint {
 	p := f.Proxies[i]
 	return standin.Endpoint{Name: fmt.Sprintf("backend-%d", i+1), Address: a.at(i, backendPort), Zone: f.Zones[p.Zone], Type: "m",
 		Group: p.Cell, Status: status, Weight: 1, SinceMS: 1.7e12}
 }
 
-// siblings are the proxies that follow the same list, which count together what is out at its backends. The numbers are
-// indexes into the fleet's proxies; place is the proxy's own among them.
-func siblingIndexes(f *fleet.Fleet, i int) (members []int, place int) {
+// siblingIndexes returns the proxies that follow the same list as proxy i, itself included, and its own index among them.
+// Siblings coordinate the number of relays in flight at each backend of the list.
+func siblingIndexes(f *fleet.Fleet, i int) (members []int, own int) {
 	for k, p := range f.Proxies {
 		if p.TargetService != f.Proxies[i].TargetService {
 			continue
 		}
 		if k == i {
-			place = len(members)
+			own = len(members)
 		}
 		members = append(members, k)
 	}
-	return members, place
+	return members, own
 }
 
-// verb is a kind of call as the configuration has it.
+// verb is a verb in the configuration of a proxy.
 type verb struct {
 	Name           string  `json:"name"`
 	Effect         string  `json:"effect"`
@@ -68,7 +71,7 @@
 	Stream         bool    `json:"stream"`
 }
 
-// launch is a proxy's configuration.
+// proxyConfig is the configuration file of a proxy.
 type proxyConfig struct {
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
@@ -79,7 +82,7 @@
 	Settings  settings       `json:"settings"`
 }
 
-// settings are the parts of the configuration that the decisions go by.
+// settings is the part of the configuration that the load balancing uses.
 type settings struct {
 	Me             int                `json:"me"`
 	Siblings       int                `json:"siblings"`
@@ -96,9 +99,9 @@
 	Verbs          []verb             `json:"verbs"`
 }
 
-// launchOf is a proxy's configuration. Peers are the addresses at which it finds its siblings, none where they say nothing
-// to one another.
-func newProxyConfig(f *fleet.Fleet, a addresses, i int, peers []string, place int) proxyConfig {
+// newProxyConfig returns the configuration of a proxy. peers are the addresses of its siblings and itself, in which it is the
+// one at index own. Without peers, siblings exchange no messages.
+func newProxyConfig(f *fleet.Fleet, a addresses, i int, peers []string, own int) proxyConfig {
 	call := verb{Name: "pay", Effect: "at_most_once", KeyScope: "all", WindowMS: 5000, ResponseGoalMS: 5000, TimeLimitMS: 10000,
 		Utility: 1, OverdueUtility: 0.5}
 	return proxyConfig{
@@ -107,7 +110,7 @@
 		Limits: map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		Peers:  peers,
 		Settings: settings{
-			Me: place, Siblings: max(1, len(peers)), Zone: f.Proxies[i].Zone, Discovery: "pushed", Zones: f.Zones, TickMS: 5,
+			Me: own, Siblings: max(1, len(peers)), Zone: f.Proxies[i].Zone, Discovery: "pushed", Zones: f.Zones, TickMS: 5,
 			Limits: map[string]any{"max_relays": 3, "max_open": 1000, "second_copies": false, "cancel": true, "retry_after": true,
 				"max_retry_after_ms": 2000, "connect_timeout_ms": 250, "conn_idle_ms": 30000, "peers": len(peers) > 0},
 			LoadInfo: map[string]any{"fields": []string{}, "how": "none"}, OverageUtility: 0.1,
@@ -118,4 +121,5 @@
 	}
 }
 
-func (l proxyConfig) marshal() (json.RawMessage, error) { return json.Marshal(l) }
+// marshal returns the configuration in JSON.
+func (c proxyConfig) marshal() (json.RawMessage, error) { return json.Marshal(c) }
--- a/internal/scale/proxyprocess.go
+++ b/internal/scale/proxyprocess.go
@@ -20,9 +20,9 @@
 	pollInterval = 10 * time.Millisecond
 )
 
-// server is a real proxy process.
+// proxyProcess is a proxy in a process of its own.
 type proxyProcess struct {
-	index      int // of the fleet's proxies
+	index      int // in the proxies of the fleet
 	command    *exec.Cmd
 	configPath string
 	logPath    string
@@ -30,12 +30,12 @@
 	killOnce   sync.Once
 }
 
-// startServer starts PROGRAM serve with a configuration, and does not wait until it is ready.
-func startProxyProcess(program []string, environment []string, directory string, index int, l proxyConfig,
+// startProxyProcess starts the proxy program with a configuration. It does not wait until the proxy is ready.
+func startProxyProcess(program []string, environment []string, directory string, index int, config proxyConfig,
 	operator string) (*proxyProcess, error) {
-	s := &proxyProcess{index: index, done: make(chan struct{}), configPath: filepath.Join(directory, l.Name+".json"),
-		logPath: filepath.Join(directory, l.Name+".log")}
-	if err := s.writeConfig(l); err != nil {
+	s := &proxyProcess{index: index, done: make(chan struct{}), configPath: filepath.Join(directory, config.Name+".json"),
+		logPath: filepath.Join(directory, config.Name+".log")}
+	if err := s.writeConfig(config); err != nil {
 		return nil, err
 	}
 	out, err := os.OpenFile(s.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -50,63 +50,65 @@
 	s.command = exec.Command(program[0], arguments...)
 	s.command.Env = append(append(os.Environ(), environment...), "NODE_CONFIG="+s.configPath)
 	s.command.Stdout, s.command.Stderr = out, out
-	// A run that is killed leaves no proxy behind.
+	// The proxy is killed if this process dies.
 	s.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := s.command.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
-		_ = s.command.Wait() // how it ended stands in its log
+		_ = s.command.Wait() // the log shows how it ended
 		close(s.done)
 	}()
 	return s, nil
 }
 
-// write puts the configuration in place whole.
-func (s *proxyProcess) writeConfig(l proxyConfig) error {
-	text, err := l.marshal()
+// writeConfig replaces the configuration file atomically.
+func (p *proxyProcess) writeConfig(config proxyConfig) error {
+	text, err := config.marshal()
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(s.configPath+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(p.configPath+".new", text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(s.configPath+".new", s.configPath)
+	return os.Rename(p.configPath+".new", p.configPath)
 }
 
-func (s *proxyProcess) pid() int { return s.command.Process.Pid }
+// pid returns the process ID.
+func (p *proxyProcess) pid() int { return p.command.Process.Pid }
 
-// awaitReady waits until clients may come.
-func (s *proxyProcess) awaitReady(address string) error {
+// awaitReady waits until the proxy accepts clients.
+func (p *proxyProcess) awaitReady(address string) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
-		if answer, err := client.Get("http://" + address + "/-/ready"); err == nil {
-			answer.Body.Close()
-			if answer.StatusCode == http.StatusOK {
+		if response, err := client.Get("http://" + address + "/-/ready"); err == nil {
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
 		select {
-		case <-s.done:
-			return fmt.Errorf("proxy %d ended before it was ready: %s", s.index, s.lastLine())
+		case <-p.done:
+			return fmt.Errorf("proxy %d ended before it was ready: %s", p.index, p.lastLine())
 		case <-time.After(pollInterval):
 		}
 	}
-	return fmt.Errorf("proxy %d was not ready within %v: %s", s.index, readyTimeout, s.lastLine())
+	return fmt.Errorf("proxy %d was not ready within %v: %s", p.index, readyTimeout, p.lastLine())
 }
 
-func (s *proxyProcess) lastLine() string {
-	text, _ := os.ReadFile(s.logPath) // none says nothing
+// lastLine returns the last line of the log.
+func (p *proxyProcess) lastLine() string {
+	text, _ := os.ReadFile(p.logPath) // without a log the line is empty
 	text = bytes.TrimRight(text, "\n")
 	return string(text[bytes.LastIndexByte(text, '\n')+1:])
 }
 
-// hangUp has it read its configuration anew.
-func (s *proxyProcess) signalReload() error { return s.command.Process.Signal(syscall.SIGHUP) }
+// signalReload sends SIGHUP, which makes the proxy read its configuration again.
+func (p *proxyProcess) signalReload() error { return p.command.Process.Signal(syscall.SIGHUP) }
 
-// reloads are the times of its log at which a configuration was in force.
-func (s *proxyProcess) reloadTimes() (at []time.Time) {
-	text, _ := os.ReadFile(s.logPath) // none has no reloads
+// reloadTimes returns the times in the log at which a new configuration came into force.
+func (p *proxyProcess) reloadTimes() (at []time.Time) {
+	text, _ := os.ReadFile(p.logPath) // without a log there are no reloads
 	for line := range strings.Lines(string(text)) {
 		const layout = "2006/01/02 15:04:05.000000"
 		if !strings.Contains(line, " msg=reloaded ") || len(line) < len(layout) {
@@ -119,22 +121,22 @@
 	return at
 }
 
-// kill ends it at once and waits.
-func (s *proxyProcess) kill() {
-	s.killOnce.Do(func() {
-		if err := s.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+// kill kills the process and waits until it has ended.
+func (p *proxyProcess) kill() {
+	p.killOnce.Do(func() {
+		if err := p.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			return
 		}
-		<-s.done
+		<-p.done
 	})
 }
 
-// stop asks it to end as planned, and kills it where it does not.
-func (s *proxyProcess) stop() {
-	_ = s.command.Process.Signal(syscall.SIGTERM) // it may have ended
+// stop sends SIGTERM and kills the process if it does not end within stopTimeout.
+func (p *proxyProcess) stop() {
+	_ = p.command.Process.Signal(syscall.SIGTERM) // an error means that it has already ended
 	select {
-	case <-s.done:
+	case <-p.done:
 	case <-time.After(stopTimeout):
 	}
-	s.kill()
+	p.kill()
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -14,12 +14,12 @@
 	"sandpass/internal/scale/helper"
 )
 
-// sandpassProgram is the proxy as operators start it, built for these tests.
+// sandpassProgram is the path of the proxy program, built for these tests.
 var sandpassProgram string
 
-// TestMain is a helper where the environment says so.
+// TestMain runs this program as a helper if the environment says so, and otherwise builds the proxy and runs the tests.
 func TestMain(m *testing.M) {
-	if was, err := helper.Run(); was {
+	if isHelper, err := helper.Run(); isHelper {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -29,6 +29,7 @@
 	os.Exit(withProgram(m))
 }
 
+// withProgram builds the proxy and runs the tests.
 func withProgram(m *testing.M) int {
 	directory, err := os.MkdirTemp("", "scale-test-")
 	if err != nil {
@@ -45,31 +46,34 @@
 	return m.Run()
 }
 
+// programs returns the programs of a run: the proxy, and this test program as the helper.
 func programs() Programs {
 	return Programs{Proxy: []string{sandpassProgram, "serve"}, Helper: os.Args[0]}
 }
 
+// smallComparison is a comparison of six proxies of each kind.
 var smallComparison = ComparisonOptions{ProxiesEach: 6, Restarts: 12, RestartsPerSecond: 6, CallsPerSecond: 100, CallSeconds: 5,
 	IdleTime: 2 * time.Second, Replicas: 3, Changes: 4}
 
-func TestHollowProxiesAreLikeRealOnes(t *testing.T) {
+func TestInProcessProxiesMatchRealOnes(t *testing.T) {
 	t.Parallel()
 	all, err := CompareInProcess(context.Background(), smallComparison, programs())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range all {
-		t.Logf("%s: real %.1f, hollow %.1f, %+.1f%%", l.Kind, l.Real, l.InProcess, 100*l.RelativeDifference())
-		if silent := strings.HasPrefix(l.Kind, "list watch, restarts, ") && strings.HasSuffix(l.Kind, " out"); silent != (l.Real == 0) {
-			t.Errorf("%s: %.1f was counted, and only an open watch has nothing to send", l.Kind, l.Real)
+	for _, c := range all {
+		t.Logf("%s: real %.1f, in-process %.1f, %+.1f%%", c.Kind, c.Real, c.InProcess, 100*c.RelativeDifference())
+		if silent := strings.HasPrefix(c.Kind, "list watch, restarts, ") &&
+			strings.HasSuffix(c.Kind, " out"); silent != (c.Real == 0) {
+			t.Errorf("%s: counted %.1f; only an open watch should send nothing", c.Kind, c.Real)
 		}
 	}
-	for _, l := range OutsideTolerance(all) {
-		t.Errorf("%s: real %.1f, hollow %.1f", l.Kind, l.Real, l.InProcess)
+	for _, c := range OutsideTolerance(all) {
+		t.Errorf("%s: real %.1f, in-process %.1f", c.Kind, c.Real, c.InProcess)
 	}
 }
 
-func TestAHollowProxyThatSkipsItsWorkIsFound(t *testing.T) {
+func TestComparisonFindsIdleInProcessProxies(t *testing.T) {
 	t.Parallel()
 	o := smallComparison
 	o.SeedDefect, o.Restarts, o.CallSeconds = true, 3, 0.5
@@ -77,15 +81,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range all {
-		if l.Real > 0 && len(OutsideTolerance([]Comparison{l})) == 0 {
-			t.Errorf("%s: real %.1f, hollow %.1f, where the hollow proxies do nothing", l.Kind, l.Real, l.InProcess)
+	for _, c := range all {
+		if c.Real > 0 && len(OutsideTolerance([]Comparison{c})) == 0 {
+			t.Errorf("%s: real %.1f, in-process %.1f, although the in-process proxies do not run", c.Kind, c.Real, c.InProcess)
 		}
 	}
 	if len(OutsideTolerance(all)) < 6 {
-		t.Errorf("%d kinds differ where the hollow proxies do nothing", len(OutsideTolerance(all)))
+		t.Errorf("only %d kinds differ although the in-process proxies do not run", len(OutsideTolerance(all)))
 	}
 }
 
-// signalZero tells by its error that a process is no more.
+// checkProcessExists returns an error if there is no process with the ID.
 func checkProcessExists(pid int) error { return syscall.Kill(pid, 0) }
--- a/internal/scale/otherslopes.go
+++ b/internal/scale/servicechangeslopes.go
@@ -8,7 +8,7 @@
 	"sandpass/internal/scale/fleet"
 )
 
-// ServiceSlopes measures how the figures go by the number of services where the number of proxies stays.
+// ServiceSlopes measures how the figures depend on the number of services, with a fixed number of proxies.
 func ServiceSlopes(ctx context.Context, o SlopeOptions, proxies int, services []int, programs Programs,
 	progress func(string)) ([]Series, error) {
 	c := seriesBuilder{against: ByServices, setting: fmt.Sprintf("%d proxies, service list", proxies)}
@@ -26,22 +26,23 @@
 	return c.fit(float64(services[len(services)-1]))
 }
 
-// ChangeSlopes measures how the figures go by the changes of the list a second, in one fleet.
+// ChangeSlopes measures how the figures depend on the number of list changes per second, in one fleet.
 func ChangeSlopes(ctx context.Context, o SlopeOptions, proxies int, rates []float64, programs Programs,
 	progress func(string)) ([]Series, error) {
-	const entries = 3 // of a restart
-	plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(proxies)), RealProxies: min(proxies, o.RealProxies), ListScope: WholeList, Peers: true}
-	r, ctx, err := Deploy(ctx, plan, programs)
+	const entries = 3 // list entries for each restart
+	plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(proxies)), RealProxies: min(proxies, o.RealProxies),
+		ListScope: WholeList, Peers: true}
+	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
+	defer d.Close()
 	c := seriesBuilder{against: ByChangeRate, setting: fmt.Sprintf("%d proxies, whole list", proxies)}
 	for _, rate := range rates {
 		restarts := max(1, int(rate/entries*o.IdleTime.Seconds()))
-		s, err := r.measure(func() error { return r.restartBackends(ctx, restarts, rate/entries) })
+		s, err := d.measure(func() error { return d.restartBackends(ctx, restarts, rate/entries) })
 		if err != nil {
-			return nil, fmt.Errorf("%.0f changes a second: %w", rate, err)
+			return nil, fmt.Errorf("%.0f changes per second: %w", rate, err)
 		}
 		c.add(float64(restarts)*entries/s.seconds, []figure{
 			{roleProxy, "list watch with changes, in", "bytes/s", mean(s.traffic, bytesIn) / s.seconds},
@@ -49,17 +50,17 @@
 			{roleProxy, "processor time with changes", "part of a core", s.cpu(roleProxy)},
 			{roleDiscovery, "processor time with changes, all agents", "part of a core", s.cpu(roleDiscovery)},
 		})
-		progress(fmt.Sprintf("%.0f changes a second", rate))
+		progress(fmt.Sprintf("%.0f changes per second", rate))
 	}
 	return c.fit(2 * rates[len(rates)-1])
 }
 
-const otherRest = 8 * time.Second // of a step of these slopes
+const idleTime = 8 * time.Second // for each measurement of an idle fleet
 
-// OtherSlopes are those against services and against changes.
+// ServiceAndChangeSlopes measures how the figures depend on the number of services and on the rate of list changes.
 func ServiceAndChangeSlopes(ctx context.Context, m *Runner) ([]Series, error) {
 	const proxies = 140
-	o := SlopeOptions{Sizes: m.Sizes, RealProxies: m.RealProxies, IdleTime: otherRest, Restarts: 30, RestartsPerSecond: 8}
+	o := SlopeOptions{Sizes: m.Sizes, RealProxies: m.RealProxies, IdleTime: idleTime, Restarts: 30, RestartsPerSecond: 8}
 	series, err := ServiceSlopes(ctx, o, proxies, []int{4, 7, 13, 26, 52}, m.Programs, m.Progress)
 	if err != nil {
 		return nil, err
--- a/internal/scale/siblinglinks.go
+++ b/internal/scale/siblinglinks.go
@@ -7,14 +7,15 @@
 	"sandpass/internal/scale/meter"
 )
 
-// relays stand between siblings and count their messages. Where one of two is hollow and no calls come to it, there is none: they
-// say nothing to one another.
+// siblingLinks forwards the messages between counted siblings and counts them. Other pairs of siblings have no forwarder:
+// in-process proxies receive no calls and so exchange no messages.
 type siblingLinks struct {
 	plan      Plan
 	addresses addresses
-	pairs     map[[2]int]*faultnet.DatagramForwarder // by the fleet's indexes, the smaller first
+	pairs     map[[2]int]*faultnet.DatagramForwarder // by the two indexes in the fleet, the smaller one first
 }
 
+// newSiblingLinks starts a forwarder for each pair of counted siblings, none if the plan has no Peers.
 func newSiblingLinks(plan Plan, a addresses) (*siblingLinks, error) {
 	r := &siblingLinks{plan: plan, addresses: a, pairs: map[[2]int]*faultnet.DatagramForwarder{}}
 	if !plan.Peers {
@@ -26,7 +27,8 @@
 			if k >= max(plan.RealProxies, plan.CountedProxies) || k <= i {
 				continue
 			}
-			pair, err := faultnet.NewDatagramForwarder(netip.MustParseAddrPort(a.at(i, siblingPort)), netip.MustParseAddrPort(a.at(k, siblingPort)),
+			pair, err := faultnet.NewDatagramForwarder(netip.MustParseAddrPort(a.at(i, siblingPort)),
+				netip.MustParseAddrPort(a.at(k, siblingPort)),
 				plan.Fleet.Sizes.Seed+uint64(i*len(plan.Fleet.Proxies)+k))
 			if err != nil {
 				r.close()
@@ -38,35 +40,37 @@
 	return r, nil
 }
 
-// peers are the addresses at which a proxy finds its siblings, and its own place among them.
-func (r *siblingLinks) peers(i int) (texts []string, place int) {
-	members, place := siblingIndexes(r.plan.Fleet, i)
+// peers returns the addresses that a proxy uses for its siblings and itself, and its own index among them.
+func (s *siblingLinks) peers(i int) (texts []string, index int) {
+	members, index := siblingIndexes(s.plan.Fleet, i)
 	for _, k := range members {
-		text := r.addresses.at(k, siblingPort)
-		if pair := r.pairs[[2]int{min(i, k), max(i, k)}]; pair != nil && k != i {
+		text := s.addresses.at(k, siblingPort)
+		if pair := s.pairs[[2]int{min(i, k), max(i, k)}]; pair != nil && k != i {
 			if text = pair.AddrForLeft(); k < i {
 				text = pair.AddrForRight()
 			}
 		}
 		texts = append(texts, text)
 	}
-	return texts, place
+	return texts, index
 }
 
-// traffic is what each counted proxy has said to siblings and heard from them.
-func (r *siblingLinks) traffic() []meter.Traffic {
-	all := make([]meter.Traffic, max(r.plan.RealProxies, r.plan.CountedProxies))
-	for ends, pair := range r.pairs {
-		there, back := pair.Delivered()
-		left := meter.Traffic{BytesOut: there.Bytes, MessagesOut: there.Messages, BytesIn: back.Bytes, MessagesIn: back.Messages}
+// traffic returns the traffic of each counted proxy with its siblings.
+func (s *siblingLinks) traffic() []meter.Traffic {
+	all := make([]meter.Traffic, max(s.plan.RealProxies, s.plan.CountedProxies))
+	for ends, pair := range s.pairs {
+		sent, received := pair.Delivered()
+		left := meter.Traffic{BytesOut: sent.Bytes, MessagesOut: sent.Messages, BytesIn: received.Bytes,
+			MessagesIn: received.Messages}
 		all[ends[0]] = all[ends[0]].Plus(left)
 		all[ends[1]] = all[ends[1]].Plus(left.Reversed())
 	}
 	return all
 }
 
-func (r *siblingLinks) close() {
-	for _, pair := range r.pairs {
+// close stops all forwarders.
+func (s *siblingLinks) close() {
+	for _, pair := range s.pairs {
 		pair.Close()
 	}
 }
--- a/internal/scale/siblings.go
+++ b/internal/scale/siblings.go
@@ -9,25 +9,26 @@
 	"sandpass/internal/scale/meter"
 )
 
-// datagramHeaders are the bytes of IPv4 and UDP around each message between siblings, which the socket does not show.
+// datagramHeaderBytes is the size of the IPv4 and UDP headers of a message, which are not visible at the socket.
 const datagramHeaderBytes = 28
 
-// KeeperOptions say how messages between siblings are measured: real proxies, with calls.
+// SiblingOptions are the parameters of the measurement of messages between siblings. All proxies have processes of their own
+// and receive calls.
 type SiblingOptions struct {
-	Siblings      []int     // real proxies of one service, each with calls at Rates' last but one
-	Rates         []float64 // calls a second to each of Fixed proxies
+	Siblings      []int     // numbers of siblings, ascending, each with calls at FixedRate
+	Rates         []float64 // calls per second to each of FixedSiblings proxies, ascending
 	FixedSiblings int
-	FixedRate     float64 // calls a second to each where siblings vary
-	Seconds       float64
+	FixedRate     float64 // calls per second to each proxy while the number of siblings varies
+	Seconds       float64 // duration of each measurement
 }
 
-// Keepers measures messages between siblings against calls, and against siblings.
+// SiblingSlopes measures how the messages between siblings grow with the call rate and with the number of siblings.
 func SiblingSlopes(ctx context.Context, o SiblingOptions, programs Programs, progress func(string)) ([]Series, error) {
 	byCalls := seriesBuilder{against: ByCallRate, setting: fmt.Sprintf("%d siblings", o.FixedSiblings)}
 	for _, rate := range o.Rates {
 		figures, err := siblingFigures(ctx, o.FixedSiblings, rate, o.Seconds, programs)
 		if err != nil {
-			return nil, fmt.Errorf("%.0f calls a second: %w", rate, err)
+			return nil, fmt.Errorf("%.0f calls per second: %w", rate, err)
 		}
 		byCalls.add(rate, figures)
 		progress(fmt.Sprintf("%d siblings, %.0f calls/s", o.FixedSiblings, rate))
@@ -49,9 +50,9 @@
 	return append(series, more...), err
 }
 
-// keeperFigures runs so many siblings as real proxies with calls, with their messages counted and without messages.
+// siblingFigures measures n siblings under calls, once with messages, which are counted, and once without.
 func siblingFigures(ctx context.Context, n int, rate, seconds float64, programs Programs) ([]figure, error) {
-	notes, with, err := siblingRun(ctx, n, rate, seconds, true, programs)
+	messages, with, err := siblingRun(ctx, n, rate, seconds, true, programs)
 	if err != nil {
 		return nil, err
 	}
@@ -59,21 +60,22 @@
 	if err != nil {
 		return nil, err
 	}
-	per := func(f func(meter.Traffic) int64) float64 { return mean(notes, f) / seconds }
+	per := func(f func(meter.Traffic) int64) float64 { return mean(messages, f) / seconds }
 	return []figure{
 		{roleProxy, "siblings' messages, in", "messages/s", per(messagesIn)},
 		{roleProxy, "siblings' messages, out", "messages/s", per(messagesOut)},
 		{roleProxy, "siblings' messages, in", "bytes/s", per(bytesIn)},
 		{roleProxy, "siblings' messages, out", "bytes/s", per(bytesOut)},
-		{roleProxy, "siblings' messages, in, with IP and UDP headers", "bytes/s", per(bytesIn) + datagramHeaderBytes*per(messagesIn)},
-		{roleProxy, "siblings' messages, busiest proxy, both ways", "bytes/s", busiest(notes) / seconds},
+		{roleProxy, "siblings' messages, in, with IP and UDP headers", "bytes/s",
+			per(bytesIn) + datagramHeaderBytes*per(messagesIn)},
+		{roleProxy, "siblings' messages, busiest proxy, both ways", "bytes/s", busiest(messages) / seconds},
 		{roleProxy, "processor time with calls and messages", "part of a core", with},
 		{roleProxy, "processor time with calls, no messages", "part of a core", without},
 		{roleProxy, "processor time of siblings' messages", "part of a core", with - without},
 	}, nil
 }
 
-// busiest is the most that one has read and written.
+// busiest returns the largest number of bytes that one proxy has read and written.
 func busiest(traffic []meter.Traffic) (most float64) {
 	for _, t := range traffic {
 		most = max(most, float64(t.BytesIn+t.BytesOut))
@@ -81,30 +83,30 @@
 	return most
 }
 
-// siblingRun gives what was said between siblings, and the part of a core that a proxy took.
+// siblingRun returns the traffic of each proxy with its siblings, and the mean share of a core that a proxy used.
 func siblingRun(ctx context.Context, n int, rate, seconds float64, peers bool,
 	programs Programs) ([]meter.Traffic, float64, error) {
 	sizes := fleet.Default()
 	sizes.Proxies, sizes.Services, sizes.Depth, sizes.FrontShare = n, 1, 1, 1
 	plan := Plan{Fleet: fleet.Generate(sizes), RealProxies: n, ListScope: ServiceList, Peers: peers, CountedProxies: n}
-	r, ctx, err := Deploy(ctx, plan, programs)
+	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, 0, err
 	}
-	defer r.Close()
-	if err := r.startBackends(); err != nil {
+	defer d.Close()
+	if err := d.startBackends(); err != nil {
 		return nil, 0, err
 	}
 	all := allProxies(plan.Fleet)
-	r.sendCalls(ctx, all, rate, 1) // connections are open and usual latencies known from here on
-	before, used, started := r.siblingLinks.traffic(), r.usage(), time.Now()
-	good, bad := r.sendCalls(ctx, all, rate, seconds)
-	after, notes := r.usage(), r.siblingLinks.traffic()
-	if bad*100 > good {
-		return nil, 0, fmt.Errorf("%d calls failed, %d did not", bad, good)
+	d.sendCalls(ctx, all, rate, 1) // opens the connections and lets the proxies learn latencies
+	before, used, started := d.siblingLinks.traffic(), d.usage(), time.Now()
+	succeeded, failed := d.sendCalls(ctx, all, rate, seconds)
+	after, messages := d.usage(), d.siblingLinks.traffic()
+	if failed*100 > succeeded {
+		return nil, 0, fmt.Errorf("%d calls failed, %d succeeded", failed, succeeded)
 	}
-	for i := range notes {
-		notes[i] = notes[i].Minus(before[i])
+	for i := range messages {
+		messages[i] = messages[i].Minus(before[i])
 	}
-	return notes, after.cpuSince(used, roleProxy, time.Since(started).Seconds()), ctx.Err()
+	return messages, after.cpuSince(used, roleProxy, time.Since(started).Seconds()), ctx.Err()
 }
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -9,59 +9,63 @@
 	"sandpass/internal/scale/fleet"
 )
 
-// SlopeOptions say at which sizes slopes are measured.
+// SlopeOptions are the parameters of the measurement of growth over the number of proxies.
 type SlopeOptions struct {
 	Sizes             fleet.Sizes
-	ProxyCounts       []int         // numbers of proxies, rising
-	FitUpTo           int           // larger ones are predicted and then measured
-	RealProxies       int           // of them that are real processes
-	IdleTime          time.Duration // for which nothing happens
-	Restarts          int           // of backends, at PerSecond
+	ProxyCounts       []int         // numbers of proxies, ascending
+	FitUpTo           int           // larger sizes are predicted and compared with the measurement
+	RealProxies       int           // number of proxies with a process of their own
+	IdleTime          time.Duration // duration of the measurement of the idle fleet
+	Restarts          int           // backend restarts, at RestartsPerSecond
 	RestartsPerSecond float64
 	ListScopes        []ListScope
 }
 
-// collector gathers figures of several sizes into series.
+// seriesBuilder collects the figures of several sizes into series.
 type seriesBuilder struct {
 	against Variable
 	setting string
 	series  []Series
 }
 
-func (c *seriesBuilder) add(n float64, figures []figure) {
+// add adds the figures measured at the size n.
+func (b *seriesBuilder) add(n float64, figures []figure) {
 	for _, f := range figures {
-		c.seriesOf(f).Points = append(c.seriesOf(f).Points, fit.Point{N: n, Y: f.value})
+		b.seriesOf(f).Points = append(b.seriesOf(f).Points, fit.Point{N: n, Y: f.value})
 	}
 }
 
-func (c *seriesBuilder) seriesOf(f figure) *Series {
+// seriesOf returns the series of a figure, which it creates at the first use.
+func (b *seriesBuilder) seriesOf(f figure) *Series {
 	name := f.name + ", " + f.unit
-	for i, s := range c.series {
+	for i, s := range b.series {
 		if s.Role == f.role && s.Figure == name {
-			return &c.series[i]
+			return &b.series[i]
 		}
 	}
-	c.series = append(c.series, Series{Role: f.role, Figure: name, Unit: f.unit, Variable: c.against, Setting: c.setting})
-	return &c.series[len(c.series)-1]
+	b.series = append(b.series, Series{Role: f.role, Figure: name, Unit: f.unit, Variable: b.against, Setting: b.setting})
+	return &b.series[len(b.series)-1]
 }
 
-func (c *seriesBuilder) fit(upTo float64) ([]Series, error) {
-	for i := range c.series {
+// fit returns the series with the models fitted to the sizes up to upTo.
+func (b *seriesBuilder) fit(upTo float64) ([]Series, error) {
+	for i := range b.series {
 		var err error
-		if c.series[i], err = fitSeries(c.series[i], upTo); err != nil {
-			return nil, fmt.Errorf("%s: %w", c.series[i].Figure, err)
+		if b.series[i], err = fitSeries(b.series[i], upTo); err != nil {
+			return nil, fmt.Errorf("%s: %w", b.series[i].Figure, err)
 		}
 	}
-	return c.series, nil
+	return b.series, nil
 }
 
-// Slopes measures how the figures of each role grow with the number of proxies. Progress is told after each size.
+// ProxySlopes measures how the figures of each role grow with the number of proxies. It reports progress after each size.
 func ProxySlopes(ctx context.Context, o SlopeOptions, programs Programs, progress func(string)) ([]Series, error) {
 	var all []Series
 	for _, lists := range o.ListScopes {
 		c := seriesBuilder{against: ByProxies, setting: string(lists) + " list"}
 		for _, n := range o.ProxyCounts {
-			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), RealProxies: min(n, o.RealProxies), ListScope: lists, Peers: true}
+			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), RealProxies: min(n, o.RealProxies), ListScope: lists,
+				Peers: true}
 			figures, err := sizeFigures(ctx, o, plan, programs)
 			if err != nil {
 				return nil, fmt.Errorf("%d proxies, %s list: %w", n, lists, err)
@@ -78,32 +82,32 @@
 	return all, nil
 }
 
-// sizeFigures measures one size: at rest, with restarts, and with all asking at once.
+// sizeFigures measures one size: idle, with backend restarts, and with all proxies requesting their lists at once.
 func sizeFigures(ctx context.Context, o SlopeOptions, plan Plan, programs Programs) ([]figure, error) {
-	r, ctx, err := Deploy(ctx, plan, programs)
+	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	if err := sleep(ctx, time.Second); err != nil { // what a start allocates is collected
+	defer d.Close()
+	if err := sleep(ctx, time.Second); err != nil { // lets the garbage of the start be collected
 		return nil, err
 	}
-	rest, err := r.measure(func() error { return sleep(ctx, o.IdleTime) })
+	idle, err := d.measure(func() error { return sleep(ctx, o.IdleTime) })
 	if err != nil {
 		return nil, err
 	}
-	figures := idleFigures(rest, r.helperBaseBytes, len(plan.Fleet.Proxies)-plan.RealProxies)
-	restarts, err := r.measure(func() error { return r.restartBackends(ctx, o.Restarts, o.RestartsPerSecond) })
+	figures := idleFigures(idle, d.helperBaseBytes, len(plan.Fleet.Proxies)-plan.RealProxies)
+	restarts, err := d.measure(func() error { return d.restartBackends(ctx, o.Restarts, o.RestartsPerSecond) })
 	if err != nil {
 		return nil, err
 	}
-	figures = append(figures, restartFigures(restarts, rest, o.Restarts)...)
-	back, err := r.measure(func() error {
-		_, err := r.reconnectAll(ctx)
+	figures = append(figures, restartFigures(restarts, idle, o.Restarts)...)
+	reconnect, err := d.measure(func() error {
+		_, err := d.reconnectAll(ctx)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return append(figures, reconnectFigures(back, rest)...), nil
+	return append(figures, reconnectFigures(reconnect, idle)...), nil
 }
--- a/internal/scale/smallfleet_test.go
+++ b/internal/scale/smallfleet_test.go
@@ -11,10 +11,11 @@
 	"sandpass/internal/scale/fleet"
 )
 
-// The small run: counts, bytes and laws, none on how fast the machine is.
-func TestLawsOfASmallFleet(t *testing.T) {
+// TestGrowthModelsOfSmallFleet checks counts, bytes and growth models, but nothing that depends on the speed of the machine.
+func TestGrowthModelsOfSmallFleet(t *testing.T) {
 	t.Parallel()
-	o := SlopeOptions{Sizes: fleet.Default(), ProxyCounts: []int{8, 16, 32, 64}, FitUpTo: 32, RealProxies: 2, IdleTime: 2 * time.Second,
+	o := SlopeOptions{Sizes: fleet.Default(), ProxyCounts: []int{8, 16, 32, 64}, FitUpTo: 32, RealProxies: 2,
+		IdleTime: 2 * time.Second,
 		Restarts: 8, RestartsPerSecond: 8,
 		ListScopes: []ListScope{WholeList}}
 	series, err := ProxySlopes(context.Background(), o, programs(), func(string) {})
@@ -24,8 +25,8 @@
 	d := Data{Series: series}
 	for _, c := range []struct {
 		role, figure string
-		law          fit.Model
-		within       float64 // of the measure at twice the size
+		model        fit.Model
+		tolerance    float64 // tolerance of the prediction at twice the largest fitted size
 	}{
 		{roleProxy, "whole list, in, bytes", fit.Linear, 0.02},
 		{roleProxy, "each backend restarted once, list watch in, bytes", fit.Linear, 0.05},
@@ -37,19 +38,20 @@
 			t.Errorf("%s was not measured", c.figure)
 			continue
 		}
-		if s.Fit.Model != c.law {
-			t.Errorf("%s grows with %s, not with %s: %v", c.figure, s.Fit.Model, c.law, s.Points)
+		if s.Fit.Model != c.model {
+			t.Errorf("%s: fitted model %s, want %s: %v", c.figure, s.Fit.Model, c.model, s.Points)
 		}
-		if off := s.Predicted.Error(); off > c.within || off < -c.within {
-			t.Errorf("%s: %.0f was predicted and %.0f measured", c.figure, s.Predicted.Predicted, s.Predicted.Measured)
+		if off := s.Predicted.Error(); off > c.tolerance || off < -c.tolerance {
+			t.Errorf("%s: predicted %.0f, measured %.0f", c.figure, s.Predicted.Predicted, s.Predicted.Measured)
 		}
 	}
 }
 
-func TestEventsOfASmallFleet(t *testing.T) {
+func TestEventsInSmallFleet(t *testing.T) {
 	t.Parallel()
 	sizes := fleet.Default().ScaledTo(33)
-	o := EventOptions{Sizes: sizes, RealProxies: 2, ListScope: WholeList, Burst: 3, BurstWindow: time.Second, Restarts: 8, RestartBatch: 4,
+	o := EventOptions{Sizes: sizes, RealProxies: 2, ListScope: WholeList, Burst: 3, BurstWindow: time.Second, Restarts: 8,
+		RestartBatch:    4,
 		DiscoveryOutage: 4 * time.Second, RegionOutage: 4 * time.Second}
 	events, err := RunEvents(context.Background(), o, programs(), func(what string) { t.Log(what) })
 	if err != nil {
@@ -58,52 +60,53 @@
 	for _, e := range events {
 		t.Logf("%+v", e)
 		if e.InForce != nil && e.InForce.Values%33 != 0 {
-			t.Errorf("%s: %d values for 33 proxies", e.Name, e.InForce.Values)
+			t.Errorf("%s: %d values, want a multiple of 33, the number of proxies", e.Name, e.InForce.Values)
 		}
 	}
 	last := events[len(events)-1]
 	if last.Connections < 33 {
-		t.Errorf("%d connections after the silence of all 33 agents", last.Connections)
+		t.Errorf("%d connections after all 33 agents were silent, want at least 33", last.Connections)
 	}
 	if whole := float64(33 * 142); last.Peaks[0].TotalBytes < whole {
-		t.Errorf("%.0f bytes at a proxy that had the whole list anew", last.Peaks[0].TotalBytes)
+		t.Errorf("%.0f bytes at a proxy that received the whole list again, want at least 33 entries of 142 bytes",
+			last.Peaks[0].TotalBytes)
 	}
 }
 
-func TestARunThatIsTooLargeIsRefused(t *testing.T) {
+func TestDeployRejectsTooManyProcesses(t *testing.T) {
 	plan := Plan{Fleet: fleet.Generate(fleet.Default()), RealProxies: maxProcesses, ListScope: ServiceList}
 	if _, _, err := Deploy(context.Background(), plan, programs()); !errors.Is(err, ErrResourceLimit) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrResourceLimit", err)
 	}
 }
 
-func TestAnInterruptedRunLeavesNothing(t *testing.T) {
+func TestInterruptedRunLeavesNothingBehind(t *testing.T) {
 	t.Parallel()
 	ctx, interrupt := context.WithCancel(context.Background())
 	plan := Plan{Fleet: fleet.Generate(fleet.Default().ScaledTo(12)), RealProxies: 2, ListScope: ServiceList}
-	r, running, err := Deploy(ctx, plan, programs())
+	d, running, err := Deploy(ctx, plan, programs())
 	if err != nil {
 		t.Fatal(err)
 	}
-	processes := r.processIDs()
+	processes := d.processIDs()
 	interrupt()
 	if err := sleep(running, time.Minute); !errors.Is(err, context.Canceled) {
-		t.Errorf("the run goes on: %v", err)
+		t.Errorf("the run was not cancelled: %v", err)
 	}
-	r.Close()
+	d.Close()
 	for role, pids := range processes {
 		for _, pid := range pids {
 			if err := checkProcessExists(pid); err == nil {
-				t.Errorf("%s %d is still there", role, pid)
+				t.Errorf("%s process %d still exists", role, pid)
 			}
 		}
 	}
-	if _, err := os.Stat(r.directory); err == nil {
-		t.Error("its folder is still there")
+	if _, err := os.Stat(d.directory); err == nil {
+		t.Error("the directory of the run still exists")
 	}
 }
 
-func TestCallsGoThroughAChain(t *testing.T) {
+func TestCallsThroughChainSucceed(t *testing.T) {
 	t.Parallel()
 	o := AddedLatencyOptions{Rates: []float64{50}, ChainRate: 50, Depth: 4, Connections: 2, Seconds: 1, Rounds: 1}
 	all, err := MeasureAddedLatency(context.Background(), o, programs(), func(string) {})
--- a/internal/scale/totals.go
+++ b/internal/scale/totals.go
@@ -6,42 +6,42 @@
 	"sandpass/internal/scale/fleet"
 )
 
-// Origin says how a figure of the page was found.
+// Origin is how a figure on the page was obtained.
 type Origin string
 
-// How figures were found.
+// The origins of figures.
 const (
-	Measured  Origin = "m" // in the run, at this size
-	Predicted Origin = "p" // by the law that was fitted
-	Derived   Origin = "w" // by arithmetic from measured slopes
-	Assumed   Origin = "a"
+	Measured  Origin = "m" // measured in the run at this size
+	Predicted Origin = "p" // predicted by the fitted growth model
+	Derived   Origin = "w" // calculated from measured series
+	Assumed   Origin = "a" // an assumption
 )
 
-// Missing stands where no package carries something.
+// MissingMechanism marks a term without measurements, which no package implements yet.
 const MissingMechanism = "**missing**"
 
 const secondsPerDay = 86_400
 
-// Term is a part of what a role takes.
+// Term is one part of a total.
 type Term struct {
 	Name      string
-	Origin    Origin // at the operators' size
-	Mechanism string // the package that carries it
-	Series    *Series
-	At        func(proxies float64) float64
+	Origin    Origin                        // of the value at the operators' fleet size
+	Mechanism string                        // package that causes this use, or MissingMechanism
+	Series    *Series                       // nil if there is none
+	At        func(proxies float64) float64 // value for a number of proxies
 }
 
-// Total is all that a role takes of one thing, with the budget.
+// Total is the use of one resource by a role, with the budget for it.
 type Total struct {
 	Role, Resource, Unit string
-	Budget               float64 // 0: none is stated
+	Budget               float64 // 0 if the operators have set none
 	Terms                []Term
 }
 
-// Name is the one under which the page lists it as open.
+// Name returns the name under which the page lists the total as open.
 func (t Total) Name() string { return t.Role + ", " + t.Resource }
 
-// At is the sum at a number of proxies.
+// At returns the total for a number of proxies.
 func (t Total) At(proxies float64) (sum float64) {
 	for _, term := range t.Terms {
 		sum += term.At(proxies)
@@ -49,10 +49,10 @@
 	return sum
 }
 
-// Over tells whether it is over its budget.
+// OverBudget reports whether the total exceeds its budget for a number of proxies.
 func (t Total) OverBudget(proxies float64) bool { return t.Budget > 0 && t.At(proxies) > t.Budget }
 
-// figures of series that totals are made of.
+// Figures of the series that totals are calculated from, under their names in the data file.
 const (
 	figureIdleCPU        = "processor time at rest, part of a core"
 	figureIdleWatchCPU   = "processor time at rest with a configuration watch, part of a core"
@@ -71,13 +71,13 @@
 	figureConfigCPU      = "a change of configuration, processor time, s"
 )
 
-// calculator makes totals of the data.
+// calculator calculates totals from the data.
 type calculator struct {
 	data  *Data
 	fleet *fleet.Fleet
 }
 
-// value is a measured point where there is one, else what the law gives.
+// seriesValue returns the value of a series at n: the measured point if there is one, otherwise the prediction of the model.
 func seriesValue(s *Series, n float64) float64 {
 	for _, p := range s.Points {
 		if p.N == n {
@@ -87,17 +87,18 @@
 	return max(0, s.Fit.At(n))
 }
 
-// proxies is the series of a figure against the number of proxies.
-func (c calculator) seriesByProxies(role, name, setting string) *Series {
+// byProxies returns the series of a figure over the number of proxies, nil if there is none.
+func (c calculator) byProxies(role, name, setting string) *Series {
 	return c.data.findSeries(role, name, ByProxies, setting)
 }
 
+// controlSetting returns the setting of the series with the number of control machines of the fleet.
 func (c calculator) controlSetting() string {
 	return controlSetting(c.data.Sizes.ControlMachines)
 }
 
-// calls is the series of a figure against calls a second.
-func (c calculator) seriesByCallRate(name string) *Series {
+// byCallRate returns the series of a figure over the call rate, nil if there is none.
+func (c calculator) byCallRate(name string) *Series {
 	for i, s := range c.data.Series {
 		if s.Role == roleProxy && s.Figure == name && s.Variable == ByCallRate {
 			return &c.data.Series[i]
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// term is a part that goes by a series over proxies, times a factor that may go by them as well.
+// term returns a term that is a series over the number of proxies, times a factor that may depend on that number.
 func term(name, mechanism string, origin Origin, s *Series, factor func(n float64) float64) Term {
 	if s == nil {
 		return Term{Name: name, Mechanism: MissingMechanism, Origin: Measured, At: func(float64) float64 { return 0 }}
@@ -115,23 +116,25 @@
 		At: func(n float64) float64 { return factor(n) * seriesValue(s, n) }}
 }
 
-func factorOne(float64) float64 { return 1 }
+// unscaled is the factor of a term that is not scaled.
+func unscaled(float64) float64 { return 1 }
 
-// restartsASecond is how often each backend restarts.
+// restartsPerSecond returns the restarts per second of one backend.
 func (c calculator) restartsPerSecond(float64) float64 {
 	return c.data.Sizes.RestartsPerDay / float64(c.data.Sizes.Proxies) / secondsPerDay
 }
 
+// changesPerSecond returns the configuration changes per second in the fleet.
 func (c calculator) changesPerSecond(float64) float64 {
 	return c.data.Sizes.ChangesPerDay / secondsPerDay
 }
 
-// ownCalls is the calls a second at a proxy, in the mean.
+// callsPerProxy returns the mean number of calls per second at a proxy.
 func (c calculator) callsPerProxy() float64 {
 	return c.data.Sizes.CallsPerSecond / float64(c.data.Sizes.Proxies)
 }
 
-// frontCalls is the calls a second that a front proxy gets from outside, in the mean.
+// callsPerFrontProxy returns the mean number of calls per second from outside at a front proxy.
 func (c calculator) callsPerFrontProxy() float64 {
 	calls, proxies := 0.0, 0.0
 	for _, s := range c.fleet.Services {
@@ -142,8 +145,8 @@
 	return calls / max(1, proxies)
 }
 
-// byCalls is a part that goes by the calls at a proxy, not by the number of proxies.
-func callRateTerm(name, mechanism string, s *Series, calls, times float64) Term {
+// callRateTerm returns a term that depends on the calls at a proxy and not on the number of proxies.
+func callRateTerm(name, mechanism string, s *Series, calls, factor float64) Term {
 	if s == nil {
 		return Term{Name: name, Mechanism: MissingMechanism, At: func(float64) float64 { return 0 }}
 	}
@@ -154,7 +157,7 @@
 		}
 	}
 	return Term{Name: name, Mechanism: mechanism, Origin: origin, Series: s,
-		At: func(float64) float64 { return times * seriesValue(s, calls) }}
+		At: func(float64) float64 { return factor * seriesValue(s, calls) }}
 }
 
 const (
@@ -164,48 +167,59 @@
 	processMechanism = "`internal/proxy`"
 )
 
-// ofProxy are the totals of a proxy with so many calls a second, whose list is a service's.
+// proxyTotals returns the totals of a proxy that follows the list of one service, with the given calls per second.
 func (c calculator) proxyTotals(role string, calls float64) []Total {
 	budget := fleet.OperatorBudget
 	service := string(ServiceList) + " list"
 	whole := string(WholeList) + " list"
 	control := c.controlSetting()
-	traffic := Total{Role: role, Resource: "bytes a second, both ways", Unit: "bytes/s", Budget: budget.ProxyTraffic, Terms: []Term{
-		term("list watch, heartbeats", listMechanism, Measured, c.seriesByProxies(roleProxy, figureListIdle, service), factorOne),
-		term("list watch, backends that restart, one whole list of the fleet", listMechanism, Derived,
-			c.seriesByProxies(roleProxy, figureListRestarts, whole), c.restartsPerSecond),
-		callRateTerm("siblings' messages, with IP and UDP headers", siblingMechanism, c.seriesByCallRate(figureSiblingBytes), calls, 2),
-		term("configuration watch, heartbeats in", configMechanism, Measured, c.seriesByProxies(roleProxy, figureConfigIdleIn, control), factorOne),
-		term("configuration watch, out", configMechanism, Measured, c.seriesByProxies(roleProxy, figureConfigIdleOut, control), factorOne),
-		term("changes of configuration, in", configMechanism, Derived, c.seriesByProxies(roleProxy, figureConfigIn, control), c.changesPerSecond),
-		term("changes of configuration, out", configMechanism, Derived, c.seriesByProxies(roleProxy, figureConfigOut, control), c.changesPerSecond),
-	}}
+	traffic := Total{Role: role, Resource: "bytes a second, both ways", Unit: "bytes/s", Budget: budget.ProxyTraffic,
+		Terms: []Term{
+			term("list watch, heartbeats", listMechanism, Measured, c.byProxies(roleProxy, figureListIdle, service), unscaled),
+			term("list watch, backends that restart, one whole list of the fleet", listMechanism, Derived,
+				c.byProxies(roleProxy, figureListRestarts, whole), c.restartsPerSecond),
+			callRateTerm("siblings' messages, with IP and UDP headers", siblingMechanism, c.byCallRate(figureSiblingBytes),
+				calls, 2),
+			term("configuration watch, heartbeats in", configMechanism, Measured,
+				c.byProxies(roleProxy, figureConfigIdleIn, control), unscaled),
+			term("configuration watch, out", configMechanism, Measured, c.byProxies(roleProxy, figureConfigIdleOut, control),
+				unscaled),
+			term("changes of configuration, in", configMechanism, Derived, c.byProxies(roleProxy, figureConfigIn, control),
+				c.changesPerSecond),
+			term("changes of configuration, out", configMechanism, Derived, c.byProxies(roleProxy, figureConfigOut, control),
+				c.changesPerSecond),
+		}}
 	rest := term("at rest, list and configuration watch", processMechanism, Measured,
-		c.seriesByProxies(roleProxy, figureIdleWatchCPU, control), factorOne)
+		c.byProxies(roleProxy, figureIdleWatchCPU, control), unscaled)
 	if rest.Series == nil {
-		rest = term("at rest, list watch", processMechanism, Measured, c.seriesByProxies(roleProxy, figureIdleCPU, service), factorOne)
+		rest = term("at rest, list watch", processMechanism, Measured, c.byProxies(roleProxy, figureIdleCPU, service), unscaled)
 	}
-	processor := Total{Role: role, Resource: "processor time for control", Unit: "part of a core", Budget: budget.ProxyCPU, Terms: []Term{
-		rest,
-		callRateTerm("siblings' messages", siblingMechanism, c.seriesByCallRate(figureSiblingCPU), calls, 1),
-		term("backends that restart", listMechanism, Derived, c.seriesByProxies(roleProxy, figureListRestartCPU, whole), c.restartsPerSecond),
-		term("changes of configuration", configMechanism, Derived, c.seriesByProxies(roleProxy, figureConfigCPU, control), c.changesPerSecond),
-	}}
-	watchMemory := Term{Name: "configuration watch, and what it holds", Mechanism: MissingMechanism, At: func(float64) float64 { return 0 }}
-	with, without := c.seriesByProxies(roleProxy, figureWatchMemory, control), c.seriesByProxies(roleProxy, figureMemory, service)
+	processor := Total{Role: role, Resource: "processor time for control", Unit: "part of a core", Budget: budget.ProxyCPU,
+		Terms: []Term{
+			rest,
+			callRateTerm("siblings' messages", siblingMechanism, c.byCallRate(figureSiblingCPU), calls, 1),
+			term("backends that restart", listMechanism, Derived, c.byProxies(roleProxy, figureListRestartCPU, whole),
+				c.restartsPerSecond),
+			term("changes of configuration", configMechanism, Derived, c.byProxies(roleProxy, figureConfigCPU, control),
+				c.changesPerSecond),
+		}}
+	watchMemory := Term{Name: "configuration watch, and what it holds", Mechanism: MissingMechanism,
+		At: func(float64) float64 { return 0 }}
+	with, without := c.byProxies(roleProxy, figureWatchMemory, control), c.byProxies(roleProxy, figureMemory, service)
 	if with != nil && without != nil {
 		watchMemory = Term{Name: watchMemory.Name, Origin: Derived, Mechanism: configMechanism, Series: with,
 			At: func(n float64) float64 { return max(0, seriesValue(with, n)-seriesValue(without, n)) }}
 	}
 	memory := Total{Role: role, Resource: "memory", Unit: "bytes", Budget: budget.ProxyMemory, Terms: []Term{
-		term("a process with one whole list of the fleet", processMechanism, Measured, c.seriesByProxies(roleProxy, figureMemory, whole), factorOne),
+		term("a process with one whole list of the fleet", processMechanism, Measured,
+			c.byProxies(roleProxy, figureMemory, whole), unscaled),
 		watchMemory,
 	}}
 	return []Total{traffic, processor, memory}
 }
 
-// ofMachine are the totals of a machine whose backend calls several services: a process for each. Its calls are shared among
-// them, so that siblings' messages are no more than one process has.
+// machineTotals returns the totals of a machine whose backend calls several services, with a proxy process for each. The calls
+// are divided among the processes, so that they have together as many messages between siblings as a single one.
 func (c calculator) machineTotals(processes float64) (all []Total) {
 	const role = "machine whose backend calls most services"
 	for _, one := range c.proxyTotals(role, c.callsPerProxy()) {
@@ -217,7 +231,7 @@
 	return all
 }
 
-// perMachine is a total of several processes that share a machine's calls.
+// machineSum returns the total of several processes that share the calls of a machine.
 func machineSum(one Total, processes, n float64) (sum float64) {
 	for _, term := range one.Terms {
 		if term.Series != nil && term.Series.Variable == ByCallRate {
@@ -229,34 +243,35 @@
 	return sum
 }
 
-// ofReplica are the totals of a control machine.
+// replicaTotals returns the totals of a control machine.
 func (c calculator) replicaTotals(role string) []Total {
 	const mechanism = "`internal/control`, `internal/controlserver`"
 	setting := c.controlSetting()
-	at := func(name string) *Series { return c.seriesByProxies(role, name, setting) }
+	at := func(name string) *Series { return c.byProxies(role, name, setting) }
 	return []Total{
 		{Role: role, Resource: "bytes a second, both ways", Unit: "bytes/s", Terms: []Term{
-			term("at rest, in", mechanism, Measured, at("at rest, in, bytes/s"), factorOne),
-			term("at rest, out", mechanism, Measured, at("at rest, out, bytes/s"), factorOne),
+			term("at rest, in", mechanism, Measured, at("at rest, in, bytes/s"), unscaled),
+			term("at rest, out", mechanism, Measured, at("at rest, out, bytes/s"), unscaled),
 			term("changes of configuration, in", mechanism, Derived, at(figureConfigIn), c.changesPerSecond),
 			term("changes of configuration, out", mechanism, Derived, at(figureConfigOut), c.changesPerSecond),
 		}},
 		{Role: role, Resource: "processor time", Unit: "part of a core", Budget: 1, Terms: []Term{
-			term("at rest", mechanism, Measured, at(figureIdleCPU), factorOne),
+			term("at rest", mechanism, Measured, at(figureIdleCPU), unscaled),
 			term("changes of configuration", mechanism, Derived, at(figureConfigCPU), c.changesPerSecond),
 		}},
 		{Role: role, Resource: "memory", Unit: "bytes", Terms: []Term{
-			term("the process: log, state, watches", mechanism, Measured, at(figureMemory), factorOne),
+			term("the process: log, state, watches", mechanism, Measured, at(figureMemory), unscaled),
 		}},
 	}
 }
 
-// ofDiscovery are the totals of discovery's agent on one machine: the stand-in's for all, in equal parts.
+// discoveryTotals returns the totals of the discovery agent of one machine: an equal share of the stand-in process that runs
+// all agents.
 func (c calculator) discoveryTotals() []Total {
 	const role, mechanism = "discovery's agent, one machine (stand-in)", "stand-in `internal/scale/standin`"
 	setting := string(WholeList) + " list"
 	each := func(n float64) float64 { return 1 / n }
-	at := func(name string) *Series { return c.seriesByProxies(roleDiscovery, name, setting) }
+	at := func(name string) *Series { return c.byProxies(roleDiscovery, name, setting) }
 	return []Total{
 		{Role: role, Resource: "bytes a second, out", Unit: "bytes/s", Terms: []Term{
 			term("heartbeats", mechanism, Measured, at("list watch at rest, all agents, out, bytes/s"), each),
@@ -266,12 +281,13 @@
 		{Role: role, Resource: "processor time", Unit: "part of a core", Terms: []Term{
 			term("at rest", mechanism, Measured, at("processor time at rest, all agents, part of a core"), each),
 		}},
-		{Role: role, Resource: "memory", Unit: "bytes", Terms: []Term{term("all agents' process, in equal parts", mechanism, Measured,
+		{Role: role, Resource: "memory", Unit: "bytes", Terms: []Term{term("all agents' process, in equal parts", mechanism,
+			Measured,
 			at("memory, all agents, bytes"), each)}},
 	}
 }
 
-// Totals are those of all roles.
+// Totals returns the totals of all roles.
 func (d *Data) Totals() []Total {
 	c := calculator{data: d, fleet: fleet.Generate(d.Sizes)}
 	_, most := c.fleet.CalleesPerProxy()
@@ -283,7 +299,7 @@
 	return append(all, c.discoveryTotals()...)
 }
 
-// Over are the totals over their budget at the size.
+// OverBudget returns the totals that exceed their budget at the size of the fleet.
 func (d *Data) OverBudget() (over []Total) {
 	for _, t := range d.Totals() {
 		if t.OverBudget(float64(d.Sizes.Proxies)) {
