--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -1,6 +1,6 @@
-// Command sites writes variants of the kit's deployments into its own folder, by a recipe that holds only what differs. It
-// must never put anything of the kit where it would be committed, nor write a variant of a recipe that it did not wholly
-// understand.
+// Command sites generates variants of the site files of the kit in its own directory, from recipes that contain only the
+// differences. Files of the kit must not be written where they would be committed, and no variant may be written if any part
+// of a recipe is invalid.
 package main
 
 import (
@@ -16,17 +16,19 @@
 	"sandpass/internal/tomlconfig"
 )
 
-const folder = "deploy/sites"
+// siteDirectory is the directory of the recipes and the variants, relative to the root of the repository.
+const siteDirectory = "deploy/sites"
 
-// beside are the files that a bench reads next to a site.
-var beside = []string{"real.json", "wire.json", "unlock.txt"}
+// companionFiles are the files that the benchmark reads from the directory of a site file.
+var companionFiles = []string{"real.json", "wire.json", "unlock.txt"}
 
-// recipes is the file of them.
-type recipes struct {
+// recipeFile is the content of recipes.toml.
+type recipeFile struct {
 	Site []recipe `toml:"site"`
 }
 
-// recipe is one variant: single keys of tables that the base has, and lists that stand in place of its own.
+// recipe describes one variant of a base site file: new values for single keys of its tables, and lists that replace its
+// class and tenant lists.
 type recipe struct {
 	Name   string                    `toml:"name"`
 	Base   string                    `toml:"base"`
@@ -40,23 +42,23 @@
 	if len(os.Args) > 1 {
 		kit = os.Args[1]
 	}
-	if err := write(kit, folder); err != nil {
+	if err := write(kit, siteDirectory); err != nil {
 		fmt.Fprintf(os.Stderr, "deploy/sites/write: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// write makes all variants and only then puts them into the folder.
-func write(kit, into string) error {
+// write generates all variants and writes them to the directory only if none of them has failed.
+func write(kit, directory string) error {
 	if _, err := os.Stat(kit); err != nil {
 		return fmt.Errorf("the kit is missing: %w", err)
 	}
-	path := filepath.Join(into, "recipes.toml")
+	path := filepath.Join(directory, "recipes.toml")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	var all recipes
+	var all recipeFile
 	if err := tomlconfig.Decode(text, &all); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -66,31 +68,31 @@
 			return fmt.Errorf("%s: site %q: not a name for a file", path, r.Name)
 		}
 		if files[r.Name+".toml"] != nil {
-			return fmt.Errorf("%s: site %s comes twice", path, r.Name)
+			return fmt.Errorf("%s: site %s is defined twice", path, r.Name)
 		}
 		base, err := os.ReadFile(filepath.Join(kit, r.Base))
 		if err != nil {
 			return fmt.Errorf("%s: site %s: base: %w", path, r.Name, err)
 		}
-		if files[r.Name+".toml"], err = r.over(base); err != nil {
+		if files[r.Name+".toml"], err = r.apply(base); err != nil {
 			return fmt.Errorf("%s: site %s: %w", path, r.Name, err)
 		}
-		for _, name := range beside {
+		for _, name := range companionFiles {
 			if files[name], err = os.ReadFile(filepath.Join(kit, filepath.Dir(r.Base), name)); err != nil {
-				return fmt.Errorf("%s: site %s: beside its base: %w", path, r.Name, err)
+				return fmt.Errorf("%s: site %s: companion file of the base: %w", path, r.Name, err)
 			}
 		}
 	}
 	for name, text := range files {
-		if err := os.WriteFile(filepath.Join(into, name), text, fs.FileMode(0o644)); err != nil {
+		if err := os.WriteFile(filepath.Join(directory, name), text, fs.FileMode(0o644)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// over is the base with the recipe's changes.
-func (r *recipe) over(base []byte) ([]byte, error) {
+// apply returns the base with the changes of the recipe.
+func (r *recipe) apply(base []byte) ([]byte, error) {
 	site := map[string]any{}
 	if err := toml.Unmarshal(base, &site); err != nil {
 		return nil, fmt.Errorf("base %s: %w", r.Base, tomlconfig.WithPosition(err))
@@ -128,7 +130,7 @@
 	return toml.Marshal(site)
 }
 
-// keysOf are the keys that any entry of a list has.
+// keysOf returns all keys that occur in the entries of a list.
 func keysOf(list any) (known []string, err error) {
 	entries, ok := list.([]any)
 	if !ok {
