--- a/internal/scale/comparison.go
+++ b/internal/scale/comparison.go
@@ -33,9 +33,7 @@
 	sizes := fleet.Default()
 	sizes.Proxies, sizes.Services, sizes.Depth, sizes.FrontShare = 2*o.ProxiesEach, 2, 1, 1
 	plan := Plan{Fleet: fleet.Generate(sizes), RealProxies: o.ProxiesEach, ListScope: ServiceList, Peers: true,
-		CountedProxies: 2 * o.ProxiesEach,
-		SeedDefect:     o.SeedDefect,
-		Replicas:       o.Replicas}
+		CountedProxies: 2 * o.ProxiesEach, SeedDefect: o.SeedDefect, Replicas: o.Replicas}
 	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
--- a/internal/scale/control_test.go
+++ b/internal/scale/control_test.go
@@ -14,8 +14,7 @@
 	t.Parallel()
 	sizes := fleet.Default().ScaledTo(33)
 	o := ControlOptions{Sizes: sizes, RealProxies: 3, Replicas: 5, Changes: 2, Burst: 3, BurstWindow: 2 * time.Second,
-		RegionOutage: 5 * time.Second,
-		EventNames:   []string{eventChange, eventBurst, eventBusiestLost, eventRegionCut}}
+		RegionOutage: 5 * time.Second, EventNames: []string{eventChange, eventBurst, eventBusiestLost, eventRegionCut}}
 	events, err := RunControlEvents(context.Background(), o, programs(), func(what string) { t.Log(what) })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/controlevents.go
+++ b/internal/scale/controlevents.go
@@ -37,9 +37,9 @@
 
 // operator changes the configuration of the fleet.
 type operator struct {
-	deployment    *Deployment
-	base          revision.Number
-	revisionCount int
+	deployment     *Deployment
+	newestRevision revision.Number
+	revisionCount  int
 
 	acceptSeconds float64 // until control accepted the last change
 }
@@ -72,13 +72,13 @@
 		return nil, err
 	}
 	for deadline := time.Now().Add(settleTimeout); ; {
-		took, err := o.deployment.reloadSecondsSince(counts, started)
-		if err != nil || len(took) >= wanted {
-			return took, err
+		delays, err := o.deployment.reloadSecondsSince(counts, started)
+		if err != nil || len(delays) >= wanted {
+			return delays, err
 		}
 		if time.Now().After(deadline) {
-			return took, fmt.Errorf("revision %d is in force at only %d of %d proxies after %v", o.base, len(took), wanted,
-				settleTimeout)
+			return delays, fmt.Errorf("revision %d is in force at only %d of %d proxies after %v", o.newestRevision,
+				len(delays), wanted, settleTimeout)
 		}
 		if err := sleep(ctx, 2*pollInterval); err != nil {
 			return nil, err
@@ -92,11 +92,11 @@
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	number, err := o.deployment.control.apply(ctx, o.base, o.document(), atOnce)
+	number, err := o.deployment.control.apply(ctx, o.newestRevision, o.document(), atOnce)
 	if err != nil {
 		return errors.Join(err, o.deployment.control.lastLogLines())
 	}
-	o.base, o.acceptSeconds = number, time.Since(started).Seconds()
+	o.newestRevision, o.acceptSeconds = number, time.Since(started).Seconds()
 	return nil
 }
 
@@ -127,7 +127,7 @@
 }
 
 // reloadSecondsSince returns, for each configuration that has come into force since the counts m, the seconds from started.
-func (d *Deployment) reloadSecondsSince(m reloadCounts, started time.Time) (took []float64, err error) {
+func (d *Deployment) reloadSecondsSince(m reloadCounts, started time.Time) (delays []float64, err error) {
 	for g, group := range d.inProcess {
 		if group == nil {
 			continue
@@ -137,15 +137,15 @@
 			return nil, err
 		}
 		for _, at := range a.AppliedAt {
-			took = append(took, at-float64(started.UnixNano())/1e9)
+			delays = append(delays, at-float64(started.UnixNano())/1e9)
 		}
 	}
 	for i, s := range d.realProxies {
 		for _, at := range s.reloadTimes()[m.realProxies[i]:] {
-			took = append(took, at.Sub(started).Seconds())
+			delays = append(delays, at.Sub(started).Seconds())
 		}
 	}
-	return took, nil
+	return delays, nil
 }
 
 // RunControlEvents runs the events, one after another, in a fleet with a control service and measures each.
@@ -158,8 +158,7 @@
 	}
 	defer d.Close()
 	s := controlScenario{ctx: ctx, deployment: d, options: o, operator: operator{deployment: d}}
-	if _,
-		err := s.operator.change(ctx, false, s.proxyCount()); err != nil { // the first revision contains the whole configuration
+	if _, err := s.operator.change(ctx, false, s.proxyCount()); err != nil { // the first revision is the whole configuration
 		return nil, err
 	}
 	var all []Event
@@ -204,26 +203,26 @@
 // idle lets the fleet run without changes.
 func (s *controlScenario) idle(*Event) error { return sleep(s.ctx, 8*sampleInterval) }
 
-// changes makes configuration changes one after another.
-func (s *controlScenario) changes(e *Event, count int, atOnce bool, every time.Duration) error {
-	return e.changes(s.ctx, count, every, func(int) ([]float64, error) {
+// makeChanges makes configuration changes one after another.
+func (s *controlScenario) makeChanges(e *Event, count int, atOnce bool, every time.Duration) error {
+	return e.makeChanges(s.ctx, count, every, func(int) ([]float64, error) {
 		return s.operator.change(s.ctx, atOnce, s.proxyCount())
 	})
 }
 
 // change makes guarded changes.
 func (s *controlScenario) change(e *Event) error {
-	return s.changes(e, s.options.Changes, false, 2*sampleInterval)
+	return s.makeChanges(e, s.options.Changes, false, 2*sampleInterval)
 }
 
 // atOnce makes changes that skip the guard.
 func (s *controlScenario) atOnce(e *Event) error {
-	return s.changes(e, s.options.Changes, true, 2*sampleInterval)
+	return s.makeChanges(e, s.options.Changes, true, 2*sampleInterval)
 }
 
 // burst makes many changes in a short time.
 func (s *controlScenario) burst(e *Event) error {
-	return s.changes(e, s.options.Burst, false, s.options.BurstWindow/time.Duration(s.options.Burst))
+	return s.makeChanges(e, s.options.Burst, false, s.options.BurstWindow/time.Duration(s.options.Burst))
 }
 
 // loseReplicas kills replicas, waits until all proxies are connected to others, makes a change and starts the replicas
@@ -247,11 +246,11 @@
 	e.Connections = affected
 	e.Note = fmt.Sprintf("%d proxies hung on what was lost; settled: all on other machines; in force: a change after that",
 		affected)
-	took, err := s.operator.change(s.ctx, false, s.proxyCount())
+	delays, err := s.operator.change(s.ctx, false, s.proxyCount())
 	if err != nil {
 		return err
 	}
-	e.InForce = quantiles(took)
+	e.InForce = quantiles(delays)
 	e.Note += fmt.Sprintf(", accepted after %.2f s", s.operator.acceptSeconds)
 	return s.restartReplicas(lost)
 }
@@ -321,7 +320,7 @@
 	if err != nil {
 		return err
 	}
-	took, err := s.operator.change(s.ctx, false, s.proxyCount()-inside)
+	delays, err := s.operator.change(s.ctx, false, s.proxyCount()-inside)
 	if err != nil {
 		return err
 	}
@@ -347,7 +346,7 @@
 			return err
 		}
 	}
-	e.InForce = quantiles(took)
+	e.InForce = quantiles(delays)
 	e.Note = fmt.Sprintf("%d proxies in %s are cut off; in force: at the others, during the cut; settled: at all, after it has healed",
 		inside, region)
 	if err := s.deployment.control.awaitConnected(s.ctx, s.proxyCount()); err != nil {
@@ -373,7 +372,7 @@
 	e.SettledSeconds = time.Since(started).Seconds()
 	e.Connections = s.proxyCount()
 	e.Note = "settled: a leader and all proxies connected, from the machines' start"
-	took, err := s.operator.change(s.ctx, false, s.proxyCount())
-	e.InForce = quantiles(took)
+	delays, err := s.operator.change(s.ctx, false, s.proxyCount())
+	e.InForce = quantiles(delays)
 	return err
 }
--- a/internal/scale/controlslopes.go
+++ b/internal/scale/controlslopes.go
@@ -14,15 +14,14 @@
 	progress func(string)) ([]Series, error) {
 	var all []Series
 	for _, count := range replicas {
-		c := seriesBuilder{against: ByProxies, setting: controlSetting(count)}
+		c := seriesBuilder{variable: ByProxies, setting: controlSetting(count)}
 		counts := o.ProxyCounts
 		if count != o.Sizes.ControlMachines { // the fewest sizes that a model can be fitted to
 			counts = []int{counts[0], counts[len(counts)/2], counts[len(counts)-1]}
 		}
 		for _, n := range counts {
 			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), RealProxies: min(n, o.RealProxies), ListScope: ServiceList,
-				Peers:    true,
-				Replicas: count}
+				Peers: true, Replicas: count}
 			figures, err := controlFigures(ctx, o, plan, changes, programs)
 			if err != nil {
 				return nil, fmt.Errorf("%d proxies, %d replicas: %w", n, count, err)
@@ -103,8 +102,8 @@
 	}
 	defer d.Close()
 	operator := operator{deployment: d}
-	all := len(plan.Fleet.Proxies)
-	if _, err := operator.change(ctx, false, all); err != nil { // the first revision contains the whole configuration
+	proxies := len(plan.Fleet.Proxies)
+	if _, err := operator.change(ctx, false, proxies); err != nil { // the first revision is the whole configuration
 		return nil, err
 	}
 	if err := sleep(ctx, time.Second); err != nil {
@@ -114,14 +113,14 @@
 	if err != nil {
 		return nil, err
 	}
-	var took []float64
-	busy, err := d.measureControl(func() error {
+	var delays []float64
+	withChanges, err := d.measureControl(func() error {
 		for range changes {
-			one, err := operator.change(ctx, false, all)
+			one, err := operator.change(ctx, false, proxies)
 			if err != nil {
 				return err
 			}
-			took = append(took, one...)
+			delays = append(delays, one...)
 			if err := sleep(ctx, time.Second); err != nil {
 				return err
 			}
@@ -131,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return append(controlIdleFigures(idle), controlChangeFigures(busy, idle, changes, took)...), nil
+	return append(controlIdleFigures(idle), controlChangeFigures(withChanges, idle, changes, delays)...), nil
 }
 
 // controlIdleFigures returns the figures of an idle fleet with a control service.
@@ -157,9 +156,9 @@
 }
 
 // controlChangeFigures returns the figures of one configuration change, without the idle use.
-func controlChangeFigures(s, idle *controlInterval, changes int, took []float64) []figure {
+func controlChangeFigures(s, idle *controlInterval, changes int, delays []float64) []figure {
 	overIdle := func(busy, base float64) float64 { return max(0, busy-base/idle.seconds*s.seconds) / float64(changes) }
-	q := quantiles(took)
+	q := quantiles(delays)
 	figures := []figure{
 		{roleProxy, "a change of configuration, in", "bytes",
 			overIdle(mean(s.proxyTraffic, bytesIn), mean(idle.proxyTraffic, bytesIn))},
--- a/internal/scale/deployment.go
+++ b/internal/scale/deployment.go
@@ -22,9 +22,9 @@
 	"sandpass/internal/scale/standin"
 )
 
-// Limits of a run: less than half of the memory of the machine, and a few hundred processes.
+// Limits of a run.
 const (
-	maxMemoryBytes        = 12e9
+	maxMemoryBytes        = 12e9 // less than half of the memory of the machine
 	maxProcesses          = 300
 	resourceCheckInterval = time.Second
 	settleTimeout         = 60 * time.Second
@@ -43,7 +43,7 @@
 	Fleet          *fleet.Fleet
 	ListScope      ListScope
 	Peers          bool                // siblings know the addresses of one another
-	CountedProxies int                 // number of proxies, the first ones, whose messages are counted; RealProxies if smaller
+	CountedProxies int                 // number of proxies, the first ones, whose messages are counted; at least RealProxies
 	Group          func(proxy int) int // group of an in-process proxy, each group a process, numbered from 0; nil: one group
 	SeedDefect     bool                // for tests: in-process proxies do not run
 	Replicas       int                 // control replicas; 0: no control service
@@ -388,7 +388,7 @@
 // file and SIGHUP, in-process proxies a request.
 func (d *Deployment) reload(ctx context.Context, modify func(config *proxyConfig)) ([]float64, error) {
 	started := time.Now()
-	var took []float64
+	var delays []float64
 	before := map[int]int{}
 	for i, s := range d.realProxies {
 		config := d.proxyConfig(i)
@@ -409,7 +409,7 @@
 		if err != nil {
 			return nil, err
 		}
-		took = append(took, more...)
+		delays = append(delays, more...)
 	}
 	for i, s := range d.realProxies {
 		deadline := time.Now().Add(settleTimeout)
@@ -423,9 +423,9 @@
 			}
 			reloads = s.reloadTimes()
 		}
-		took = append(took, reloads[before[i]].Sub(started).Seconds())
+		delays = append(delays, reloads[before[i]].Sub(started).Seconds())
 	}
-	return took, nil
+	return delays, nil
 }
 
 // reloadGroup changes the configurations of the in-process proxies of a group.
@@ -444,11 +444,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var took []float64
+	var delays []float64
 	for _, at := range a.AppliedAt {
-		took = append(took, at-float64(started.UnixNano())/1e9)
+		delays = append(delays, at-float64(started.UnixNano())/1e9)
 	}
-	return took, nil
+	return delays, nil
 }
 
 // processIDs returns the IDs of all processes of the deployment by role.
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -94,8 +94,8 @@
 
 // change changes the configuration of every proxy once.
 func (s eventScenario) change(e *Event) error {
-	took, err := s.deployment.reload(s.ctx, changeSettings(1))
-	e.InForce = quantiles(took)
+	delays, err := s.deployment.reload(s.ctx, changeSettings(1))
+	e.InForce = quantiles(delays)
 	e.SettledSeconds = e.InForce.Max
 	e.Note = "from the moment at which every file is in place: nothing carries the files"
 	return err
@@ -104,21 +104,21 @@
 // burst makes many changes in a short time.
 func (s eventScenario) burst(e *Event) error {
 	every := s.options.BurstWindow / time.Duration(s.options.Burst)
-	return e.changes(s.ctx, s.options.Burst, every, func(k int) ([]float64, error) {
+	return e.makeChanges(s.ctx, s.options.Burst, every, func(k int) ([]float64, error) {
 		return s.deployment.reload(s.ctx, changeSettings(2+k))
 	})
 }
 
-// changes makes changes at a fixed interval and records the seconds until each was in force.
-func (e *Event) changes(ctx context.Context, count int, every time.Duration, change func(k int) ([]float64, error)) error {
+// makeChanges makes changes at a fixed interval and records the seconds until each was in force.
+func (e *Event) makeChanges(ctx context.Context, count int, every time.Duration, change func(k int) ([]float64, error)) error {
 	var all []float64
 	for k := range count {
 		next := time.Now().Add(every)
-		took, err := change(k)
+		delays, err := change(k)
 		if err != nil {
 			return err
 		}
-		all = append(all, took...)
+		all = append(all, delays...)
 		if err := sleep(ctx, time.Until(next)); err != nil {
 			return err
 		}
--- a/internal/scale/runner.go
+++ b/internal/scale/runner.go
@@ -24,8 +24,7 @@
 	switch part {
 	case "likeness":
 		data.Comparisons, err = CompareInProcess(ctx, ComparisonOptions{ProxiesEach: 20, Restarts: 40, RestartsPerSecond: 5,
-			CallsPerSecond: 60, CallSeconds: 8,
-			IdleTime: 4 * time.Second,
+			CallsPerSecond: 60, CallSeconds: 8, IdleTime: 4 * time.Second,
 			Replicas: r.Sizes.ControlMachines, Changes: 10}, r.Programs)
 	case "keepers":
 		series, err = SiblingSlopes(ctx, SiblingOptions{Siblings: []int{2, 4, 8, 12, 16}, Rates: []float64{39, 79, 118, 157, 236},
@@ -33,9 +32,8 @@
 			r.Programs, r.Progress)
 	case "slopes":
 		series, err = ProxySlopes(ctx, SlopeOptions{Sizes: r.Sizes, ProxyCounts: r.ProxyCounts, FitUpTo: r.Sizes.Proxies,
-			RealProxies: r.RealProxies,
-			IdleTime:    8 * time.Second,
-			Restarts:    60, RestartsPerSecond: 8, ListScopes: []ListScope{ServiceList, WholeList}}, r.Programs, r.Progress)
+			RealProxies: r.RealProxies, IdleTime: 8 * time.Second,
+			Restarts: 60, RestartsPerSecond: 8, ListScopes: []ListScope{ServiceList, WholeList}}, r.Programs, r.Progress)
 	case "otherslopes":
 		series, err = ServiceAndChangeSlopes(ctx, r)
 	case "events":
@@ -55,24 +53,20 @@
 	case "control":
 		var events []Event
 		events, err = RunControlEvents(ctx, ControlOptions{Sizes: r.Sizes, RealProxies: r.RealProxies,
-			Replicas: r.Sizes.ControlMachines,
-			Changes:  10, Burst: 30,
+			Replicas: r.Sizes.ControlMachines, Changes: 10, Burst: 30,
 			BurstWindow: time.Minute, RegionOutage: time.Minute, EventNames: r.EventNames}, r.Programs, r.Progress)
 		for _, e := range events {
 			data.replaceEvent(e)
 		}
 	case "controlslopes":
 		series, err = ControlSlopes(ctx, SlopeOptions{Sizes: r.Sizes, ProxyCounts: r.ProxyCounts, FitUpTo: r.Sizes.Proxies,
-			RealProxies: r.RealProxies,
-			IdleTime:    8 * time.Second},
+			RealProxies: r.RealProxies, IdleTime: 8 * time.Second},
 			[]int{r.Sizes.ControlMachines, 3}, 5, r.Programs, r.Progress)
 	case "added":
 		const callsPerProxy = 157 // calls per second at each proxy in a fleet of the operators' size
 		var added []AddedLatency
 		added, err = MeasureAddedLatency(ctx, AddedLatencyOptions{Rates: []float64{callsPerProxy, 2 * callsPerProxy},
-			ChainRate:   callsPerProxy,
-			Depth:       r.Sizes.Depth,
-			Connections: 4, Seconds: 5, Rounds: 4}, r.Programs, r.Progress)
+			ChainRate: callsPerProxy, Depth: r.Sizes.Depth, Connections: 4, Seconds: 5, Rounds: 4}, r.Programs, r.Progress)
 		for _, a := range added {
 			data.replaceAdded(a)
 		}
--- a/internal/scale/servicechangeslopes.go
+++ b/internal/scale/servicechangeslopes.go
@@ -11,7 +11,7 @@
 // ServiceSlopes measures how the figures depend on the number of services, with a fixed number of proxies.
 func ServiceSlopes(ctx context.Context, o SlopeOptions, proxies int, services []int, programs Programs,
 	progress func(string)) ([]Series, error) {
-	c := seriesBuilder{against: ByServices, setting: fmt.Sprintf("%d proxies, service list", proxies)}
+	c := seriesBuilder{variable: ByServices, setting: fmt.Sprintf("%d proxies, service list", proxies)}
 	for _, count := range services {
 		sizes := o.Sizes.ScaledTo(proxies)
 		sizes.Services = count
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	defer d.Close()
-	c := seriesBuilder{against: ByChangeRate, setting: fmt.Sprintf("%d proxies, whole list", proxies)}
+	c := seriesBuilder{variable: ByChangeRate, setting: fmt.Sprintf("%d proxies, whole list", proxies)}
 	for _, rate := range rates {
 		restarts := max(1, int(rate/entries*o.IdleTime.Seconds()))
 		s, err := d.measure(func() error { return d.restartBackends(ctx, restarts, rate/entries) })
@@ -58,13 +58,13 @@
 const idleTime = 8 * time.Second // for each measurement of an idle fleet
 
 // ServiceAndChangeSlopes measures how the figures depend on the number of services and on the rate of list changes.
-func ServiceAndChangeSlopes(ctx context.Context, m *Runner) ([]Series, error) {
+func ServiceAndChangeSlopes(ctx context.Context, r *Runner) ([]Series, error) {
 	const proxies = 140
-	o := SlopeOptions{Sizes: m.Sizes, RealProxies: m.RealProxies, IdleTime: idleTime, Restarts: 30, RestartsPerSecond: 8}
-	series, err := ServiceSlopes(ctx, o, proxies, []int{4, 7, 13, 26, 52}, m.Programs, m.Progress)
+	o := SlopeOptions{Sizes: r.Sizes, RealProxies: r.RealProxies, IdleTime: idleTime, Restarts: 30, RestartsPerSecond: 8}
+	series, err := ServiceSlopes(ctx, o, proxies, []int{4, 7, 13, 26, 52}, r.Programs, r.Progress)
 	if err != nil {
 		return nil, err
 	}
-	more, err := ChangeSlopes(ctx, o, proxies, []float64{3, 6, 12, 24, 48}, m.Programs, m.Progress)
+	more, err := ChangeSlopes(ctx, o, proxies, []float64{3, 6, 12, 24, 48}, r.Programs, r.Progress)
 	return append(series, more...), err
 }
--- a/internal/scale/siblings.go
+++ b/internal/scale/siblings.go
@@ -24,7 +24,7 @@
 
 // SiblingSlopes measures how the messages between siblings grow with the call rate and with the number of siblings.
 func SiblingSlopes(ctx context.Context, o SiblingOptions, programs Programs, progress func(string)) ([]Series, error) {
-	byCalls := seriesBuilder{against: ByCallRate, setting: fmt.Sprintf("%d siblings", o.FixedSiblings)}
+	byCalls := seriesBuilder{variable: ByCallRate, setting: fmt.Sprintf("%d siblings", o.FixedSiblings)}
 	for _, rate := range o.Rates {
 		figures, err := siblingFigures(ctx, o.FixedSiblings, rate, o.Seconds, programs)
 		if err != nil {
@@ -33,7 +33,7 @@
 		byCalls.add(rate, figures)
 		progress(fmt.Sprintf("%d siblings, %.0f calls/s", o.FixedSiblings, rate))
 	}
-	bySiblings := seriesBuilder{against: BySiblings, setting: fmt.Sprintf("%.0f calls/s", o.FixedRate)}
+	bySiblings := seriesBuilder{variable: BySiblings, setting: fmt.Sprintf("%.0f calls/s", o.FixedRate)}
 	for _, n := range o.Siblings {
 		figures, err := siblingFigures(ctx, n, o.FixedRate, o.Seconds, programs)
 		if err != nil {
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -23,9 +23,9 @@
 
 // seriesBuilder collects the figures of several sizes into series.
 type seriesBuilder struct {
-	against Variable
-	setting string
-	series  []Series
+	variable Variable
+	setting  string
+	series   []Series
 }
 
 // add adds the figures measured at the size n.
@@ -43,7 +43,7 @@
 			return &b.series[i]
 		}
 	}
-	b.series = append(b.series, Series{Role: f.role, Figure: name, Unit: f.unit, Variable: b.against, Setting: b.setting})
+	b.series = append(b.series, Series{Role: f.role, Figure: name, Unit: f.unit, Variable: b.variable, Setting: b.setting})
 	return &b.series[len(b.series)-1]
 }
 
@@ -62,7 +62,7 @@
 func ProxySlopes(ctx context.Context, o SlopeOptions, programs Programs, progress func(string)) ([]Series, error) {
 	var all []Series
 	for _, lists := range o.ListScopes {
-		c := seriesBuilder{against: ByProxies, setting: string(lists) + " list"}
+		c := seriesBuilder{variable: ByProxies, setting: string(lists) + " list"}
 		for _, n := range o.ProxyCounts {
 			plan := Plan{Fleet: fleet.Generate(o.Sizes.ScaledTo(n)), RealProxies: min(n, o.RealProxies), ListScope: lists,
 				Peers: true}
--- a/internal/scale/smallfleet_test.go
+++ b/internal/scale/smallfleet_test.go
@@ -15,9 +15,7 @@
 func TestGrowthModelsOfSmallFleet(t *testing.T) {
 	t.Parallel()
 	o := SlopeOptions{Sizes: fleet.Default(), ProxyCounts: []int{8, 16, 32, 64}, FitUpTo: 32, RealProxies: 2,
-		IdleTime: 2 * time.Second,
-		Restarts: 8, RestartsPerSecond: 8,
-		ListScopes: []ListScope{WholeList}}
+		IdleTime: 2 * time.Second, Restarts: 8, RestartsPerSecond: 8, ListScopes: []ListScope{WholeList}}
 	series, err := ProxySlopes(context.Background(), o, programs(), func(string) {})
 	if err != nil {
 		t.Fatal(err)
@@ -51,8 +49,7 @@
 	t.Parallel()
 	sizes := fleet.Default().ScaledTo(33)
 	o := EventOptions{Sizes: sizes, RealProxies: 2, ListScope: WholeList, Burst: 3, BurstWindow: time.Second, Restarts: 8,
-		RestartBatch:    4,
-		DiscoveryOutage: 4 * time.Second, RegionOutage: 4 * time.Second}
+		RestartBatch: 4, DiscoveryOutage: 4 * time.Second, RegionOutage: 4 * time.Second}
 	events, err := RunEvents(context.Background(), o, programs(), func(what string) { t.Log(what) })
 	if err != nil {
 		t.Fatal(err)
