--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -22,7 +22,7 @@
 	RegionOutage    time.Duration // how long a region is cut off from discovery
 }
 
-const lostZone = 3 // index of the zone
+const lostZone = 3 // index of the zone that is lost, modulo the number of zones
 
 // Groups of in-process proxies. From firstRestartGroup on there is a group for each batch of restarts.
 const (
--- a/internal/scale/helper/inprocess.go
+++ b/internal/scale/helper/inprocess.go
@@ -19,7 +19,8 @@
 )
 
 // inProcessHelper is the helper that runs many proxies in one process. Each is a complete proxy.Proxy with its event loop,
-// watches, sockets and timers. It differs from a proxy in a process of its own only in that it receives no calls.
+// watches, sockets and timers. It receives no calls, except in the comparison with proxies that
+// have processes of their own, and differs from them in nothing else.
 type inProcessHelper struct {
 	proxies []*runningProxy
 	reloads reloadLog
@@ -84,12 +85,12 @@
 	}
 	debug.SetMemoryLimit(memoryLimitBytes)
 	for i, text := range r.Configs {
-		launch, err := proxy.ParseConfig(text)
+		config, err := proxy.ParseConfig(text)
 		if err != nil {
 			return err
 		}
 		if len(r.OperatorFiles) > 0 && r.OperatorFiles[i] != "" {
-			if err := launch.LoadOperatorFile(r.OperatorFiles[i]); err != nil {
+			if err := config.LoadOperatorFile(r.OperatorFiles[i]); err != nil {
 				return err
 			}
 		}
@@ -99,9 +100,9 @@
 			close(m.done)
 			continue
 		}
-		if m.proxy, err = proxy.New(launch); err != nil {
+		if m.proxy, err = proxy.New(config); err != nil {
 			close(m.done)
-			return fmt.Errorf("%s: %w", launch.Name, err)
+			return fmt.Errorf("%s: %w", config.Name, err)
 		}
 		go func() {
 			defer close(m.done)
@@ -125,12 +126,12 @@
 			return nil, fmt.Errorf("in-process proxy %d does not exist", n)
 		}
 		wait.Go(func() {
-			launch, err := proxy.ParseConfig(r.Configs[i])
+			config, err := proxy.ParseConfig(r.Configs[i])
 			if err == nil {
-				err = proxy.Check(launch)
+				err = proxy.Check(config)
 			}
 			if failures[i] = err; err == nil {
-				h.proxies[n].proxy.Reload(launch)
+				h.proxies[n].proxy.Reload(config)
 			}
 		})
 	}
--- a/internal/scale/siblinglinks.go
+++ b/internal/scale/siblinglinks.go
@@ -7,8 +7,8 @@
 	"sandpass/internal/scale/meter"
 )
 
-// siblingLinks forwards the messages between counted siblings and counts them. Other pairs of siblings have no forwarder:
-// in-process proxies receive no calls and so exchange no messages.
+// siblingLinks forwards the messages between counted siblings and counts them. Other pairs of siblings have no forwarder: one
+// of them is an in-process proxy without calls, so that they exchange no messages.
 type siblingLinks struct {
 	plan      Plan
 	addresses addresses
@@ -17,9 +17,9 @@
 
 // newSiblingLinks starts a forwarder for each pair of counted siblings, none if the plan has no Peers.
 func newSiblingLinks(plan Plan, a addresses) (*siblingLinks, error) {
-	r := &siblingLinks{plan: plan, addresses: a, pairs: map[[2]int]*faultnet.DatagramForwarder{}}
+	s := &siblingLinks{plan: plan, addresses: a, pairs: map[[2]int]*faultnet.DatagramForwarder{}}
 	if !plan.Peers {
-		return r, nil
+		return s, nil
 	}
 	for i := range max(plan.RealProxies, plan.CountedProxies) {
 		members, _ := siblingIndexes(plan.Fleet, i)
@@ -31,13 +31,13 @@
 				netip.MustParseAddrPort(a.at(k, siblingPort)),
 				plan.Fleet.Sizes.Seed+uint64(i*len(plan.Fleet.Proxies)+k))
 			if err != nil {
-				r.close()
+				s.close()
 				return nil, err
 			}
-			r.pairs[[2]int{i, k}] = pair
+			s.pairs[[2]int{i, k}] = pair
 		}
 	}
-	return r, nil
+	return s, nil
 }
 
 // peers returns the addresses that a proxy uses for its siblings and itself, and its own index among them.
