--- a/internal/scale/controlevents.go
+++ b/internal/scale/controlevents.go
@@ -13,21 +13,21 @@
 	"sandpass/internal/scale/helper"
 )
 
-const acceptedWithin = 20 * time.Second // for a change
+const applyTimeout = 20 * time.Second // for control to accept a change
 
-// ControlOptions say what happens to a fleet that has its configuration from control.
+// ControlOptions are the parameters of the events in a fleet whose proxies get their configuration from control.
 type ControlOptions struct {
 	Sizes        fleet.Sizes
 	RealProxies  int
 	Replicas     int
-	Changes      int // of configuration, one after another
-	Burst        int // changes within BurstIn
+	Changes      int // configuration changes, one after another
+	Burst        int // configuration changes within BurstWindow
 	BurstWindow  time.Duration
-	RegionOutage time.Duration // of a region
-	EventNames   []string      // names of events; nil: all of them
+	RegionOutage time.Duration // how long a region is cut off
+	EventNames   []string      // events to run; nil: all
 }
 
-// Names of events.
+// Names of events, as in the data file.
 const (
 	eventChange      = "control: a change of configuration"
 	eventBurst       = "control: a burst of changes"
@@ -35,79 +35,81 @@
 	eventRegionCut   = "control: a region is cut off"
 )
 
-// operator is one who changes the fleet's configuration.
+// operator changes the configuration of the fleet.
 type operator struct {
-	rig  *Deployment
-	base revision.Number
-	step int
+	deployment     *Deployment
+	newestRevision revision.Number
+	revisionCount  int
 
-	accepted float64 // seconds that the last change took to be accepted
+	acceptSeconds float64 // until control accepted the last change
 }
 
-// document is a configuration of about the size of a change: what each customer may have.
+// document returns a configuration of about Sizes.ChangeBytes, an allowance for each of many customers.
 func (o *operator) document() revision.Document {
 	type realm struct {
 		Name      string  `json:"name"`
 		Allowance float64 `json:"allowance_per_s"`
 	}
-	const realmBytes = 45 // of one in JSON
+	const realmBytes = 45 // size of one entry in JSON
 	realms := []realm{{"c0", 1e6}}
-	for i := range o.rig.plan.Fleet.Sizes.ChangeBytes / realmBytes {
-		realms = append(realms, realm{fmt.Sprintf("customer-%04d", i), float64(100_000 + o.step)})
+	for i := range o.deployment.plan.Fleet.Sizes.ChangeBytes / realmBytes {
+		realms = append(realms, realm{fmt.Sprintf("customer-%04d", i), float64(100_000 + o.revisionCount)})
 	}
-	text, _ := json.Marshal(map[string]any{"settings": map[string]any{"realms": realms}}) // it has nothing that can't be encoded
-	document, _ := revision.Canonicalize(text)                                            // and is an object
+	text, _ := json.Marshal(map[string]any{"settings": map[string]any{"realms": realms}}) // all values can be encoded
+	document, _ := revision.Canonicalize(text)                                            // the text is an object
 	return document
 }
 
-// change makes a revision and waits until it is in force at so many proxies, or a minute has passed. It gives the seconds from
-// the moment of the call, of each proxy.
+// change creates a revision and waits until it is in force at the wanted number of proxies, for at most a minute. It returns
+// the seconds from the call until it was in force, for each proxy.
 func (o *operator) change(ctx context.Context, atOnce bool, wanted int) ([]float64, error) {
-	marks, err := o.rig.marks()
+	counts, err := o.deployment.reloadCounts()
 	if err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	started := time.Now()
 	if err := o.apply(ctx, atOnce); err != nil {
 		return nil, err
 	}
-	for deadline := time.Now().Add(settledWithin); ; {
-		took, err := o.rig.takenOver(marks, begun)
-		if err != nil || len(took) >= wanted {
-			return took, err
+	for deadline := time.Now().Add(settleTimeout); ; {
+		delays, err := o.deployment.reloadSecondsSince(counts, started)
+		if err != nil || len(delays) >= wanted {
+			return delays, err
 		}
 		if time.Now().After(deadline) {
-			return took, fmt.Errorf("revision %d is in force at %d of %d proxies after %v", o.base, len(took), wanted, settledWithin)
+			return delays, fmt.Errorf("revision %d is in force at only %d of %d proxies after %v", o.newestRevision,
+				len(delays), wanted, settleTimeout)
 		}
-		if err := pause(ctx, 2*lookEvery); err != nil {
+		if err := sleep(ctx, 2*pollInterval); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// apply makes a revision over the newest one.
+// apply creates a revision on top of the newest one.
 func (o *operator) apply(ctx context.Context, atOnce bool) error {
-	o.step++
-	begun := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, acceptedWithin)
+	o.revisionCount++
+	started := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	number, err := o.rig.control.apply(ctx, o.base, o.document(), atOnce)
+	number, err := o.deployment.control.apply(ctx, o.newestRevision, o.document(), atOnce)
 	if err != nil {
-		return errors.Join(err, o.rig.control.lastWords())
+		return errors.Join(err, o.deployment.control.lastLogLines())
 	}
-	o.base, o.accepted = number, time.Since(begun).Seconds()
+	o.newestRevision, o.acceptSeconds = number, time.Since(started).Seconds()
 	return nil
 }
 
-// marks is how many configurations have come into force so far, by process.
-type marks struct {
-	groups  []int
-	servers map[int]int
+// reloadCounts is the number of configurations that have come into force so far in each process.
+type reloadCounts struct {
+	groups      []int       // of in-process proxies
+	realProxies map[int]int // by index in the fleet
 }
 
-func (r *Deployment) marks() (marks, error) {
-	m := marks{groups: make([]int, len(r.hollow)), servers: map[int]int{}}
-	for g, group := range r.hollow {
+// reloadCounts returns the current counts.
+func (d *Deployment) reloadCounts() (reloadCounts, error) {
+	m := reloadCounts{groups: make([]int, len(d.inProcess)), realProxies: map[int]int{}}
+	for g, group := range d.inProcess {
 		if group == nil {
 			continue
 		}
@@ -118,15 +120,15 @@
 		}
 		m.groups[g] = len(a.AppliedAt)
 	}
-	for i, s := range r.servers {
-		m.servers[i] = len(s.reloads())
+	for i, s := range d.realProxies {
+		m.realProxies[i] = len(s.reloadTimes())
 	}
 	return m, nil
 }
 
-// takenOver is the seconds until each configuration since the marks came into force.
-func (r *Deployment) takenOver(m marks, begun time.Time) (took []float64, err error) {
-	for g, group := range r.hollow {
+// reloadSecondsSince returns, for each configuration that has come into force since the counts m, the seconds from started.
+func (d *Deployment) reloadSecondsSince(m reloadCounts, started time.Time) (delays []float64, err error) {
+	for g, group := range d.inProcess {
 		if group == nil {
 			continue
 		}
@@ -135,27 +137,28 @@
 			return nil, err
 		}
 		for _, at := range a.AppliedAt {
-			took = append(took, at-float64(begun.UnixNano())/1e9)
+			delays = append(delays, at-float64(started.UnixNano())/1e9)
 		}
 	}
-	for i, s := range r.servers {
-		for _, at := range s.reloads()[m.servers[i]:] {
-			took = append(took, at.Sub(begun).Seconds())
+	for i, s := range d.realProxies {
+		for _, at := range s.reloadTimes()[m.realProxies[i]:] {
+			delays = append(delays, at.Sub(started).Seconds())
 		}
 	}
-	return took, nil
+	return delays, nil
 }
 
-// ControlEvents has each event happen to a fleet with control, one after another.
+// RunControlEvents runs the events, one after another, in a fleet with a control service and measures each.
 func RunControlEvents(ctx context.Context, o ControlOptions, programs Programs, progress func(string)) ([]Event, error) {
-	plan := Plan{Fleet: fleet.Generate(o.Sizes), RealProxies: o.RealProxies, ListScope: ServiceList, Peers: true, Replicas: o.Replicas}
-	r, ctx, err := Deploy(ctx, plan, programs)
+	plan := Plan{Fleet: fleet.Generate(o.Sizes), RealProxies: o.RealProxies, ListScope: ServiceList, Peers: true,
+		Replicas: o.Replicas}
+	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	s := controlStage{ctx: ctx, rig: r, options: o, operator: operator{rig: r}}
-	if _, err := s.operator.change(ctx, false, s.all()); err != nil { // the first is a whole configuration
+	defer d.Close()
+	s := controlScenario{ctx: ctx, deployment: d, options: o, operator: operator{deployment: d}}
+	if _, err := s.operator.change(ctx, false, s.proxyCount()); err != nil { // the first revision is the whole configuration
 		return nil, err
 	}
 	var all []Event
@@ -163,20 +166,20 @@
 		name string
 		do   func(e *Event) error
 	}{
-		{"control: at rest", s.rest},
+		{"control: at rest", s.idle},
 		{eventChange, s.change},
 		{"control: a change at once, without the guard", s.atOnce},
 		{eventBurst, s.burst},
-		{"control: the leader is lost", s.leaderLost},
-		{eventBusiestLost, s.busiestLost},
-		{eventRegionCut, s.regionCut},
-		{"control: changes at three of five machines", s.threeLeft},
-		{"control: all machines are lost, a change when they are back", s.allLost},
+		{"control: the leader is lost", s.loseLeader},
+		{eventBusiestLost, s.loseBusiest},
+		{eventRegionCut, s.cutRegion},
+		{"control: changes at three of five machines", s.loseTwo},
+		{"control: all machines are lost, a change when they are back", s.loseAll},
 	} {
 		if o.EventNames != nil && !slices.Contains(o.EventNames, step.name) {
 			continue
 		}
-		e, err := r.observe(ctx, Event{Name: step.name}, step.do)
+		e, err := d.observe(ctx, Event{Name: step.name}, step.do)
 		if err != nil {
 			return all, fmt.Errorf("%s: %w", step.name, err)
 		}
@@ -186,87 +189,97 @@
 	return all, nil
 }
 
-// controlStage is where events happen to control.
-type controlStage struct {
-	ctx      context.Context
-	rig      *Deployment
-	options  ControlOptions
-	operator operator
+// controlScenario runs events in a fleet with a control service.
+type controlScenario struct {
+	ctx        context.Context
+	deployment *Deployment
+	options    ControlOptions
+	operator   operator
 }
 
-func (s *controlStage) all() int { return len(s.rig.plan.Fleet.Proxies) }
+// proxyCount returns the number of proxies of the fleet.
+func (s *controlScenario) proxyCount() int { return len(s.deployment.plan.Fleet.Proxies) }
 
-func (s *controlStage) rest(*Event) error { return pause(s.ctx, 8*sampleEvery) }
+// idle lets the fleet run without changes.
+func (s *controlScenario) idle(*Event) error { return sleep(s.ctx, 8*sampleInterval) }
 
-// changes makes so many changes one after another.
-func (s *controlStage) changes(e *Event, count int, atOnce bool, every time.Duration) error {
-	return e.changes(s.ctx, count, every, func(int) ([]float64, error) {
-		return s.operator.change(s.ctx, atOnce, s.all())
+// makeChanges makes configuration changes one after another.
+func (s *controlScenario) makeChanges(e *Event, count int, atOnce bool, every time.Duration) error {
+	return e.makeChanges(s.ctx, count, every, func(int) ([]float64, error) {
+		return s.operator.change(s.ctx, atOnce, s.proxyCount())
 	})
 }
 
-func (s *controlStage) change(e *Event) error {
-	return s.changes(e, s.options.Changes, false, 2*sampleEvery)
+// change makes guarded changes.
+func (s *controlScenario) change(e *Event) error {
+	return s.makeChanges(e, s.options.Changes, false, 2*sampleInterval)
 }
 
-func (s *controlStage) atOnce(e *Event) error {
-	return s.changes(e, s.options.Changes, true, 2*sampleEvery)
+// atOnce makes changes that skip the guard.
+func (s *controlScenario) atOnce(e *Event) error {
+	return s.makeChanges(e, s.options.Changes, true, 2*sampleInterval)
 }
 
-func (s *controlStage) burst(e *Event) error {
-	return s.changes(e, s.options.Burst, false, s.options.BurstWindow/time.Duration(s.options.Burst))
+// burst makes many changes in a short time.
+func (s *controlScenario) burst(e *Event) error {
+	return s.makeChanges(e, s.options.Burst, false, s.options.BurstWindow/time.Duration(s.options.Burst))
 }
 
-// lose kills replicas, waits until all proxies hang on others, makes a change, and starts the replicas again.
-func (s *controlStage) lose(e *Event, lost []int) error {
-	c := s.rig.control
-	connected, err := c.connected()
+// loseReplicas kills replicas, waits until all proxies are connected to others, makes a change and starts the replicas
+// again.
+func (s *controlScenario) loseReplicas(e *Event, lost []int) error {
+	c := s.deployment.control
+	connected, err := c.connectedProxies()
 	if err != nil {
 		return err
 	}
-	hung := 0
+	affected := 0
 	for _, k := range lost {
-		c.kill(k)
-		hung += connected[k]
+		c.killReplica(k)
+		affected += connected[k]
 	}
-	begun := time.Now()
-	if err := c.awaitConnected(s.ctx, s.all(), lost...); err != nil {
+	started := time.Now()
+	if err := c.awaitConnected(s.ctx, s.proxyCount(), lost...); err != nil {
 		return err
 	}
-	e.SettledSeconds = time.Since(begun).Seconds()
-	e.Connections = hung
-	e.Note = fmt.Sprintf("%d proxies hung on what was lost; settled: all on other machines; in force: a change after that", hung)
-	took, err := s.operator.change(s.ctx, false, s.all())
+	e.SettledSeconds = time.Since(started).Seconds()
+	e.Connections = affected
+	e.Note = fmt.Sprintf("%d proxies hung on what was lost; settled: all on other machines; in force: a change after that",
+		affected)
+	delays, err := s.operator.change(s.ctx, false, s.proxyCount())
 	if err != nil {
 		return err
 	}
-	e.InForce = quantiles(took)
-	e.Note += fmt.Sprintf(", accepted after %.2f s", s.operator.accepted)
-	return s.restart(lost)
+	e.InForce = quantiles(delays)
+	e.Note += fmt.Sprintf(", accepted after %.2f s", s.operator.acceptSeconds)
+	return s.restartReplicas(lost)
 }
 
-func (s *controlStage) restart(lost []int) error {
+// restartReplicas starts replicas again and waits for a leader and for all proxies to be connected.
+func (s *controlScenario) restartReplicas(lost []int) error {
 	for _, k := range lost {
-		if err := s.rig.control.start(k); err != nil {
+		if err := s.deployment.control.startReplica(k); err != nil {
 			return err
 		}
 	}
-	if err := s.rig.control.awaitLeader(); err != nil {
+	if err := s.deployment.control.awaitLeader(); err != nil {
 		return err
 	}
-	return s.rig.control.awaitConnected(s.ctx, s.all())
+	return s.deployment.control.awaitConnected(s.ctx, s.proxyCount())
 }
 
-func (s *controlStage) leaderLost(e *Event) error {
-	leader := s.rig.control.leader()
+// loseLeader loses the leader.
+func (s *controlScenario) loseLeader(e *Event) error {
+	leader := s.deployment.control.leaderIndex()
 	if leader < 0 {
-		return errors.New("no leader")
+		return errors.New("control has no leader")
 	}
-	return s.lose(e, []int{leader})
+	return s.loseReplicas(e, []int{leader})
 }
 
-func (s *controlStage) busiestLost(e *Event) error {
-	connected, err := s.rig.control.connected()
+// loseBusiest loses the replica with the most connected proxies.
+func (s *controlScenario) loseBusiest(e *Event) error {
+	connected, err := s.deployment.control.connectedProxies()
 	if err != nil {
 		return err
 	}
@@ -276,88 +289,90 @@
 			busiest = k
 		}
 	}
-	return s.lose(e, []int{busiest})
+	return s.loseReplicas(e, []int{busiest})
 }
 
-func (s *controlStage) threeLeft(e *Event) error {
-	if len(s.rig.control.replicas) < 5 {
+// loseTwo loses two of five replicas. It does nothing with fewer than five.
+func (s *controlScenario) loseTwo(e *Event) error {
+	if len(s.deployment.control.replicas) < 5 {
 		return nil
 	}
-	return s.lose(e, []int{0, 1})
+	return s.loseReplicas(e, []int{0, 1})
 }
 
-// regionCut cuts a region off, with its replicas and proxies; a change is made meanwhile, and its proxies have it only after the
-// cut has healed.
-func (s *controlStage) regionCut(e *Event) error {
-	c := s.rig.control
+// cutRegion cuts off a region with its replicas and proxies, makes a change and restores the region. Its proxies get the
+// change only then.
+func (s *controlScenario) cutRegion(e *Event) error {
+	c := s.deployment.control
 	region := c.replicas[len(c.replicas)-1].region
 	inside := 0
-	for _, p := range s.rig.plan.Fleet.Proxies {
+	for _, p := range s.deployment.plan.Fleet.Proxies {
 		if p.Region == region {
 			inside++
 		}
 	}
-	c.cutRegion(s.rig.plan, region, true)
-	begun := time.Now()
-	if err := pause(s.ctx, 3*sampleEvery); err != nil { // a leader in the region is found to be cut off
+	c.setRegionCut(s.deployment.plan, region, true)
+	started := time.Now()
+	if err := sleep(s.ctx, 3*sampleInterval); err != nil { // time to detect a leader that is cut off
 		return err
 	}
-	marks, err := s.rig.marks()
+	counts, err := s.deployment.reloadCounts()
 	if err != nil {
 		return err
 	}
-	took, err := s.operator.change(s.ctx, false, s.all()-inside)
+	delays, err := s.operator.change(s.ctx, false, s.proxyCount()-inside)
 	if err != nil {
 		return err
 	}
-	if err := pause(s.ctx, s.options.RegionOutage-time.Since(begun)); err != nil {
+	if err := sleep(s.ctx, s.options.RegionOutage-time.Since(started)); err != nil {
 		return err
 	}
-	healed := time.Now()
-	c.cutRegion(s.rig.plan, region, false)
+	restored := time.Now()
+	c.setRegionCut(s.deployment.plan, region, false)
 	for {
-		all, err := s.rig.takenOver(marks, healed)
+		all, err := s.deployment.reloadSecondsSince(counts, restored)
 		if err != nil {
 			return err
 		}
-		if len(all) >= s.all() {
-			e.SettledSeconds = time.Since(healed).Seconds()
+		if len(all) >= s.proxyCount() {
+			e.SettledSeconds = time.Since(restored).Seconds()
 			break
 		}
-		if time.Since(healed) > settledWithin {
-			return fmt.Errorf("%d of %d proxies have the change %v after the cut has healed", len(all), s.all(), settledWithin)
+		if time.Since(restored) > settleTimeout {
+			return fmt.Errorf("only %d of %d proxies have the change %v after the region was restored", len(all), s.proxyCount(),
+				settleTimeout)
 		}
-		if err := pause(s.ctx, 2*lookEvery); err != nil {
+		if err := sleep(s.ctx, 2*pollInterval); err != nil {
 			return err
 		}
 	}
-	e.InForce = quantiles(took)
+	e.InForce = quantiles(delays)
 	e.Note = fmt.Sprintf("%d proxies in %s are cut off; in force: at the others, during the cut; settled: at all, after it has healed",
 		inside, region)
-	if err := s.rig.control.awaitConnected(s.ctx, s.all()); err != nil {
-		e.Note += "; **" + err.Error() + "**" // they have the change: what control tells of them is wrong
+	if err := s.deployment.control.awaitConnected(s.ctx, s.proxyCount()); err != nil {
+		e.Note += "; **" + err.Error() + "**" // they have the change, so what control reports about them is wrong
 	}
 	return nil
 }
 
-// allLost kills all replicas and starts them again; all proxies return at once.
-func (s *controlStage) allLost(e *Event) error {
-	c := s.rig.control
-	lost := everyNumber(len(c.replicas))
+// loseAll kills all replicas and starts them again. All proxies reconnect at the same time.
+func (s *controlScenario) loseAll(e *Event) error {
+	c := s.deployment.control
+	lost := indexes(len(c.replicas))
 	for _, k := range lost {
-		c.kill(k)
+		c.killReplica(k)
 	}
-	if err := pause(s.ctx, 5*sampleEvery); err != nil {
+	if err := sleep(s.ctx, 5*sampleInterval); err != nil {
 		return err
 	}
-	begun := time.Now()
-	if err := s.restart(lost); err != nil {
+	started := time.Now()
+	if err := s.restartReplicas(lost); err != nil {
 		return err
 	}
-	e.SettledSeconds = time.Since(begun).Seconds()
-	e.Connections = s.all()
+	e.SettledSeconds = time.Since(started).Seconds()
+	e.Connections = s.proxyCount()
 	e.Note = "settled: a leader and all proxies connected, from the machines' start"
-	took, err := s.operator.change(s.ctx, false, s.all())
-	e.InForce = quantiles(took)
+	delays, err := s.operator.change(s.ctx, false, s.proxyCount())
+	e.InForce = quantiles(delays)
 	return err
 }
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -9,55 +9,55 @@
 	"sandpass/internal/scale/helper"
 )
 
-// EventOptions say how large events are and how long they last.
+// EventOptions are the parameters of the events in a fleet without a control service.
 type EventOptions struct {
 	Sizes           fleet.Sizes
 	RealProxies     int
 	ListScope       ListScope
-	Burst           int // changes of configuration within BurstIn
+	Burst           int // configuration changes within BurstWindow
 	BurstWindow     time.Duration
-	Restarts        int           // of proxies and their backends
-	RestartBatch    int           // of them at a time
-	DiscoveryOutage time.Duration // of discovery
-	RegionOutage    time.Duration // of a region
+	Restarts        int           // restarts of a proxy together with its backend
+	RestartBatch    int           // proxies restarted at a time
+	DiscoveryOutage time.Duration // how long discovery is silent
+	RegionOutage    time.Duration // how long a region is cut off from discovery
 }
 
-const zoneLost = 3 // which one it is
+const lostZone = 3 // index of the zone that is lost, modulo the number of zones
 
-// Groups of hollow proxies; those that are restarted follow, a group for each batch.
+// Groups of in-process proxies. From firstRestartGroup on there is a group for each batch of restarts.
 const (
-	groupOfRest = iota
-	groupOfZone
-	groupsRestarted
+	groupOthers = iota
+	groupLostZone
+	firstRestartGroup
 )
 
-// groups parts the hollow proxies by what happens to them.
-func (o EventOptions) groups(f *fleet.Fleet) func(proxy int) int {
+// assignGroups returns the group of each in-process proxy, by what happens to it in the events.
+func (o EventOptions) assignGroups(f *fleet.Fleet) func(proxy int) int {
 	group := make([]int, len(f.Proxies))
 	restarted := 0
 	for i, p := range f.Proxies {
 		switch {
 		case i < o.RealProxies:
-		case p.Zone == zoneLost%o.Sizes.Zones:
-			group[i] = groupOfZone
-		case restarted < o.Restarts && i%2 == 1: // the rest group must not be empty
-			group[i] = groupsRestarted + restarted/o.RestartBatch
+		case p.Zone == lostZone%o.Sizes.Zones:
+			group[i] = groupLostZone
+		case restarted < o.Restarts && i%2 == 1: // groupOthers must not be empty
+			group[i] = firstRestartGroup + restarted/o.RestartBatch
 			restarted++
 		}
 	}
 	return func(proxy int) int { return group[proxy] }
 }
 
-// Events has each event happen to a fleet of the size, one after another.
+// RunEvents runs the events, one after another, in a fleet of the given size and measures each.
 func RunEvents(ctx context.Context, o EventOptions, programs Programs, progress func(string)) ([]Event, error) {
 	f := fleet.Generate(o.Sizes)
-	plan := Plan{Fleet: f, RealProxies: o.RealProxies, ListScope: o.ListScope, Peers: true, Group: o.groups(f)}
-	r, ctx, err := Deploy(ctx, plan, programs)
+	plan := Plan{Fleet: f, RealProxies: o.RealProxies, ListScope: o.ListScope, Peers: true, Group: o.assignGroups(f)}
+	d, ctx, err := Deploy(ctx, plan, programs)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	s := stage{ctx: ctx, rig: r, options: o}
+	defer d.Close()
+	s := eventScenario{ctx: ctx, deployment: d, options: o}
 	var all []Event
 	for _, step := range []struct {
 		name string
@@ -66,11 +66,11 @@
 		{"a change of configuration, by a file and SIGHUP on each machine", s.change},
 		{"a burst of changes of configuration, by files and SIGHUP", s.burst},
 		{"a day's restarts drawn together", s.restarts},
-		{"a zone is lost and comes back", s.zone},
-		{"a region is cut off from discovery", s.region},
-		{"discovery is silent, then all ask at once", s.silence},
+		{"a zone is lost and comes back", s.loseZone},
+		{"a region is cut off from discovery", s.silenceRegion},
+		{"discovery is silent, then all ask at once", s.silenceDiscovery},
 	} {
-		e, err := r.observe(ctx, Event{Name: step.name}, step.do)
+		e, err := d.observe(ctx, Event{Name: step.name}, step.do)
 		if err != nil {
 			return all, err
 		}
@@ -80,44 +80,46 @@
 	return all, nil
 }
 
-// stage is where events happen.
-type stage struct {
-	ctx     context.Context
-	rig     *Deployment
-	options EventOptions
+// eventScenario runs events in a fleet without a control service.
+type eventScenario struct {
+	ctx        context.Context
+	deployment *Deployment
+	options    EventOptions
 }
 
-// shift is a change of configuration: a figure of the settings.
-func shift(step int) func(l *launch) {
-	return func(l *launch) { l.Settings.OverageUtility = 0.1 + 0.001*float64(step) }
+// changeSettings returns a configuration change: it sets a value that depends on step.
+func changeSettings(step int) func(config *proxyConfig) {
+	return func(config *proxyConfig) { config.Settings.OverageUtility = 0.1 + 0.001*float64(step) }
 }
 
-func (s stage) change(e *Event) error {
-	took, err := s.rig.reload(s.ctx, shift(1))
-	e.InForce = quantiles(took)
+// change changes the configuration of every proxy once.
+func (s eventScenario) change(e *Event) error {
+	delays, err := s.deployment.reload(s.ctx, changeSettings(1))
+	e.InForce = quantiles(delays)
 	e.SettledSeconds = e.InForce.Max
 	e.Note = "from the moment at which every file is in place: nothing carries the files"
 	return err
 }
 
-func (s stage) burst(e *Event) error {
+// burst makes many changes in a short time.
+func (s eventScenario) burst(e *Event) error {
 	every := s.options.BurstWindow / time.Duration(s.options.Burst)
-	return e.changes(s.ctx, s.options.Burst, every, func(k int) ([]float64, error) {
-		return s.rig.reload(s.ctx, shift(2+k))
+	return e.makeChanges(s.ctx, s.options.Burst, every, func(k int) ([]float64, error) {
+		return s.deployment.reload(s.ctx, changeSettings(2+k))
 	})
 }
 
-// changes makes so many changes one after another and notes how long it took until each was in force.
-func (e *Event) changes(ctx context.Context, count int, every time.Duration, change func(k int) ([]float64, error)) error {
+// makeChanges makes changes at a fixed interval and records the seconds until each was in force.
+func (e *Event) makeChanges(ctx context.Context, count int, every time.Duration, change func(k int) ([]float64, error)) error {
 	var all []float64
 	for k := range count {
 		next := time.Now().Add(every)
-		took, err := change(k)
+		delays, err := change(k)
 		if err != nil {
 			return err
 		}
-		all = append(all, took...)
-		if err := pause(ctx, time.Until(next)); err != nil {
+		all = append(all, delays...)
+		if err := sleep(ctx, time.Until(next)); err != nil {
 			return err
 		}
 	}
@@ -126,93 +128,95 @@
 	return nil
 }
 
-// restarts ends proxies and starts them again, a batch at a time, with their backends.
-func (s stage) restarts(e *Event) error {
-	begun := time.Now()
+// restarts restarts proxies together with their backends, a batch at a time.
+func (s eventScenario) restarts(e *Event) error {
+	started := time.Now()
 	count := 0
-	for group := groupsRestarted; group < len(s.rig.hollow); group++ {
-		batch := s.rig.hollow[group].members
-		if err := s.rig.change(batch, "draining"); err != nil {
+	for group := firstRestartGroup; group < len(s.deployment.inProcess); group++ {
+		batch := s.deployment.inProcess[group].members
+		if err := s.deployment.updateBackends(batch, "draining"); err != nil {
 			return err
 		}
-		if _, err := s.rig.endGroup(group, true); err != nil {
+		if _, err := s.deployment.stopGroup(group, true); err != nil {
 			return err
 		}
-		if err := s.back(group, batch); err != nil {
+		if err := s.startGroupAndBackends(group, batch); err != nil {
 			return err
 		}
 		count += len(batch)
 	}
-	err := s.rig.awaitWatching(s.ctx, nil)
-	e.SettledSeconds = time.Since(begun).Seconds()
+	err := s.deployment.awaitLists(s.ctx, nil)
+	e.SettledSeconds = time.Since(started).Seconds()
 	e.Note = fmt.Sprintf("%d proxies with their backends, %d at a time", count, s.options.RestartBatch)
 	return err
 }
 
-// back has discovery tell that backends are gone, starts their proxies anew, and has it tell that they are there.
-func (s stage) back(group int, members []int) error {
-	if err := s.rig.change(members, "gone"); err != nil {
+// startGroupAndBackends reports backends as gone, starts their proxies again and reports the backends as ready.
+func (s eventScenario) startGroupAndBackends(group int, members []int) error {
+	if err := s.deployment.updateBackends(members, "gone"); err != nil {
 		return err
 	}
-	if err := s.rig.startGroup(group, members); err != nil {
+	if err := s.deployment.startGroup(group, members); err != nil {
 		return err
 	}
-	return s.rig.change(members, "ready")
+	return s.deployment.updateBackends(members, "ready")
 }
 
-// zone kills the process that has the zone's proxies, has discovery tell that their backends are gone, and starts all anew.
-func (s stage) zone(e *Event) error {
-	members, err := s.rig.endGroup(groupOfZone, false)
+// loseZone kills the process with the proxies of a zone, reports their backends as gone, and then starts the proxies again and
+// reports the backends as ready.
+func (s eventScenario) loseZone(e *Event) error {
+	members, err := s.deployment.stopGroup(groupLostZone, false)
 	if err != nil {
 		return err
 	}
-	if err := s.rig.change(members, "gone"); err != nil {
+	if err := s.deployment.updateBackends(members, "gone"); err != nil {
 		return err
 	}
-	if err := pause(s.ctx, 3*sampleEvery); err != nil {
+	if err := sleep(s.ctx, 3*sampleInterval); err != nil {
 		return err
 	}
-	begun := time.Now()
-	if err := s.rig.startGroup(groupOfZone, members); err != nil {
+	started := time.Now()
+	if err := s.deployment.startGroup(groupLostZone, members); err != nil {
 		return err
 	}
-	if err := s.rig.change(members, "ready"); err != nil {
+	if err := s.deployment.updateBackends(members, "ready"); err != nil {
 		return err
 	}
-	err = s.rig.awaitWatching(s.ctx, nil)
-	e.SettledSeconds = time.Since(begun).Seconds()
+	err = s.deployment.awaitLists(s.ctx, nil)
+	e.SettledSeconds = time.Since(started).Seconds()
 	e.Note = fmt.Sprintf("%d proxies; settled counts from their start", len(members))
 	return err
 }
 
-// region has the agents of one region say nothing while backends of the others restart.
-func (s stage) region(e *Event) error {
+// silenceRegion makes the agents of one region silent.
+func (s eventScenario) silenceRegion(e *Event) error {
 	var agents []int
-	for i, p := range s.rig.plan.Fleet.Proxies {
-		if p.Region == s.rig.plan.Fleet.Regions[0] {
+	for i, p := range s.deployment.plan.Fleet.Proxies {
+		if p.Region == s.deployment.plan.Fleet.Regions[0] {
 			agents = append(agents, i)
 		}
 	}
-	return s.silent(e, agents, s.options.RegionOutage)
+	return s.silenceAgents(e, agents, s.options.RegionOutage)
 }
 
-func (s stage) silence(e *Event) error {
-	return s.silent(e, everyProxy(s.rig.plan.Fleet), s.options.DiscoveryOutage)
+// silenceDiscovery makes all agents silent.
+func (s eventScenario) silenceDiscovery(e *Event) error {
+	return s.silenceAgents(e, allProxies(s.deployment.plan.Fleet), s.options.DiscoveryOutage)
 }
 
-// silent has agents say nothing for a while, and waits until all proxies have their lists again.
-func (s stage) silent(e *Event, agents []int, lasting time.Duration) error {
-	if _, err := s.rig.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents, Silent: true}}); err != nil {
+// silenceAgents makes agents silent for a period and waits until all proxies have their lists again.
+func (s eventScenario) silenceAgents(e *Event, agents []int, period time.Duration) error {
+	if _, err := s.deployment.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents, Silent: true}}); err != nil {
 		return err
 	}
-	if err := pause(s.ctx, lasting); err != nil {
+	if err := sleep(s.ctx, period); err != nil {
 		return err
 	}
-	begun := time.Now()
-	if _, err := s.rig.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents}}); err != nil {
+	started := time.Now()
+	if _, err := s.deployment.discovery.Do(helper.Request{Silence: &helper.Silence{Agents: agents}}); err != nil {
 		return err
 	}
-	err := s.rig.awaitWatching(s.ctx, nil)
-	e.SettledSeconds = time.Since(begun).Seconds()
+	err := s.deployment.awaitLists(s.ctx, nil)
+	e.SettledSeconds = time.Since(started).Seconds()
 	return err
 }
