--- a/cmd/sandlab/main.go
+++ b/cmd/sandlab/main.go
@@ -432,7 +432,7 @@
 		if err != nil {
 			return err
 		}
-		for _, b := range out.Account.Violations {
+		for _, b := range out.Report.Violations {
 			fmt.Fprintf(c.OutOrStdout(), "seed %d: BROKEN %s\n", seed, b)
 		}
 		all, recoverySeconds, maxSendDelay = append(all, result), append(recoverySeconds, out.RecoverySeconds...),
@@ -489,7 +489,7 @@
 			}
 			w := c.OutOrStdout()
 			fmt.Fprintf(w, "the test harness sent commands late by %.1f ms at most\n", 1000*out.MaxSendDelay)
-			result := lab.RunResult{Run: lab.Run{Policy: "sandpass", Seed: at}, Plan: plan, Account: out.Account}
+			result := lab.RunResult{Run: lab.Run{Policy: "sandpass", Seed: at}, Plan: plan, Report: out.Report}
 			if err := lab.WriteReport(w, result, "on real sockets"); err != nil {
 				return err
 			}
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-var testConfig = Config{AnswerSlack: 0.001, DrainGrace: 0.4, ColdMultiple: 2, ColdWindow: 1, SecondCopies: true, Duration: 20,
+var testConfig = Config{AnswerSlack: 0.001, DrainGrace: 0.4, ColdMultiple: 2, ColdWindow: 1, Hedges: true, Duration: 20,
 	Customers: 2, LateDeclinePrice: 0.3, RelayPrice: 0.1}
 
 // runFacts reports facts to a Checker and returns its report.
--- a/internal/checker/config.go
+++ b/internal/checker/config.go
@@ -24,7 +24,7 @@
 	DrainGrace       float64 // seconds after news of a drain in which relays are still allowed
 	ColdMultiple     float64 // multiple of its current capacity at which a cold backend fails
 	ColdWindow       float64 // seconds over which its load is summed
-	SecondCopies     bool    // a command may have two relays pending
+	Hedges           bool    // a command may have two relays pending
 	RelayPrice       float64 // price of each further relay, as a share of the mean utility
 	MessagePrice     float64 // price of each message to a peer
 	CrossingPrice    float64 // price of each relay to another zone
--- a/internal/checker/facts.go
+++ b/internal/checker/facts.go
@@ -78,7 +78,7 @@
 	if first < 0 {
 		return
 	}
-	if !c.config.SecondCopies && slices.ContainsFunc(cmd.relays, func(r relay) bool { return r.pending }) {
+	if !c.config.Hedges && slices.ContainsFunc(cmd.relays, func(r relay) bool { return r.pending }) {
 		c.violated(NoDoubleEffect, at, "instance %d has two relays of command %x pending where that is not allowed", cmd.Instance,
 			cmd.ID)
 	}
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -111,7 +111,7 @@
 	sim.clientRand, sim.discoveryRand, sim.lifecycleRand = sim.randStream("clients", 0), sim.randStream("list", 0),
 		sim.randStream("life", 0)
 	sim.checker = checker.New(checker.Config{AnswerSlack: w.Rules.AnswerSlack, DrainGrace: w.Rules.DrainGrace,
-		ColdMultiple: w.Rules.ColdMultiple, ColdWindow: w.Rules.ColdWindow, SecondCopies: w.Rules.SecondCopies,
+		ColdMultiple: w.Rules.ColdMultiple, ColdWindow: w.Rules.ColdWindow, Hedges: w.Rules.Hedges,
 		RelayPrice: w.Prices.Relay, MessagePrice: w.Prices.Message, CrossingPrice: w.Prices.ZoneCrossing,
 		LateDeclinePrice: w.Prices.LateDecline, Duration: w.Duration, Customers: len(w.Customers),
 		DeadlineError: w.Rules.DeadlineError, FreeRelays: w.Rules.FreeRelays, FreeRelayRatio: w.Rules.FreeRelayRatio,
@@ -120,7 +120,7 @@
 		sim.verbs = append(sim.verbs, balance.Verb{Effect: effects[v.Effect], Scope: scopes[v.Scope], DedupWindow: v.DedupWindow,
 			Goal: v.Goal, TimeLimit: v.Limit, Utility: v.Utility, LateUtility: v.LateShare, PreviousIndex: -1})
 	}
-	sim.limits = balance.Limits{MaxRelays: w.Rules.MaxRelays, Hedges: w.Rules.SecondCopies,
+	sim.limits = balance.Limits{MaxRelays: w.Rules.MaxRelays, Hedges: w.Rules.Hedges,
 		CancelRelays: w.Rules.CancelRelays, MaxRetryAfter: w.Rules.MaxRetryAfter, PeerMessages: w.Rules.Peers,
 		KeyAffinity: w.Tiers[0].CacheSaving > 0, CrossZonePriced: w.Prices.ZoneCrossing > 0,
 		MaxUnreadAnswers: w.Rules.AnswerSlots, DeadlineError: w.Rules.DeadlineError,
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -110,7 +110,7 @@
 // Rules describes what instances may do, and the parameters of the four rules.
 type Rules struct {
 	MaxRelays      int     `toml:"relays"`
-	SecondCopies   bool    `toml:"copies"`
+	Hedges         bool    `toml:"copies"`
 	CancelRelays   bool    `toml:"cancel"`
 	Peers          bool    `toml:"peers"`
 	MaxRetryAfter  float64 `toml:"come_back"`
@@ -167,7 +167,7 @@
 		Clients: Clients{Retries: 2, TryShare: 1, RetryBackoff: 0.1, RetryAfterShare: 0.7, DeathDetection: 2,
 			EarlyLeaveShare: 0.01, OverageUtility: 0.1,
 			Keys: 0},
-		Rules: Rules{MaxRelays: 4, SecondCopies: true, CancelRelays: true, MaxRetryAfter: 2, AnswerSlack: 0.002, DrainGrace: 0.4,
+		Rules: Rules{MaxRelays: 4, Hedges: true, CancelRelays: true, MaxRetryAfter: 2, AnswerSlack: 0.002, DrainGrace: 0.4,
 			DrainTime: 3, ConnectTimeout: 0.25,
 			ColdShare: 0.2, WarmUp: 8, ColdMultiple: 3, ColdWindow: 1},
 		Prices: Prices{Relay: 0.02, Message: 0.002, ZoneCrossing: 0.005, LateDecline: 0.3},
@@ -184,7 +184,7 @@
 
 // Bounds returns the bounds for fault plans for this world.
 func (w *World) Bounds() faults.Bounds {
-	bounds := faults.Bounds{Length: w.Duration, Zones: w.Zones, Customers: len(w.Customers)}
+	bounds := faults.Bounds{Duration: w.Duration, Zones: w.Zones, Customers: len(w.Customers)}
 	for _, t := range w.Tiers {
 		bounds.Backends = append(bounds.Backends, t.Backends)
 	}
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -191,7 +191,7 @@
 
 // Bounds is the size of the system that a plan is for, and so the limits of what its faults may name.
 type Bounds struct {
-	Length    float64 // seconds
+	Duration  float64 // seconds
 	Backends  []int   // of each tier
 	Zones     int
 	Customers int
@@ -218,7 +218,7 @@
 		v, least float64
 		most     float64
 	}{
-		{"from", f.From, 0, e.Length}, {"for", f.For, 0, math.MaxFloat64}, {"ramp", f.Ramp, 0, math.MaxFloat64},
+		{"from", f.From, 0, e.Duration}, {"for", f.For, 0, math.MaxFloat64}, {"ramp", f.Ramp, 0, math.MaxFloat64},
 		{"hard", f.Hard, 0, spec.maxSeverity}, {"share", f.Share, 0, 1},
 	} {
 		if math.IsNaN(value.v) || value.v < value.least || value.v > value.most {
@@ -261,8 +261,8 @@
 		// Each value is drawn whether or not it is used, so that the kind of one fault does not change the others.
 		fault := Fault{
 			Kind: spec.kind, Tier: r.IntN(len(e.Backends)), Zone: r.IntN(max(1, e.Zones)), To: -1,
-			Share: round(0.1 + 0.5*r.Float64()), From: round((0.1 + 0.5*r.Float64()) * e.Length),
-			For: round((0.05 + 0.2*r.Float64()) * e.Length), Hard: round(spec.maxRandom * (0.2 + 0.8*r.Float64())),
+			Share: round(0.1 + 0.5*r.Float64()), From: round((0.1 + 0.5*r.Float64()) * e.Duration),
+			For: round((0.05 + 0.2*r.Float64()) * e.Duration), Hard: round(spec.maxRandom * (0.2 + 0.8*r.Float64())),
 			Seed: r.Uint64() >> 1, // TOML integers are signed
 		}
 		ramp, anyZone, customer := r.Float64(), r.Float64() < 0.5, r.IntN(max(1, e.Customers))
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-var testBounds = Bounds{Length: 40, Backends: []int{20, 10}, Zones: 3, Customers: 4}
+var testBounds = Bounds{Duration: 40, Backends: []int{20, 10}, Zones: 3, Customers: 4}
 
 func TestRandomPlansAreValidAndReproducible(t *testing.T) {
 	seen := map[Kind]bool{}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -312,8 +312,8 @@
 	}
 	reread := mustParse(t, string(text))
 	d, err := reread.Run(Run{Policy: "random", Seed: reread.Seeds[0]})
-	if err != nil || d.Account.Score(false) != small.G {
-		t.Errorf("the run read back from TOML has G %v, want %v; error %v", d.Account.Score(false), small.G, err)
+	if err != nil || d.Report.Score(false) != small.G {
+		t.Errorf("the run read back from TOML has G %v, want %v; error %v", d.Report.Score(false), small.G, err)
 	}
 }
 
@@ -337,10 +337,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if d.Account.ViolationCount() > 0 {
-				t.Errorf("%s, %s: %v", c.file, p, d.Account.Violations[0])
+			if d.Report.ViolationCount() > 0 {
+				t.Errorf("%s, %s: %v", c.file, p, d.Report.Violations[0])
 			}
-			g[i] = d.Account.Score(true)
+			g[i] = d.Report.Score(true)
 		}
 		if g[0] < c.least*g[1] {
 			t.Errorf("%s: module %.3f, top %.3f: below a share of %.2f", c.file, g[0], g[1], c.least)
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -72,7 +72,7 @@
 	}
 	shifted := *test
 	shifted.RestartedAt = max(test.RestartedAt, math.Ceil(out.LastRestart*stepsPerSecond)/stepsPerSecond)
-	return shifted.Evaluate(out.Account), out, nil
+	return shifted.Evaluate(out.Report), out, nil
 }
 
 // RecoveryResult is the result of one recovery test.
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -11,7 +11,7 @@
 // WriteReport writes the time series, losses and broken rules of a run.
 // kind says how it was run: simulated, or on real sockets.
 func WriteReport(w io.Writer, result RunResult, kind string) error {
-	report := result.Account
+	report := result.Report
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s, seed %d (%s): G %.4f, served %.4f, worst 10 s %.3f, worst customer %.3f\n",
 		result.Policy, result.Seed, kind, report.Score(true),
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -168,10 +168,10 @@
 
 // Add stores a run. It writes the time series first, since the row marks the run as complete.
 func (f *ResultFolder) Add(d RunResult) error {
-	series := TimeSeries{Run: d.Index, Asked: roundAll(d.Account.OfferedBySecond),
-		Served: roundAll(d.Account.ServedBySecond), Plan: d.Plan}
+	series := TimeSeries{Run: d.Index, Asked: roundAll(d.Report.OfferedBySecond),
+		Served: roundAll(d.Report.ServedBySecond), Plan: d.Plan}
 	for i := range latencyCurvePoints {
-		series.Latency = append(series.Latency, d.Account.Quantile((float64(i)+0.5)/latencyCurvePoints))
+		series.Latency = append(series.Latency, d.Report.Quantile((float64(i)+0.5)/latencyCurvePoints))
 	}
 	text, err := json.Marshal(series)
 	if err != nil {
--- a/internal/lab/runs.go
+++ b/internal/lab/runs.go
@@ -27,9 +27,9 @@
 // RunResult is the result of one run; Events counts the emulator's events.
 type RunResult struct {
 	Run
-	Plan    faults.Plan
-	Account *checker.Report
-	Events  uint64
+	Plan   faults.Plan
+	Report *checker.Report
+	Events uint64
 }
 
 // Runs returns all runs of an experiment in the order of their rows.
@@ -128,26 +128,26 @@
 	of    func(d *RunResult) float64
 }{
 	{"g", "worth served less prices, over worth asked; 0 where a rule broke",
-		func(d *RunResult) float64 { return d.Account.Score(true) }},
+		func(d *RunResult) float64 { return d.Report.Score(true) }},
 	{"served", "worth served over worth asked",
-		func(d *RunResult) float64 { return d.Account.ServedUtility / max(d.Account.OfferedUtility, 1e-9) }},
-	{"worst10", "the same in the worst ten seconds", func(d *RunResult) float64 { return d.Account.WorstTenSeconds() }},
+		func(d *RunResult) float64 { return d.Report.ServedUtility / max(d.Report.OfferedUtility, 1e-9) }},
+	{"worst10", "the same in the worst ten seconds", func(d *RunResult) float64 { return d.Report.WorstTenSeconds() }},
 	{"worst_customer", "the same of the customer that fared worst",
-		func(d *RunResult) float64 { return d.Account.WorstCustomer() }},
+		func(d *RunResult) float64 { return d.Report.WorstCustomer() }},
 	{"prices", "prices over worth asked",
-		func(d *RunResult) float64 { return d.Account.Costs / max(d.Account.OfferedUtility, 1e-9) }},
-	{"operations", "asked for", func(d *RunResult) float64 { return float64(d.Account.Operations) }},
-	{"answered", "of them", func(d *RunResult) float64 { return float64(d.Account.Answered) }},
-	{"relays", "sent", func(d *RunResult) float64 { return float64(d.Account.Relays) }},
-	{"further", "relays beyond the first of a command", func(d *RunResult) float64 { return float64(d.Account.FurtherRelays) }},
-	{"messages", "between siblings", func(d *RunResult) float64 { return float64(d.Account.Messages) }},
-	{"p50", "seconds, answered", func(d *RunResult) float64 { return d.Account.Quantile(0.5) }},
-	{"p99", "seconds, answered", func(d *RunResult) float64 { return d.Account.Quantile(0.99) }},
-	{"p999", "seconds, answered", func(d *RunResult) float64 { return d.Account.Quantile(0.999) }},
-	{"rule1", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[1]) }},
-	{"rule2", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[2]) }},
-	{"rule3", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[3]) }},
-	{"rule4", "broken", func(d *RunResult) float64 { return float64(d.Account.RuleCounts[4]) }},
+		func(d *RunResult) float64 { return d.Report.Costs / max(d.Report.OfferedUtility, 1e-9) }},
+	{"operations", "asked for", func(d *RunResult) float64 { return float64(d.Report.Operations) }},
+	{"answered", "of them", func(d *RunResult) float64 { return float64(d.Report.Answered) }},
+	{"relays", "sent", func(d *RunResult) float64 { return float64(d.Report.Relays) }},
+	{"further", "relays beyond the first of a command", func(d *RunResult) float64 { return float64(d.Report.FurtherRelays) }},
+	{"messages", "between siblings", func(d *RunResult) float64 { return float64(d.Report.Messages) }},
+	{"p50", "seconds, answered", func(d *RunResult) float64 { return d.Report.Quantile(0.5) }},
+	{"p99", "seconds, answered", func(d *RunResult) float64 { return d.Report.Quantile(0.99) }},
+	{"p999", "seconds, answered", func(d *RunResult) float64 { return d.Report.Quantile(0.999) }},
+	{"rule1", "broken", func(d *RunResult) float64 { return float64(d.Report.RuleCounts[1]) }},
+	{"rule2", "broken", func(d *RunResult) float64 { return float64(d.Report.RuleCounts[2]) }},
+	{"rule3", "broken", func(d *RunResult) float64 { return float64(d.Report.RuleCounts[3]) }},
+	{"rule4", "broken", func(d *RunResult) float64 { return float64(d.Report.RuleCounts[4]) }},
 	{"events", "of the world", func(d *RunResult) float64 { return float64(d.Events) }},
 }
 
@@ -180,13 +180,13 @@
 		all = append(all, strconv.FormatFloat(f.of(d), 'g', 6, 64))
 	}
 	var losses []string
-	for _, l := range d.Account.Losses[:min(3, len(d.Account.Losses))] {
+	for _, l := range d.Report.Losses[:min(3, len(d.Report.Losses))] {
 		losses = append(losses, fmt.Sprintf("%s at %s of tier %d %.4f", l.Cause, l.Place, l.Tier,
-			l.Utility/max(d.Account.OfferedUtility, 1e-9)))
+			l.Utility/max(d.Report.OfferedUtility, 1e-9)))
 	}
 	broken := ""
-	if len(d.Account.Violations) > 0 {
-		broken = d.Account.Violations[0].String()
+	if len(d.Report.Violations) > 0 {
+		broken = d.Report.Violations[0].String()
 	}
 	var plan []string
 	for _, f := range d.Plan {
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -43,7 +43,7 @@
 						return
 					}
 					sentCount.Add(1)
-					if caller.Once() != nil {
+					if caller.Call() != nil {
 						failedCount.Add(1)
 					}
 				}
--- a/internal/scale/standin/backend.go
+++ b/internal/scale/standin/backend.go
@@ -16,7 +16,7 @@
 
 // NestedCaller makes the call that a backend sends for each call that it receives.
 type NestedCaller interface {
-	Once() error
+	Call() error
 	Close()
 }
 
@@ -72,7 +72,7 @@
 			return
 		}
 		text := okResponse
-		if nested != nil && nested.Once() != nil {
+		if nested != nil && nested.Call() != nil {
 			text = errorResponse
 		}
 		if _, err := c.Write(text); err != nil {
--- a/internal/scale/standin/standin_test.go
+++ b/internal/scale/standin/standin_test.go
@@ -116,7 +116,7 @@
 type countingCaller struct{ calls int }
 
 // Once counts a call.
-func (c *countingCaller) Once() error { c.calls++; return nil }
+func (c *countingCaller) Call() error { c.calls++; return nil }
 
 // Close does nothing.
 func (c *countingCaller) Close() {}
--- a/internal/testbed/caller.go
+++ b/internal/testbed/caller.go
@@ -16,7 +16,7 @@
 }
 
 // Once sends a command and waits for its answer.
-func (c *Caller) Once() error { return c.loadConn.call() }
+func (c *Caller) Call() error { return c.loadConn.call() }
 
 // Close closes the connection, if there is one.
 func (c *Caller) Close() {
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -55,11 +55,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			out := runWorld(t, eightProxyWorld(c.messages), c.plan)
-			if n := out.Account.ViolationCount(); n > 0 && out.MaxSendDelay < 0.04 { // otherwise the machine was too busy for a valid run
-				t.Errorf("rules: %v", out.Account.Violations)
+			if n := out.Report.ViolationCount(); n > 0 && out.MaxSendDelay < 0.04 { // otherwise the machine was too busy for a valid run
+				t.Errorf("rules: %v", out.Report.Violations)
 			}
-			if served := out.Account.ServedUtility / out.Account.OfferedUtility; served < c.least && out.MaxSendDelay < 0.04 {
-				t.Errorf("served %.2f; losses %v", served, out.Account.Losses)
+			if served := out.Report.ServedUtility / out.Report.OfferedUtility; served < c.least && out.MaxSendDelay < 0.04 {
+				t.Errorf("served %.2f; losses %v", served, out.Report.Losses)
 			}
 		})
 	}
@@ -81,13 +81,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n := out.Account.ViolationCount(); n > 0 && out.MaxSendDelay < 0.04 {
-				t.Errorf("rules: %v", out.Account.Violations)
+			if n := out.Report.ViolationCount(); n > 0 && out.MaxSendDelay < 0.04 {
+				t.Errorf("rules: %v", out.Report.Violations)
 			}
 			if out.LastRestart == 0 {
 				t.Error("no proxy restarted")
 			}
-			t.Logf("served %.2f, last restart at %.1f s, recovered after %v", out.Account.ServedUtility/out.Account.OfferedUtility,
+			t.Logf("served %.2f, last restart at %.1f s, recovered after %v", out.Report.ServedUtility/out.Report.OfferedUtility,
 				out.LastRestart, out.RecoverySeconds)
 		})
 	}
@@ -108,12 +108,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := out.Account.ViolationCount(); n > 0 && out.MaxSendDelay < 0.04 {
-		t.Errorf("rules: %v", out.Account.Violations)
+	if n := out.Report.ViolationCount(); n > 0 && out.MaxSendDelay < 0.04 {
+		t.Errorf("rules: %v", out.Report.Violations)
 	}
-	if served := out.Account.ServedUtility / out.Account.OfferedUtility; (served < 0.7 || out.LastRestart == 0) &&
+	if served := out.Report.ServedUtility / out.Report.OfferedUtility; (served < 0.7 || out.LastRestart == 0) &&
 		out.MaxSendDelay < 0.04 {
-		t.Errorf("served %.2f, last restart at %.1f s; losses %v", served, out.LastRestart, out.Account.Losses)
+		t.Errorf("served %.2f, last restart at %.1f s; losses %v", served, out.LastRestart, out.Report.Losses)
 	}
 }
 
@@ -170,13 +170,13 @@
 			out := runWorld(t, w, faults.Plan{seededFault(faults.Reset, 1, 5, 1, 0.15), seededFault(faults.Hang, 1.5, 4, 0.25, 0),
 				seededFault(faults.LoseAnswers, 2, 3, 0.5, 0.1),
 				seededFault(faults.DiscoverySilent, 2, 2, 1, 0), seededFault(faults.RollingReplace, 2.5, 2, 0.5, 0)})
-			if n := out.Account.ViolationCount(); n > 0 && out.MaxSendDelay < 0.04 { // otherwise the machine was too busy for a valid run
-				t.Errorf("rules: %v", out.Account.Violations)
+			if n := out.Report.ViolationCount(); n > 0 && out.MaxSendDelay < 0.04 { // otherwise the machine was too busy for a valid run
+				t.Errorf("rules: %v", out.Report.Violations)
 			}
-			t.Logf("offered utility %.0f, served %.2f, harness late by %.3f s", out.Account.OfferedUtility,
-				out.Account.ServedUtility/out.Account.OfferedUtility, out.MaxSendDelay)
-			if out.Account.ServedUtility < 0.3*out.Account.OfferedUtility && out.MaxSendDelay < 0.04 {
-				t.Errorf("served %.2f", out.Account.ServedUtility/out.Account.OfferedUtility)
+			t.Logf("offered utility %.0f, served %.2f, harness late by %.3f s", out.Report.OfferedUtility,
+				out.Report.ServedUtility/out.Report.OfferedUtility, out.MaxSendDelay)
+			if out.Report.ServedUtility < 0.3*out.Report.OfferedUtility && out.MaxSendDelay < 0.04 {
+				t.Errorf("served %.2f", out.Report.ServedUtility/out.Report.OfferedUtility)
 			}
 		})
 	}
--- a/internal/testbed/harness.go
+++ b/internal/testbed/harness.go
@@ -79,7 +79,7 @@
 
 // RunOutcome is the result of a live run.
 type RunOutcome struct {
-	Account         *checker.Report
+	Report          *checker.Report
 	MaxSendDelay    float64   // longest delay in seconds between when a command was due and when the harness sent it
 	CPU             []float64 // CPU seconds of each first-tier proxy that ran to the end
 	LastRestart     float64   // when the last failed proxy was ready again, in seconds of the run; 0 if none was
@@ -141,7 +141,7 @@
 	h.recorder = &recorder{world: w, start: time.Now(), requests: map[uint64]*requestRecord{},
 		checker: checker.New(checker.Config{AnswerSlack: 0.05 + w.Rules.AnswerSlack,
 			DrainGrace: w.Rules.DrainGrace, ColdMultiple: w.Rules.ColdMultiple, ColdWindow: w.Rules.ColdWindow,
-			SecondCopies: w.Rules.SecondCopies, RelayPrice: w.Prices.Relay,
+			Hedges: w.Rules.Hedges, RelayPrice: w.Prices.Relay,
 			LateDeclinePrice: w.Prices.LateDecline, Duration: w.Duration, Customers: len(w.Customers)})}
 	return h.startAll()
 }
@@ -187,7 +187,7 @@
 	}
 	// The checker is closed before the proxies end: a request that is still unanswered then counts as a violation.
 	h.recorder.mu.Lock()
-	out.Account, out.MaxSendDelay, out.LastRestart = h.recorder.checker.Close(h.recorder.now()), h.maxSendDelay, h.lastRestart
+	out.Report, out.MaxSendDelay, out.LastRestart = h.recorder.checker.Close(h.recorder.now()), h.maxSendDelay, h.lastRestart
 	h.recorder.mu.Unlock()
 	var stops sync.WaitGroup
 	for _, p := range h.proxies {
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -87,7 +87,7 @@
 			"me": p.index, "siblings": instances, "tier": p.tier, "zone": p.zone, "discovery": "pushed", "azs": zones,
 			"tick_ms": 1000 * w.Tick,
 			"limits": map[string]any{"max_relays": w.Rules.MaxRelays, "max_open": 5000, "peers": len(peers) > 0,
-				"second_copies": w.Rules.SecondCopies, "cancel": w.Rules.CancelRelays,
+				"second_copies": w.Rules.Hedges, "cancel": w.Rules.CancelRelays,
 				"retry_after": w.Rules.MaxRetryAfter > 0, "max_retry_after_ms": 1000 * w.Rules.MaxRetryAfter,
 				"connect_timeout_ms": 1000 * w.Rules.ConnectTimeout,
 				"conn_idle_ms":       1000 * w.Tiers[p.tier].IdleTimeout},
--- a/internal/testbed/rolling.go
+++ b/internal/testbed/rolling.go
@@ -42,7 +42,7 @@
 	ClosedUnanswered               int // new connections that were closed without an answer
 	Killed                         int // processes that had not ended when the kill came
 	Lost                           []string
-	Account                        *checker.Report // checker's report on the other rules
+	Report                         *checker.Report // checker's report on the other rules
 	MaxSendDelay                   float64         // longest delay of a harness timer in seconds; if high, the run is invalid
 	MaxTimeLimit                   float64         // longest time limit that was drawn, in seconds
 	Tiers                          int
@@ -159,7 +159,7 @@
 	h.faultTasks.Wait()
 	slices.Sort(out.Lost)
 	h.awaitCalls()
-	h.recorder.withChecker(func(c *checker.Checker) { out.Account = c.Close(h.recorder.now()) })
+	h.recorder.withChecker(func(c *checker.Checker) { out.Report = c.Close(h.recorder.now()) })
 	return out, h.failure
 }
 
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -47,11 +47,11 @@
 				"lost %d, rules %v, late by %.3f s",
 				h.Stress, out.MaxTimeLimit, out.Tiers, out.Sent, out.Served, out.Declined, out.Failed, out.ClosedWhileIdle,
 				out.ClosedUnanswered, out.Killed, len(out.Lost),
-				out.Account.RuleCounts, out.MaxSendDelay)
+				out.Report.RuleCounts, out.MaxSendDelay)
 			for _, l := range out.Lost {
 				t.Error("lost: " + l)
 			}
-			for _, b := range out.Account.Violations {
+			for _, b := range out.Report.Violations {
 				t.Errorf("broken: %+v", b)
 			}
 			if h.Stress.IdleClients == 0 && out.ClosedUnanswered > 5+out.Sent/200 {
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -135,7 +135,7 @@
 			t.Parallel()
 			w := smallWorld()
 			out := runWorld(t, w, c.plan)
-			a := out.Account
+			a := out.Report
 			if want := len(emulator.Arrivals(w, c.plan, 5)); a.Operations == 0 || a.Operations > want {
 				t.Errorf("%d operations, want 1 to %d", a.Operations, want)
 			}
@@ -163,7 +163,7 @@
 			w := smallWorld()
 			w.Duration, w.Rate = 2, 20
 			w.KeepFirstTier()
-			a := runWorld(t, w, nil, "WRONG_PROXY="+mode).Account
+			a := runWorld(t, w, nil, "WRONG_PROXY="+mode).Report
 			if a.RuleCounts[c.rule] == 0 || !strings.Contains(fmt.Sprint(a.Violations), c.want) {
 				t.Errorf("want a violation of rule %d with %q, have %v", c.rule, c.want, a.Violations)
 			}
