--- a/internal/faultnet/conditions.go
+++ b/internal/faultnet/conditions.go
@@ -36,8 +36,8 @@
 		name           string
 		value, highest float64
 	}{
-		{"delay", c.Delay, 3600}, {"jitter", c.Jitter, 3600}, {"loss", c.Loss, 1}, {"retransmit delay", c.RetransmitDelay, 3600},
-		{"duplicate", c.Duplicate, 1}, {"reorder", c.Reorder, 1}, {"bandwidth", c.Bandwidth, math.MaxFloat64},
+		{"delay", c.Delay, 3600}, {"jitter", c.Jitter, 3600}, {"loss", c.Loss, 1}, {"again", c.RetransmitDelay, 3600},
+		{"twice", c.Duplicate, 1}, {"swap", c.Reorder, 1}, {"rate", c.Bandwidth, math.MaxFloat64},
 	} {
 		if !(field.value >= 0 && field.value <= field.highest) { // also rejects NaN
 			return fmt.Errorf("conditions: %s = %v is not between 0 and %v", field.name, field.value, field.highest)
@@ -67,16 +67,23 @@
 
 // Traffic counts what was delivered in one direction.
 type Traffic struct {
-	Bytes    int64
-	Messages int64 // datagrams, or stream chunks as they were read
+	Bytes      int64
+	Messages   int64 // datagrams, or stream chunks as they were read
+	EmptyLines int64 // of these, an empty line in HTTP's chunked encoding, the heartbeat of a watch
 }
 
+// EmptyLine is an empty line in HTTP's chunked encoding.
+const EmptyLine = "1\r\n\n\r\n"
+
 // recordDelivery counts one delivered message.
-func (d *direction) recordDelivery(size int) {
+func (d *direction) recordDelivery(message []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.delivered.Bytes += int64(size)
+	d.delivered.Bytes += int64(len(message))
 	d.delivered.Messages++
+	if string(message) == EmptyLine {
+		d.delivered.EmptyLines++
+	}
 }
 
 // deliveredSoFar returns the traffic delivered up to now.
--- a/internal/faultnet/datagram.go
+++ b/internal/faultnet/datagram.go
@@ -1,5 +1,6 @@
 // This file implements the forwarder for datagrams between two addresses. Datagrams from any other source are dropped.
 // Each endpoint knows the other one by an address of the forwarder.
+
 package faultnet
 
 import (
@@ -124,7 +125,7 @@
 		return
 	}
 	deliver := func() {
-		f.directions[side].recordDelivery(len(buf))
+		f.directions[side].recordDelivery(buf)
 		// Without a receiver the datagram is lost, as on a real network.
 		_, _ = f.sockets[1-side].WriteToUDPAddrPort(buf, f.ends[1-side])
 	}
--- a/internal/faultnet/stream.go
+++ b/internal/faultnet/stream.go
@@ -1,6 +1,7 @@
 // This file implements the forwarder for TCP connections. Each direction of a connection has two goroutines: one reads as
 // long as the buffer has room, one writes each chunk when it is due. No byte of a connection is dropped unless the
 // connection is reset.
+
 package faultnet
 
 import (
@@ -288,7 +289,7 @@
 			conn.shutdown(true)
 			return
 		}
-		d.recordDelivery(len(c.bytes))
+		d.recordDelivery(c.bytes)
 	}
 	// The end of the stream has the delay of the link too; closing one direction leaves the other open.
 	if s.awaitTransit(d, conn, 0) {
--- a/internal/scale/comparison.go
+++ b/internal/scale/comparison.go
@@ -10,6 +10,11 @@
 	"sandpass/internal/scale/meter"
 )
 
+const (
+	maxReportDelay     = 5 * time.Second // until a proxy's report on an applied change has arrived
+	reportPollInterval = 10 * time.Millisecond
+)
+
 // ComparisonTolerance is the relative difference up to which in-process proxies count as equal to real ones.
 const ComparisonTolerance = 0.05
 
@@ -78,26 +83,47 @@
 	return append(all, compareTraffic("siblings' messages", messages, o.ProxiesEach)...), nil
 }
 
-// changeConfigs changes the configuration of all proxies and returns the traffic of each with control meanwhile.
+// changeConfigs changes the configuration of all proxies and returns the traffic of each with control for that, without the
+// heartbeats that fall into the same time.
 func (d *Deployment) changeConfigs(ctx context.Context, o ComparisonOptions) ([]meter.Traffic, error) {
 	wanted := 2 * o.ProxiesEach
 	if o.SeedDefect {
 		wanted = o.ProxiesEach
 	}
-	before := d.control.proxyTraffic()
+	before, heartbeats := d.control.proxyTraffic(), d.control.proxyHeartbeats()
 	operator := operator{deployment: d}
 	for range o.Changes {
 		if _, err := operator.change(ctx, false, wanted); err != nil {
 			return nil, err
 		}
 	}
-	after := d.control.proxyTraffic()
+	if err := d.awaitReports(ctx, before, wanted, o.Changes); err != nil {
+		return nil, err
+	}
+	after, heartbeatsAfter := d.control.proxyTraffic(), d.control.proxyHeartbeats()
 	for i := range after {
-		after[i] = after[i].Minus(before[i])
+		after[i] = after[i].Minus(before[i]).Minus(heartbeatsAfter[i].Minus(heartbeats[i]))
 	}
 	return after, nil
 }
 
+// awaitReports waits until the first proxies have sent a report on each change, for at most maxReportDelay.
+func (d *Deployment) awaitReports(ctx context.Context, before []meter.Traffic, proxies, changes int) error {
+	for deadline := time.Now().Add(maxReportDelay); time.Now().Before(deadline); {
+		reported := true
+		for i, t := range d.control.proxyTraffic()[:proxies] {
+			reported = reported && t.Minus(before[i]).MessagesOut >= int64(changes)
+		}
+		if reported {
+			return nil
+		}
+		if err := sleep(ctx, reportPollInterval); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // restartBackendPairs restarts the same backend of both services at the same time.
 func (d *Deployment) restartBackendPairs(ctx context.Context, o ComparisonOptions) error {
 	const states = 3
--- a/internal/scale/controlcluster.go
+++ b/internal/scale/controlcluster.go
@@ -371,6 +371,20 @@
 	return all
 }
 
+// proxyHeartbeats returns the part of each counted proxy's traffic that is heartbeats of the watch.
+func (c *controlCluster) proxyHeartbeats() []meter.Traffic {
+	all := make([]meter.Traffic, len(c.proxyLinks))
+	for i, streams := range c.proxyLinks {
+		for _, s := range streams {
+			sent, received := s.Delivered()
+			all[i] = all[i].Plus(meter.Traffic{
+				BytesOut: sent.EmptyLines * int64(len(faultnet.EmptyLine)), MessagesOut: sent.EmptyLines,
+				BytesIn: received.EmptyLines * int64(len(faultnet.EmptyLine)), MessagesIn: received.EmptyLines})
+		}
+	}
+	return all
+}
+
 // replicaTraffic returns the traffic of each replica with the proxies and the other replicas.
 func (c *controlCluster) replicaTraffic() []meter.Traffic {
 	all := make([]meter.Traffic, len(c.replicas))
