--- a/cmd/sandlab/scale.go
+++ b/cmd/sandlab/scale.go
@@ -1,4 +1,5 @@
 // This file implements the command line of scale runs. It holds no parameters beyond the defaults of flags.
+
 package main
 
 import (
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -1,5 +1,6 @@
 // This file tests eight real proxies of which some fail, or whose links fail. The findings come only from what the simulated
 // clients and backends recorded, not from what a proxy reports.
+
 package testbed
 
 import (
