--- a/cmd/sandpass/upgrade_test.go
+++ b/cmd/sandpass/upgrade_test.go
@@ -97,8 +97,8 @@
 	ended chan error
 }
 
-// start starts a process that inherits the listener.
-func (p *platform) start() *process {
+// start starts a process that inherits the listener, with further arguments.
+func (p *platform) start(args ...string) *process {
 	p.t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 	v := &process{ops: free.Addr().String(), ended: make(chan error, 1)}
 	free.Close()
-	v.Cmd, v.out = sandpass(p.config, "serve")
+	v.Cmd, v.out = sandpass(p.config, append([]string{"serve"}, args...)...)
 	v.ExtraFiles = []*os.File{p.socket}
 	v.Env = append(v.Env, "NODE_SOCKET_FD=3", "NODE_OPS="+v.ops, "TMPDIR="+p.dir)
 	if err := v.Start(); err != nil {
@@ -317,6 +317,23 @@
 	}
 }
 
+// With a state folder too, a new process must take over as soon as it has the state of the running one. The snapshot that it
+// reads at its start must not pass for the handover.
+func TestUpgradeWithStateFolder(t *testing.T) {
+	t.Parallel()
+	p, operatorFile := newPlatform(t), writeOperatorFile(t, "0.1")
+	first := p.start("--operator", operatorFile)
+	first.waitHealthy(t)
+	if got := first.callOperators("POST", "/admin/cordon/s-1"); got != 200 { // with a state folder, confirmed once it is saved
+		t.Fatalf("cordon: %d", got)
+	}
+	second := p.start("--operator", operatorFile)
+	second.waitHealthy(t)
+	if !strings.Contains(second.out.String(), "msg=accepting successor=true") {
+		t.Errorf("the new process does not succeed the running one: %s", second.out)
+	}
+}
+
 // Request and response bodies that together far exceed the memory limit, some read slowly: the process must stay within its
 // limit.
 func TestLargeBodiesStayWithinMemoryLimit(t *testing.T) {
