--- a/cmd/sandlab/main.go
+++ b/cmd/sandlab/main.go
@@ -155,8 +155,9 @@
 func compareCommand() *cobra.Command {
 	var metric, a, b string
 	c := &cobra.Command{Use: "compare FOLDER [OTHER]",
-		Short: "compare policies by paired differences with their confidence interval",
-		Long: "Compares policy A with policy B of one folder, or one policy between two folders with the same runs,\n" +
+		Short: "paired differences by seed, with their confidence interval",
+		Long: "Compares policy A with policy B of one folder, or one policy between two folders of the same days," +
+			"\n" +
 			"such as those of two versions of the program.",
 		Args: cobra.RangeArgs(1, 2), RunE: func(c *cobra.Command, args []string) error {
 			s, rows, err := lab.LoadResults(args[0])
@@ -299,7 +300,7 @@
 func replayCommand() *cobra.Command {
 	var policy string
 	var seed uint64
-	c := &cobra.Command{Use: "replay EXPERIMENT.toml", Short: "execute one run and report its time series, losses and broken rules",
+	c := &cobra.Command{Use: "replay DAY.toml", Short: "play one day and tell its course, its losses and what broke",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
@@ -318,8 +319,8 @@
 			}
 			return lab.WriteReport(c.OutOrStdout(), result, "simulated")
 		}}
-	c.Flags().StringVar(&policy, "policy", "", "policy (default the first one of the file)")
-	c.Flags().Uint64Var(&seed, "seed", 0, "seed (default the first one of the file)")
+	c.Flags().StringVar(&policy, "policy", "", "another than the file's first")
+	c.Flags().Uint64Var(&seed, "seed", 0, "another than the file's first")
 	return c
 }
 
@@ -359,11 +360,12 @@
 	var messages, names []string
 	var kind, state, program string
 	var live bool
-	c := &cobra.Command{Use: "back", Short: "measure how soon service recovers after most proxies failed at once",
-		Long: "In the emulator, proxies stand in front of twice as many backends in each of two tiers; a share of the proxies fails\n" +
-			"at 12 s and is back at 16 s. The table has the share served by second from the failure on (means), the seconds from the\n" +
-			"return until 0.99 of the share served before is reached for 2 s, peaks at one backend relative to the highest before,\n" +
-			"and broken rules.",
+	c := &cobra.Command{Use: "back", Short: "measure how soon all is served again after most proxies failed at once",
+		Long: "Emulated: proxies before twice as many backends of two tiers; a share of them fails at 12 s and " +
+			"is back at 16 s. The table has\n" +
+			"the part served by second from the failure on (means), the seconds from the return until 0.99 of " +
+			"what was served before is served\n" +
+			"for 2 s, peaks at one backend over the highest before, and broken rules.",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			var all []uint64
 			for i := range seeds {
@@ -398,19 +400,19 @@
 			}
 			return nil
 		}}
-	c.Flags().IntVar(&proxies, "proxies", 60, "number of proxies in the first tier")
-	c.Flags().IntVar(&seeds, "seeds", 6, "number of runs for each row")
-	c.Flags().IntVar(&seconds, "seconds", 8, "length of the time series in seconds")
-	c.Flags().Float64SliceVar(&loads, "load", []float64{0.5, 0.75, 0.9}, "load of the tier with the least capacity")
-	c.Flags().Float64SliceVar(&shares, "share", []float64{0.9}, "share of the proxies that fail")
-	c.Flags().StringSliceVar(&messages, "messages", []string{"off", "on"}, "messages between peers")
-	c.Flags().StringSliceVar(&names, "policies", []string{"module", "two"}, "policies to measure")
-	c.Flags().BoolVar(&live, "live", false, "use real processes on loopback in real time, one run after another")
+	c.Flags().IntVar(&proxies, "proxies", 60, "of the first tier")
+	c.Flags().IntVar(&seeds, "seeds", 6, "days of each line")
+	c.Flags().IntVar(&seconds, "seconds", 8, "of the course")
+	c.Flags().Float64SliceVar(&loads, "load", []float64{0.5, 0.75, 0.9}, "of the tier that runs out first")
+	c.Flags().Float64SliceVar(&shares, "share", []float64{0.9}, "of the proxies that fail")
+	c.Flags().StringSliceVar(&messages, "messages", []string{"off", "on"}, "between siblings")
+	c.Flags().StringSliceVar(&names, "policies", []string{"module", "two"}, "which")
+	c.Flags().BoolVar(&live, "live", false, "real processes on loopback in real time, one day after another")
 	c.Flags().StringVar(&state, "state", "",
-		"with --live: what happens to the stored state of a proxy: kept, lost, torn, old (default: no state is stored)")
+		"live: what becomes of what a proxy keeps: kept, lost, torn, old (nothing is kept)")
 	c.Flags().StringVar(&program, "program", "",
-		"with --live: program of the proxy, called as PROGRAM serve (default: this program)")
-	c.Flags().StringVar(&kind, "kind", string(faults.KillInstances), "kind of the fault")
+		"live: the proxy's program, called as PROGRAM serve (this one)")
+	c.Flags().StringVar(&kind, "kind", string(faults.KillInstances), "of the failure")
 	addCoresFlag(c, &cores)
 	return c
 }
@@ -461,9 +463,10 @@
 func liveCommand() *cobra.Command {
 	var program string
 	var seed uint64
-	c := &cobra.Command{Use: "live EXPERIMENT.toml", Short: "execute one run on real sockets, in real time, with real proxies",
-		Long: "Starts simulated backends, discovery and clients on loopback and a proxy process for each instance, executes the run\n" +
-			"in real time and reports what the checker found. A world of a few processes fits on one machine.",
+	c := &cobra.Command{Use: "live DAY.toml", Short: "play one day on real sockets, in real time, with real proxies",
+		Long: "Starts backends, discovery and clients as stand-ins on loopback and a proxy process for each instance, " +
+			"plays the day\n" +
+			"in real time and tells what the judge found. A world of a few processes fits on one machine.",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			s, err := lab.ReadExperiment(args[0], nil)
 			if err != nil {
@@ -488,18 +491,18 @@
 				return err
 			}
 			w := c.OutOrStdout()
-			fmt.Fprintf(w, "the test harness sent commands late by %.1f ms at most\n", 1000*out.MaxSendDelay)
+			fmt.Fprintf(w, "the rig itself was late by %.1f ms at most\n", 1000*out.MaxSendDelay)
 			result := lab.RunResult{Run: lab.Run{Policy: "sandpass", Seed: at}, Plan: plan, Report: out.Report}
 			if err := lab.WriteReport(w, result, "on real sockets"); err != nil {
 				return err
 			}
 			for i, cpu := range out.CPU {
-				fmt.Fprintf(w, "proxy %d: %.2f s of CPU time\n", i, cpu)
+				fmt.Fprintf(w, "proxy %d: %.2f s of a core\n", i, cpu)
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&program, "program", "", "program of the proxy, called as PROGRAM serve (default: this program)")
-	c.Flags().Uint64Var(&seed, "seed", 0, "seed (default the first one of the file)")
+	c.Flags().StringVar(&program, "program", "", "the proxy's program, called as PROGRAM serve (this one)")
+	c.Flags().Uint64Var(&seed, "seed", 0, "another than the file's first")
 	return c
 }
 
@@ -509,9 +512,10 @@
 	var connections, bodies []int
 	var seconds, rate float64
 	var repetitions int
-	c := &cobra.Command{Use: "load", Short: "measure the throughput of one proxy on one core, and the latency that it adds",
-		Long: "A closed loop measures commands per second and CPU time, an open loop measures latency from when a command was due.\n" +
-			"The same clients are also measured directly against the backends; rows show medians of several repetitions with their\n" +
+	c := &cobra.Command{Use: "load", Short: "measure what one proxy on one core carries, and what it adds to a command",
+		Long: "Closed loop for commands a second and processor time, open loop for latency, which counts from when " +
+			"a command was due.\n" +
+			"Each line beside the same clients straight to the backends; medians of several times, with their " +
 			"spread.",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			if len(programs) == 0 {
@@ -528,11 +532,11 @@
 			return testbed.WriteTable(c.Context(), c.OutOrStdout(), loads, programs, connections, bodies, repetitions)
 		}}
 	c.Flags().StringArrayVar(&programs, "program", nil,
-		"program of the proxy, called as PROGRAM serve (default: this program); several are measured in turn")
-	c.Flags().IntSliceVar(&connections, "connections", []int{1, 16, 64, 512}, "number of client connections")
-	c.Flags().IntSliceVar(&bodies, "body", []int{0}, "size of each command's body and answer in bytes")
-	c.Flags().Float64Var(&seconds, "seconds", 3, "duration of each measurement in seconds")
-	c.Flags().Float64Var(&rate, "rate", 0, "commands per second of the open loop (default: half of the closed loop's rate)")
-	c.Flags().IntVar(&repetitions, "times", 3, "number of repetitions")
+		"the proxy's program, called as PROGRAM serve (this one); several are measured in turn")
+	c.Flags().IntSliceVar(&connections, "connections", []int{1, 16, 64, 512}, "of the clients")
+	c.Flags().IntSliceVar(&bodies, "body", []int{0}, "bytes of each command's body and answer")
+	c.Flags().Float64Var(&seconds, "seconds", 3, "of each measure")
+	c.Flags().Float64Var(&rate, "rate", 0, "commands a second of the open loop (half of what the closed loop reached)")
+	c.Flags().IntVar(&repetitions, "times", 3, "how often each is measured")
 	return c
 }
--- a/cmd/sandpass-control/main.go
+++ b/cmd/sandpass-control/main.go
@@ -30,11 +30,11 @@
 	exitNotInForce = 6
 )
 
-const controlHelp = `Manage the configuration of a fleet of proxies, which control replicas store.
+const controlHelp = `Configuration of a fleet of proxies, kept by control replicas.
 
-Exit codes: 0 success; 1 other error; 2 usage error or invalid input; 3 conflict with another operator's change;
+Exit codes: 0 done; 1 another error; 2 usage or bad input; 3 conflict with another operator's change;
 4 refused by the check, or held because a proxy refused it; 5 no quorum, or no replica can be reached;
-6 with --wait: accepted, but not in force at all proxies within the timeout.`
+6 with --wait: accepted, but not in force everywhere in time.`
 
 // codedError is an error with the exit code of the process.
 type codedError struct {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -32,22 +32,22 @@
 	description string
 	factory     emulator.PolicyFactory
 }{
-	{"module", "the balancer as it is", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
+	{"module", "the decision module as it is", func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
 		return balance.New(h, seed, now)
 	}},
-	{"nocopies", "the balancer without hedges",
+	{"nocopies", "the module without second copies",
 		func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
 			return &changedLimits{balance.New(h, seed, now), func(l *balance.Limits) { l.Hedges = false }}
 		}},
-	{"fixed", "the balancer with shares by the configured number of instances, whether they run or not",
+	{"fixed", "the module with shares by all siblings there should be, whoever is there",
 		func(h balance.Host, _ emulator.TrueState, seed uint64, now float64) emulator.Policy {
 			return &changedLimits{balance.New(h, seed, now), func(l *balance.Limits) { l.FixedInstances = true }}
 		}},
-	{"random", "a random backend", plainFactory(random)},
-	{"robin", "round robin", plainFactory(roundRobin)},
-	{"least", "the fewest own pending relays", plainFactory(leastPending)},
-	{"two", "the better of two random backends, by own pending relays", plainFactory(twoChoices)},
-	{Oracle, "knows the true state of all backends", plainFactory(oracle)},
+	{"random", "any backend", plainFactory(random)},
+	{"robin", "one after another", plainFactory(roundRobin)},
+	{"least", "the least own commands out", plainFactory(leastPending)},
+	{"two", "the better of two drawn, by own commands out", plainFactory(twoChoices)},
+	{Oracle, "sees the true state of all backends", plainFactory(oracle)},
 }
 
 // Names returns the names of all policies.
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -83,7 +83,7 @@
 	update := h.p.watch.pending
 	h.p.watch.pending = endpointUpdate{}
 	if h.p.applyEndpoints(&update); !h.p.watch.hasList {
-		return errors.New("changes received before a whole list")
+		return errors.New("changes before any list")
 	}
 	h.p.watch.listApplied = true
 	return nil
