--- a/internal/testbed/stress.go
+++ b/internal/testbed/stress.go
@@ -36,9 +36,9 @@
 func RandomStress(seed uint64) Stress {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	rules := []string{fmt.Sprintf("seed=%d", seed)}
-	maybe := func(probability float64, tasks ...string) {
+	maybe := func(probability float64, alternatives ...string) {
 		if rng.Float64() < probability {
-			rules = append(rules, tasks[rng.IntN(len(tasks))])
+			rules = append(rules, alternatives[rng.IntN(len(alternatives))])
 		}
 	}
 	maybe(0.5, "epoll_ctl%31=ENOMEM", "epoll_ctl%13=ENOSPC")
